--- a/config/check.go
+++ b/config/check.go
@@ -12,8 +12,8 @@
 	"github.com/goccy/go-yaml"
 	"github.com/goccy/go-yaml/ast"
 
-	"gradetiller.example/internal/core/order"
 	"gradetiller.example/internal/core/place"
+	"gradetiller.example/internal/core/workqueue"
 )
 
 // Values of policies.retry and policies.admission.
@@ -180,7 +180,7 @@
 }
 
 func (c *checker) policies(p filePolicies) {
-	c.oneOf("$.policies.order", p.Order, order.Names())
+	c.oneOf("$.policies.order", p.Order, workqueue.Names())
 	c.oneOf("$.policies.place", p.Place, place.Names())
 	c.oneOf("$.policies.retry", p.Retry, []string{RetryBudgeted, RetryPlain})
 	c.oneOf("$.policies.admission", p.Admission, []string{AdmissionEarly, AdmissionNone})
@@ -225,7 +225,7 @@
 			c.add(at, CodeMissing, "kind is missing", "write kind: engine or kind: service")
 		}
 		c.oneOf(at+".kind", p.Kind, []string{KindEngine, KindService})
-		c.oneOf(at+".order", p.Order, order.Names())
+		c.oneOf(at+".order", p.Order, workqueue.Names())
 		c.oneOf(at+".place", p.Place, place.Names())
 		c.positive(at+".queue", p.Queue > 0, "queue")
 		if len(p.Endpoints) == 0 {
--- a/internal/core/run/admit.go
+++ b/internal/core/run/admit.go
@@ -7,7 +7,7 @@
 	"gradetiller.example/config"
 	"gradetiller.example/failure"
 	"gradetiller.example/internal/core/hash"
-	"gradetiller.example/internal/core/order"
+	"gradetiller.example/internal/core/workqueue"
 )
 
 const (
@@ -130,7 +130,7 @@
 		if !ok || pool.queue.Len() == 0 {
 			continue
 		}
-		ahead := pool.queue.Ahead(order.Item{
+		ahead := pool.queue.Ahead(workqueue.Item{
 			Deadline:  now.Add(left),
 			Remaining: e.needed(now, p, i),
 			Account:   account,
--- a/internal/core/run/engine.go
+++ b/internal/core/run/engine.go
@@ -9,8 +9,8 @@
 	"gradetiller.example/internal/core/budget"
 	"gradetiller.example/internal/core/drain"
 	"gradetiller.example/internal/core/limit"
-	"gradetiller.example/internal/core/order"
 	"gradetiller.example/internal/core/place"
+	"gradetiller.example/internal/core/workqueue"
 )
 
 // Counters count what the engine did since its start.
@@ -51,7 +51,7 @@
 type pool struct {
 	conf    *config.Pool
 	place   *place.Pool
-	queue   *order.Queue[*activeRun]
+	queue   *workqueue.Queue[*activeRun]
 	ordered string
 	retries *attempt.RetryBudget
 	took    *budget.Estimator
@@ -158,7 +158,7 @@
 
 // reorder moves the waiting runs into a queue under another policy.
 func (p *pool) reorder(name string) error {
-	q, err := order.New[*activeRun](name)
+	q, err := workqueue.New[*activeRun](name)
 	if err != nil {
 		return err
 	}
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -7,8 +7,8 @@
 	"gradetiller.example/internal/core/attempt"
 	"gradetiller.example/internal/core/hash"
 	"gradetiller.example/internal/core/limit"
-	"gradetiller.example/internal/core/order"
 	"gradetiller.example/internal/core/place"
+	"gradetiller.example/internal/core/workqueue"
 )
 
 // activeRun is one request under way.
@@ -35,9 +35,9 @@
 	calls      []*call
 	tries      int
 	exclude    int
-	waiting    *order.Handle[*activeRun]
+	waiting    *workqueue.Handle[*activeRun]
 	waitPool   *pool
-	item       order.Item
+	item       workqueue.Item
 
 	recorded   bool
 	mayHaveRun bool
--- a/internal/core/run/stage.go
+++ b/internal/core/run/stage.go
@@ -6,8 +6,8 @@
 	"gradetiller.example/config"
 	"gradetiller.example/failure"
 	"gradetiller.example/internal/core/budget"
-	"gradetiller.example/internal/core/order"
 	"gradetiller.example/internal/core/place"
+	"gradetiller.example/internal/core/workqueue"
 )
 
 // splitQuantile of the stage times is what the time left is divided by.
@@ -96,7 +96,7 @@
 		e.fail(now, r, failure.Overloaded, "the pool's queue is full")
 		return
 	}
-	r.item = order.Item{
+	r.item = workqueue.Item{
 		Deadline:  r.deadline,
 		Remaining: e.needed(now, r.pipeline, r.stage),
 		Account:   r.index,
--- a/internal/core/order/doc.go
+++ b/internal/core/workqueue/doc.go
@@ -1,4 +1,4 @@
-// Package order keeps the queue of stage calls that wait for a pool and
+// Package workqueue keeps the queue of stage calls that wait for a pool and
 // orders it by the policy in force.
 //
 // Every policy reduces to a key that is fixed when the item is queued: slack
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	q, err := order.New[int]("least_slack")
-//	h := q.Push(7, order.Item{Deadline: d, Remaining: est, Account: 3, Weight: 2})
+//	q, err := workqueue.New[int]("least_slack")
+//	h := q.Push(7, workqueue.Item{Deadline: d, Remaining: est, Account: 3, Weight: 2})
 //	v, ok := q.Pop()
-package order
+package workqueue
--- a/internal/core/order/fair.go
+++ b/internal/core/workqueue/fair.go
@@ -1,4 +1,4 @@
-package order
+package workqueue
 
 // fairUnit is the virtual time that one call costs an account of weight 1.
 const fairUnit = 1 << 20
--- a/internal/core/order/policy.go
+++ b/internal/core/workqueue/policy.go
@@ -1,4 +1,4 @@
-package order
+package workqueue
 
 import (
 	"time"
