--- a/internal/core/locate/locate.go
+++ b/internal/core/assignment/locate.go
@@ -1,4 +1,4 @@
-// Package locate decides which entries a client account is told to use.
+// Package assignment decides which entries a client account is told to use.
 //
 // Every node computes the same assignment from the same entries and accounts,
 // without messages: each account ranks the entries by a hash of both names
@@ -8,9 +8,9 @@
 //
 // # Usage
 //
-//	t := locate.NewTable(entries, accounts, 3)
+//	t := assignment.NewTable(entries, accounts, 3)
 //	addresses := t.Entries("barbers", "region-1", "kgn-1")
-package locate
+package assignment
 
 import (
 	"cmp"
--- a/internal/core/locate/locate_test.go
+++ b/internal/core/assignment/locate_test.go
@@ -1,4 +1,4 @@
-package locate
+package assignment
 
 import (
 	"fmt"
--- a/internal/entry/apply.go
+++ b/internal/entry/apply.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"gradetiller.example/config"
-	"gradetiller.example/internal/core/locate"
+	"gradetiller.example/internal/core/assignment"
 	"gradetiller.example/internal/core/run"
 	"gradetiller.example/internal/wire"
 )
@@ -130,20 +130,20 @@
 	if cfg == nil {
 		return
 	}
-	var list []locate.Entry
+	var list []assignment.Entry
 	for _, e := range n.Entries() {
 		if !e.Leaving && e.Node != n.id.Node {
-			list = append(list, locate.Entry{Node: e.Node, Address: e.Address, Domain: e.Domain, Region: e.Region})
+			list = append(list, assignment.Entry{Node: e.Node, Address: e.Address, Domain: e.Domain, Region: e.Region})
 		}
 	}
 	if !n.leaving.Load() {
-		list = append(list, locate.Entry{Node: n.id.Node, Address: n.id.Address, Domain: n.id.Domain, Region: n.id.Region})
+		list = append(list, assignment.Entry{Node: n.id.Node, Address: n.id.Address, Domain: n.id.Domain, Region: n.id.Region})
 	}
 	accounts := make([]string, len(cfg.Accounts()))
 	for i := range cfg.Accounts() {
 		accounts[i] = cfg.Accounts()[i].Name()
 	}
-	table := locate.NewTable(list, accounts, cfg.LocateAddresses())
+	table := assignment.NewTable(list, accounts, cfg.LocateAddresses())
 	n.table.Store(table)
 	shares := make([]float64, len(accounts))
 	for i, a := range accounts {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"gradetiller.example/config"
-	"gradetiller.example/internal/core/locate"
+	"gradetiller.example/internal/core/assignment"
 	"gradetiller.example/internal/core/run"
 	"gradetiller.example/internal/core/story"
 	"gradetiller.example/internal/endpoints"
@@ -51,7 +51,7 @@
 
 	tableMu sync.Mutex // orders rebuilds of table
 	cfg     atomic.Pointer[config.Config]
-	table   atomic.Pointer[locate.Table]
+	table   atomic.Pointer[assignment.Table]
 	leaving atomic.Bool
 	closed  atomic.Bool
 }
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -11,7 +11,7 @@
   go test -run xxx -bench 'Snapshot|ConfigFile|Watch|Share' -benchtime 20x ./internal/control
   go test -run xxx -bench 'Choose/predicted' ./internal/core/place
   go test -run xxx -bench 'Run' ./internal/core/run
-  go test -run xxx -bench 'NewTable' -benchtime 10x ./internal/core/locate
+  go test -run xxx -bench 'NewTable' -benchtime 10x ./internal/core/assignment
   go test -run xxx -bench 'BenchmarkToken|AddedTime' -benchtime 200x ./internal/entry
   go test -run xxx -bench 'StreamedToken' -benchtime 10x ./internal/entry
   go test -run xxx -bench 'NodeMemory' -benchtime 1x ./internal/entry
