--- a/internal/core/lookup/lookup.go
+++ b/internal/core/subset/lookup.go
@@ -1,4 +1,4 @@
-// Package lookup decides which nodes a client is told to use.
+// Package subset decides which nodes a client is told to use.
 //
 // A client takes one of the nodes of its answer by chance, so whoever is in more
 // answers gets more of the work. Clients are told all nodes of their own failure
@@ -9,8 +9,8 @@
 //
 // # Usage
 //
-//	addresses := lookup.Answer(entries, self, domain)
-package lookup
+//	addresses := subset.Answer(entries, self, domain)
+package subset
 
 import (
 	"cmp"
--- a/internal/core/lookup/lookup_test.go
+++ b/internal/core/subset/lookup_test.go
@@ -1,4 +1,4 @@
-package lookup
+package subset
 
 import (
 	"fmt"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,11 +15,11 @@
 	"gradetiller.example/internal/core/discovery"
 	"gradetiller.example/internal/core/hash"
 	"gradetiller.example/internal/core/intake"
-	"gradetiller.example/internal/core/lookup"
 	"gradetiller.example/internal/core/mechanism"
 	"gradetiller.example/internal/core/member"
 	"gradetiller.example/internal/core/poison"
 	"gradetiller.example/internal/core/stagepool"
+	"gradetiller.example/internal/core/subset"
 	"gradetiller.example/internal/logging"
 	"gradetiller.example/internal/peer"
 	"gradetiller.example/internal/settings"
@@ -305,6 +305,6 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	addresses := lookup.Answer(*n.entries.Load(), n.settings.Node, platform.ParseLookup(r).Domain)
+	addresses := subset.Answer(*n.entries.Load(), n.settings.Node, platform.ParseLookup(r).Domain)
 	platform.WriteLookup(w, addresses, min(answerLife, n.settings.AnswerLife))
 }
