--- a/internal/core/intake/cold_test.go
+++ b/internal/core/intake/cold_test.go
@@ -210,7 +210,7 @@
 	}
 	w.arrivals[endpoint] = append(w.arrivals[endpoint], arrives)
 	took := time.Duration(800+w.rand.IntN(400)) * time.Millisecond
-	heap.Push(&w.ends, finish{at: now.Add(took), pool: pool, i: i, r: place.Result{OK: true, Work: work, Took: took}})
+	heap.Push(&w.ends, finish{at: now.Add(took), pool: pool, i: i, r: place.Result{OK: true, PendingTokens: work, Latency: took}})
 }
 
 // busiest is the most that one of the returning endpoints got in any second while it was
--- a/internal/core/intake/limitworld_test.go
+++ b/internal/core/intake/limitworld_test.go
@@ -271,7 +271,7 @@
 	head := arrives.Add(time.Duration(50+w.rand.IntN(300)) * time.Millisecond)
 	w.after(head, func(now time.Time) { w.hear(now, n, i) })
 	took := time.Duration(800+w.rand.IntN(400)) * time.Millisecond
-	w.after(now.Add(took), func(now time.Time) { pool.Finish(now, i, place.Result{OK: true, Work: work, Took: took}) })
+	w.after(now.Add(took), func(now time.Time) { pool.Finish(now, i, place.Result{OK: true, PendingTokens: work, Latency: took}) })
 }
 
 // hear takes in what an endpoint's answer says.
--- a/internal/core/place/affinity.go
+++ b/internal/core/place/affinity.go
@@ -54,10 +54,10 @@
 func (p *Pool) busy(now time.Time, i int) float64 {
 	e := &p.endpoints[i]
 	own := float64(e.outstanding)
-	if e.load.At.IsZero() || now.Sub(e.load.At) > loadHalfLife {
+	if e.load.ReceivedAt.IsZero() || now.Sub(e.load.ReceivedAt) > loadHalfLife {
 		return own
 	}
-	return max(own, e.load.Busy)
+	return max(own, e.load.Calls)
 }
 
 func busyScore(p *Pool, now time.Time, i int, _ Request) float64 {
--- a/internal/core/place/backoff.go
+++ b/internal/core/place/backoff.go
@@ -8,9 +8,9 @@
 // rampPoll is how soon a call may find room at an endpoint that takes few calls after a backoff.
 const rampPoll = 20 * time.Millisecond
 
-// Backoff has no call go to endpoint i until a moment, and few at first afterwards. The endpoint
+// SetBackoff has no call go to endpoint i until a moment, and few at first afterwards. The endpoint
 // isn't taken to be unhealthy.
-func (p *Pool) Backoff(i int, until time.Time) {
+func (p *Pool) SetBackoff(i int, until time.Time) {
 	e := &p.endpoints[i]
 	if until.After(e.backoff) {
 		e.backoff = until
@@ -20,9 +20,9 @@
 	}
 }
 
-// Closed reports whether all endpoints are leaving, removed or in backoff, and the first end of
+// AllBackedOff reports whether all endpoints are leaving, removed or in backoff, and the first end of
 // a backoff, or the zero time.
-func (p *Pool) Closed(now time.Time) (reopens time.Time, closed bool) {
+func (p *Pool) AllBackedOff(now time.Time) (reopens time.Time, closed bool) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
 		switch {
@@ -36,9 +36,9 @@
 	return reopens, true
 }
 
-// Reopens is when a call may first go to an endpoint that is in backoff, or that takes few calls
+// NextAfterBackoff is when a call may first go to an endpoint that is in backoff, or that takes few calls
 // after one, or the zero time. Endpoints in tried don't count.
-func (p *Pool) Reopens(now time.Time, tried []int) time.Time {
+func (p *Pool) NextAfterBackoff(now time.Time, tried []int) time.Time {
 	var first time.Time
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
--- a/internal/core/place/backoff_test.go
+++ b/internal/core/place/backoff_test.go
@@ -28,14 +28,14 @@
 			now := time.Unix(1000, 0)
 			p := poolOf(t, policy, 3, 8)
 			until := now.Add(3 * time.Second)
-			p.Backoff(1, until)
-			p.Backoff(1, now.Add(time.Second)) // a shorter one doesn't end the first
+			p.SetBackoff(1, until)
+			p.SetBackoff(1, now.Add(time.Second)) // a shorter one doesn't end the first
 			for at := now; at.Before(until); at = at.Add(50 * time.Millisecond) {
 				i, ok := p.Choose(at, Request{Exclude: None})
 				if !ok || i == 1 {
 					t.Fatalf("%v: chose %d, %t", at.Sub(now), i, ok)
 				}
-				p.Finish(at, i, Result{OK: true, Work: p.Start(at, i, Request{}), Took: time.Millisecond})
+				p.Finish(at, i, Result{OK: true, PendingTokens: p.Start(at, i, Request{}), Latency: time.Millisecond})
 			}
 			if !p.Accepts(until, 1, Request{Exclude: None}) {
 				t.Error("the endpoint is out of use after its backoff")
@@ -51,15 +51,15 @@
 	p := poolOf(t, "least_outstanding", 1, 8)
 	// A call under way at the beginning of the backoff ends well.
 	early := p.Start(now, 0, Request{})
-	p.Backoff(0, now.Add(time.Second))
-	p.Finish(now.Add(100*time.Millisecond), 0, Result{OK: true, Work: early, Took: time.Millisecond})
-	if reopens, closed := p.Closed(now); !closed || !reopens.Equal(now.Add(time.Second)) {
+	p.SetBackoff(0, now.Add(time.Second))
+	p.Finish(now.Add(100*time.Millisecond), 0, Result{OK: true, PendingTokens: early, Latency: time.Millisecond})
+	if reopens, closed := p.AllBackedOff(now); !closed || !reopens.Equal(now.Add(time.Second)) {
 		t.Errorf("closed %t until %v", closed, reopens.Sub(now))
 	}
-	if at := p.Reopens(now, nil); !at.Equal(now.Add(time.Second)) {
+	if at := p.NextAfterBackoff(now, nil); !at.Equal(now.Add(time.Second)) {
 		t.Errorf("reopens after %v", at.Sub(now))
 	}
-	if !p.Reopens(now, []int{0}).IsZero() {
+	if !p.NextAfterBackoff(now, []int{0}).IsZero() {
 		t.Error("an endpoint that was tried counts")
 	}
 	now = now.Add(time.Second)
@@ -76,12 +76,12 @@
 		if started != want {
 			t.Fatalf("%d calls at once, want %d", started, want)
 		}
-		p.Finish(now, 0, Result{OK: true, Took: time.Millisecond})
+		p.Finish(now, 0, Result{OK: true, Latency: time.Millisecond})
 		for range started - 1 {
 			p.Finish(now, 0, Result{Neutral: true})
 		}
 	}
-	if !p.Reopens(now, nil).IsZero() {
+	if !p.NextAfterBackoff(now, nil).IsZero() {
 		t.Error("an endpoint in full use is waited for")
 	}
 	// It fails later, for reasons of its own.
@@ -89,7 +89,7 @@
 		p.Start(now, 0, Request{})
 		p.Finish(now, 0, Result{})
 	}
-	if !p.Reopens(now, nil).IsZero() {
+	if !p.NextAfterBackoff(now, nil).IsZero() {
 		t.Error("an endpoint that was set aside long after its backoff is waited for")
 	}
 }
@@ -99,10 +99,10 @@
 func TestSetAsideOutlastsBackoff(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := poolOf(t, "least_outstanding", 1, 8)
-	p.Backoff(0, now.Add(time.Second))
+	p.SetBackoff(0, now.Add(time.Second))
 	p.Start(now, 0, Request{})
 	p.Finish(now.Add(900*time.Millisecond), 0, Result{})
-	if at := p.Reopens(now.Add(time.Second), nil).Sub(now); at != 1400*time.Millisecond {
+	if at := p.NextAfterBackoff(now.Add(time.Second), nil).Sub(now); at != 1400*time.Millisecond {
 		t.Errorf("reopens after %v, want the end of the time set aside", at)
 	}
 }
--- a/internal/core/place/bench_test.go
+++ b/internal/core/place/bench_test.go
@@ -17,27 +17,27 @@
 	}
 	var specs []Spec
 	for i := range engines {
-		specs = append(specs, Spec{Name: fmt.Sprintf("engine-%d", i), Domain: fmt.Sprintf("d%d", i%6), Slots: 16, CacheTokens: 400_000, Copies: true})
+		specs = append(specs, Spec{Name: fmt.Sprintf("engine-%d", i), Domain: fmt.Sprintf("d%d", i%6), Slots: 16, CacheTokens: 400_000, CanCopy: true})
 	}
 	p.Update(specs)
 	for i := range engines {
 		for k := range cached {
-			p.Hold(specs[i].Name, []Part{{ID: uint64(k % 3), Tokens: 500}, {ID: uint64(100 + i*cached + k), Tokens: 4000}})
+			p.RecordCached(specs[i].Name, []Part{{ID: uint64(k % 3), Tokens: 500}, {ID: uint64(100 + i*cached + k), Tokens: 4000}})
 		}
 	}
 	b.ResetTimer()
 	for n := range b.N {
 		req := Request{Prefix: uint64(n%3 + 1), Exclude: None, Prompt: Prompt{Tokens: 12_000, Parts: []Part{{ID: uint64(n % 3), Tokens: 500}, {ID: uint64(100 + n%(engines*cached)), Tokens: 4000}, {ID: uint64(1e6 + n), Tokens: 6000}}}}
-		req = p.Consider(now, req)
+		req = p.WithCacheHits(now, req)
 		i, ok := p.Choose(now, req)
 		if !ok {
 			b.Fatal("no engine")
 		}
-		p.ReadTime(now, i, req)
-		req = p.Consider(now, req)
+		p.PredictTTFT(now, i, req)
+		req = p.WithCacheHits(now, req)
 		i, _ = p.Choose(now, req)
-		p.Source(now, i, req)
+		p.CopySource(now, i, req)
 		work := p.Start(now, i, req)
-		p.Finish(now, i, Result{OK: true, Work: work})
+		p.Finish(now, i, Result{OK: true, PendingTokens: work})
 	}
 }
--- a/internal/core/place/cache_test.go
+++ b/internal/core/place/cache_test.go
@@ -60,7 +60,7 @@
 	p := newPool(t, LeastWork, 0)
 	var list []Spec
 	for i := range 6 {
-		list = append(list, Spec{Name: fmt.Sprint("e", i), Slots: 8, Domain: fmt.Sprint("d", i%2), CacheTokens: 100_000, Copies: true})
+		list = append(list, Spec{Name: fmt.Sprint("e", i), Slots: 8, Domain: fmt.Sprint("d", i%2), CacheTokens: 100_000, CanCopy: true})
 	}
 	p.Update(list)
 	return p
@@ -73,23 +73,23 @@
 	now := time.Unix(1000, 0)
 	p := copyingPool(t)
 	req := Request{Exclude: None, Prefix: 7, Prompt: promptOf(6000, 7, 5000)}
-	p.Hold("e0", []Part{{ID: 7, Tokens: 5000}})
+	p.RecordCached("e0", []Part{{ID: 7, Tokens: 5000}})
 	if i, _ := p.Choose(now, req); i != 0 {
 		t.Fatalf("chose %d, endpoint 0 holds the part and is idle", i)
 	}
-	if source := p.Source(now, 0, req); source != None {
+	if source := p.CopySource(now, 0, req); source != None {
 		t.Errorf("the holder copies from %d", source)
 	}
 	p.endpoints[0].work = 50_000
 	at, _ := p.Choose(now, req)
-	if at == 0 || p.At(at).Spec().Domain != "d0" || p.Source(now, at, req) != 0 {
-		t.Errorf("placed at %d, which copies from %d; want another one of d0 that copies from 0", at, p.Source(now, at, req))
+	if at == 0 || p.At(at).Spec().Domain != "d0" || p.CopySource(now, at, req) != 0 {
+		t.Errorf("placed at %d, which copies from %d; want another one of d0 that copies from 0", at, p.CopySource(now, at, req))
 	}
-	if source := p.Source(now, 1, req); source != 0 {
+	if source := p.CopySource(now, 1, req); source != 0 {
 		t.Errorf("an endpoint of the other domain copies from %d, want 0", source)
 	}
-	p.Hold("e3", []Part{{ID: 7, Tokens: 5000}})
-	if source := p.Source(now, 1, req); source != 3 {
+	p.RecordCached("e3", []Part{{ID: 7, Tokens: 5000}})
+	if source := p.CopySource(now, 1, req); source != 3 {
 		t.Errorf("an endpoint copies from %d, want 3 in its own domain", source)
 	}
 }
@@ -100,10 +100,10 @@
 	now := time.Unix(1000, 0)
 	p := copyingPool(t)
 	req := Request{Exclude: None, Prefix: 7, Prompt: promptOf(6000, 7, 5000)}
-	p.Hold("e0", []Part{{ID: 7, Tokens: 5000}})
+	p.RecordCached("e0", []Part{{ID: 7, Tokens: 5000}})
 	work := p.Start(now, 0, req)
-	p.Finish(now, 0, Result{Unreachable: true, Work: work})
-	if source := p.Source(now, 2, req); source != None {
+	p.Finish(now, 0, Result{Unreachable: true, PendingTokens: work})
+	if source := p.CopySource(now, 2, req); source != None {
 		t.Errorf("copies from %d", source)
 	}
 }
--- a/internal/core/place/endpoint.go
+++ b/internal/core/place/endpoint.go
@@ -18,7 +18,7 @@
 	// CacheTokens is how many tokens of prompts it holds; 0 means that it
 	// keeps none. Copies tells that it can copy parts from another one.
 	CacheTokens int
-	Copies      bool
+	CanCopy     bool
 	// Pace tells when calls may go there, as far as the endpoint bounds what it takes from
 	// all nodes together.
 	Pace intake.Pace
@@ -28,10 +28,10 @@
 
 // Load is an endpoint's own report, carried on its answers.
 type Load struct {
-	// Busy is the number of calls it runs or holds in its queue.
-	Busy float64
-	// At is when this node received the report.
-	At time.Time
+	// Calls is the number of calls it runs or holds in its queue.
+	Calls float64
+	// ReceivedAt is when this node received the report.
+	ReceivedAt time.Time
 }
 
 // Endpoint is the state of one endpoint on this node.
@@ -60,8 +60,8 @@
 // Outstanding returns the number of this node's calls in flight there.
 func (e *Endpoint) Outstanding() int { return e.outstanding }
 
-// Took returns the moving average of its call times.
-func (e *Endpoint) Took() time.Duration { return e.took }
+// MeanLatency returns the moving average of its call times.
+func (e *Endpoint) MeanLatency() time.Duration { return e.took }
 
 // Health returns the state of its health in one word.
 func (e *Endpoint) Health(now time.Time) string { return e.health.state(now).String() }
--- a/internal/core/place/health.go
+++ b/internal/core/place/health.go
@@ -16,12 +16,12 @@
 
 // The states of health.
 const (
-	Good State = iota
-	// Returning endpoints take few calls at once, twice as many after each
+	Healthy State = iota
+	// Recovering endpoints take few calls at once, twice as many after each
 	// success.
-	Returning
-	// SetAside endpoints take no calls.
-	SetAside
+	Recovering
+	// Ejected endpoints take no calls.
+	Ejected
 	// Leaving endpoints take no new calls for good.
 	Leaving
 )
@@ -44,18 +44,18 @@
 	case h.leaving:
 		return Leaving
 	case now.Before(h.until):
-		return SetAside
+		return Ejected
 	case h.ramp > 0:
-		return Returning
+		return Recovering
 	}
-	return Good
+	return Healthy
 }
 
 func (h *health) limit(now time.Time, slots int) int {
 	switch h.state(now) {
-	case Leaving, SetAside:
+	case Leaving, Ejected:
 		return 0
-	case Returning:
+	case Recovering:
 		return min(h.ramp, slots)
 	}
 	return slots
--- a/internal/core/place/lives_test.go
+++ b/internal/core/place/lives_test.go
@@ -47,7 +47,7 @@
 			var specs []Spec
 			for _, l := range current {
 				if l != nil && l.listed {
-					specs = append(specs, Spec{Name: l.name, Slots: 4, CacheTokens: 10000, Copies: true})
+					specs = append(specs, Spec{Name: l.name, Slots: 4, CacheTokens: 10000, CanCopy: true})
 				}
 			}
 			pool.Update(specs)
@@ -62,7 +62,7 @@
 				current[at], lives[l.name] = l, l
 				update()
 				e := pool.At(pool.Find(l.name))
-				if e.Outstanding() != 0 || e.work != 0 || e.cache.held(parts) != 0 || e.health.state(now) != Good {
+				if e.Outstanding() != 0 || e.work != 0 || e.cache.held(parts) != 0 || e.health.state(now) != Healthy {
 					t.Fatalf("%s begins with %d calls, %d tokens of work, %d held, %s", l.name, e.Outstanding(), e.work, e.cache.held(parts), e.Health(now))
 				}
 			case 1:
@@ -92,7 +92,7 @@
 					t.Fatalf("a call at %s ends at %s", c.of.name, name)
 				}
 				ok := rapid.Bool().Draw(t, "well")
-				pool.Finish(now, c.index, Result{OK: ok, Work: c.work, Took: 100 * time.Millisecond})
+				pool.Finish(now, c.index, Result{OK: ok, PendingTokens: c.work, Latency: 100 * time.Millisecond})
 				c.of.calls--
 			}
 			for _, l := range current {
--- a/internal/core/place/place_test.go
+++ b/internal/core/place/place_test.go
@@ -43,12 +43,12 @@
 						choose(t, p, now, Request{Exclude: rapid.IntRange(-1, p.Len()-1).Draw(t, "exclude"), Prefix: uint64(rapid.IntRange(0, 3).Draw(t, "prefix"))})
 					case 2:
 						if p.At(i).Outstanding() > 0 {
-							p.Finish(now, i, Result{OK: rapid.Bool().Draw(t, "ok"), Took: time.Millisecond})
+							p.Finish(now, i, Result{OK: rapid.Bool().Draw(t, "ok"), Latency: time.Millisecond})
 						}
 					case 3:
-						p.Leave(i)
+						p.MarkLeaving(i)
 					case 4:
-						p.Return(i)
+						p.ClearLeaving(i)
 					}
 				}
 			})
@@ -83,7 +83,7 @@
 			e.outstanding = rapid.IntRange(0, 2).Draw(t, "outstanding")
 			e.measured = now
 			e.took = time.Duration(rapid.IntRange(0, 50).Draw(t, "took")) * time.Millisecond
-			e.load = Load{Busy: float64(rapid.IntRange(0, 9).Draw(t, "busy")), At: now.Add(-time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second)}
+			e.load = Load{Calls: float64(rapid.IntRange(0, 9).Draw(t, "busy")), ReceivedAt: now.Add(-time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second)}
 			e.spec.Cost = float64(rapid.IntRange(1, 4).Draw(t, "cost"))
 		}
 		req := Request{Exclude: None, CostWeight: float64(rapid.IntRange(0, 2).Draw(t, "price"))}
@@ -120,7 +120,7 @@
 			t.Fatalf("capacity %d on the way back, want %d", got, limit)
 		}
 		p.Start(now, 0, Request{})
-		p.Finish(now, 0, Result{OK: true, Took: time.Millisecond})
+		p.Finish(now, 0, Result{OK: true, Latency: time.Millisecond})
 	}
 }
 
@@ -131,10 +131,10 @@
 	now := time.Unix(1000, 0)
 	for i := range 3 {
 		p.Start(now, i, Request{})
-		p.Finish(now, i, Result{OK: true, Took: 10 * time.Millisecond})
+		p.Finish(now, i, Result{OK: true, Latency: 10 * time.Millisecond})
 	}
 	p.Start(now, 1, Request{})
-	p.Late(now, 1, 30*time.Millisecond)
+	p.ObserveOverdue(now, 1, 30*time.Millisecond)
 	for range 4 {
 		i, ok := p.Choose(now, Request{Exclude: None})
 		if !ok || i == 1 {
@@ -175,7 +175,7 @@
 						b.Fatal("no choice")
 					}
 					p.Start(now, i, Request{})
-					p.Finish(now, i, Result{OK: true, Took: time.Millisecond})
+					p.Finish(now, i, Result{OK: true, Latency: time.Millisecond})
 				}
 			})
 		}
--- a/internal/core/place/pool.go
+++ b/internal/core/place/pool.go
@@ -21,8 +21,8 @@
 	Prefix uint64
 	// Prompt is the zero value for calls to other than models.
 	Prompt Prompt
-	// Placed tells that another node chose the endpoint and counts the call.
-	Placed bool
+	// ChosenByPeer tells that another node chose the endpoint and counts the call.
+	ChosenByPeer bool
 	// Version is the model version wanted; "" means any.
 	Version string
 	// Exclude is an endpoint not to choose, or None.
@@ -37,8 +37,8 @@
 
 // Result is how a call at an endpoint ended.
 type Result struct {
-	Took time.Duration
-	OK   bool
+	Latency time.Duration
+	OK      bool
 	// Neutral results say nothing about the endpoint's health, as when the
 	// caller canceled.
 	Neutral bool
@@ -46,11 +46,11 @@
 	// set aside at once.
 	Unreachable bool
 	Load        Load
-	// Work is what Start returned for the call.
-	Work int
-	// Read is how many tokens the endpoint had to read until the answer began,
+	// PendingTokens is what Start returned for the call.
+	PendingTokens int
+	// PrefillTokens is how many tokens the endpoint had to read until the answer began,
 	// those of earlier calls included, when Took is the time until then; else 0.
-	Read int
+	PrefillTokens int
 }
 
 // Pool holds the endpoints of one pool. It is not safe for concurrent use.
@@ -60,7 +60,7 @@
 	rand      *rand.Rand
 	cursor    int
 	prefixes  *prefixes
-	reading   *Reading
+	reading   *PrefillModel
 	// took is the moving average over all endpoints.
 	took time.Duration
 	// limited tells that some endpoints name what they take.
@@ -80,7 +80,7 @@
 
 // NewPool returns an empty pool under the named policy.
 func NewPool(policyName string, seed uint64) (*Pool, error) {
-	p := &Pool{rand: rand.New(rand.NewPCG(seed, seed)), prefixes: newPrefixes(), reading: NewReading()}
+	p := &Pool{rand: rand.New(rand.NewPCG(seed, seed)), prefixes: newPrefixes(), reading: NewPrefillModel()}
 	return p, p.SetPolicy(policyName)
 }
 
@@ -155,16 +155,16 @@
 	return None
 }
 
-// Leave marks an endpoint that tells, or is listed, as leaving. It reports
+// MarkLeaving marks an endpoint that tells, or is listed, as leaving. It reports
 // false when that was known.
-func (p *Pool) Leave(i int) bool {
+func (p *Pool) MarkLeaving(i int) bool {
 	known := p.endpoints[i].health.leaving
 	p.endpoints[i].health.leaving = true
 	return !known
 }
 
-// Return takes the mark of Leave back. The endpoint returns by degrees.
-func (p *Pool) Return(i int) {
+// ClearLeaving takes the mark of Leave back. The endpoint returns by degrees.
+func (p *Pool) ClearLeaving(i int) {
 	h := &p.endpoints[i].health
 	if h.leaving {
 		*h = health{ramp: 1}
@@ -189,7 +189,7 @@
 func (p *Pool) Start(now time.Time, i int, req Request) int {
 	work := p.work(now, i, req)
 	p.endpoints[i].outstanding++
-	if !req.Placed {
+	if !req.ChosenByPeer {
 		p.endpoints[i].sends.Add(now, p.endpoints[i].spec.Pace)
 	}
 	p.endpoints[i].work += work
@@ -205,8 +205,8 @@
 func (p *Pool) Finish(now time.Time, i int, r Result) bool {
 	e := &p.endpoints[i]
 	e.outstanding--
-	e.work -= r.Work
-	if !r.Load.At.IsZero() {
+	e.work -= r.PendingTokens
+	if !r.Load.ReceivedAt.IsZero() {
 		e.load = r.Load
 	}
 	switch {
@@ -225,12 +225,12 @@
 			e.backoff = time.Time{}
 		}
 	}
-	if r.Read > 0 {
-		p.reading.Observe(r.Read, r.Took)
+	if r.PrefillTokens > 0 {
+		p.reading.Observe(r.PrefillTokens, r.Latency)
 	}
-	e.took = average(e.took, r.Took)
+	e.took = average(e.took, r.Latency)
 	e.measured = now
-	p.took = average(p.took, r.Took)
+	p.took = average(p.took, r.Latency)
 	return false
 }
 
@@ -241,24 +241,24 @@
 	return old + time.Duration(tookWeight*float64(newest-old))
 }
 
-// Late tells that a call at endpoint i takes far longer than the pool's calls
+// ObserveOverdue tells that a call at endpoint i takes far longer than the pool's calls
 // do. The endpoint then looks slower at once, long before the call ends.
-func (p *Pool) Late(now time.Time, i int, waited time.Duration) {
+func (p *Pool) ObserveOverdue(now time.Time, i int, waited time.Duration) {
 	e := &p.endpoints[i]
 	e.measured = now
 	e.took = min(max(lateFactor*e.took, waited), longestTook)
 }
 
-// Hold takes in that an endpoint tells to hold parts of prompts.
-func (p *Pool) Hold(name string, parts []Part) {
+// RecordCached takes in that an endpoint tells to hold parts of prompts.
+func (p *Pool) RecordCached(name string, parts []Part) {
 	if i := p.Find(name); i != None {
 		p.endpoints[i].cache.use(parts)
 	}
 }
 
-// Forget drops what is believed of endpoint i's prefix cache, as after a gap
+// InvalidateCache drops what is believed of endpoint i's prefix cache, as after a gap
 // in its cache events.
-func (p *Pool) Forget(i int) {
+func (p *Pool) InvalidateCache(i int) {
 	p.prefixes.forget(i)
 	p.endpoints[i].cache.clear()
 }
--- a/internal/core/place/predict.go
+++ b/internal/core/place/predict.go
@@ -68,9 +68,9 @@
 	took := p.expected(now, i).Seconds()
 	slots := float64(max(e.spec.Slots, 1))
 	busy := float64(e.outstanding)
-	if !e.load.At.IsZero() {
-		trust := math.Exp2(-now.Sub(e.load.At).Seconds() / loadHalfLife.Seconds())
-		busy = math.Max(busy, trust*e.load.Busy+(1-trust)*busy)
+	if !e.load.ReceivedAt.IsZero() {
+		trust := math.Exp2(-now.Sub(e.load.ReceivedAt).Seconds() / loadHalfLife.Seconds())
+		busy = math.Max(busy, trust*e.load.Calls+(1-trust)*busy)
 	}
 	return took*(1+busy/slots) + req.CostWeight*e.spec.Cost*took
 }
--- a/internal/core/place/reading.go
+++ b/internal/core/place/reading.go
@@ -25,26 +25,26 @@
 	farOff = 3.0
 )
 
-// Reading is how long model engines take to the first event of an answer: a base
+// PrefillModel is how long model engines take to the first event of an answer: a base
 // and a time a token, learned from the calls that began to answer.
-type Reading struct {
+type PrefillModel struct {
 	base time.Duration
 	rate float64 // tokens a millisecond
 }
 
-// NewReading returns the start values.
-func NewReading() *Reading { return &Reading{base: startBase, rate: startRate} }
+// NewPrefillModel returns the start values.
+func NewPrefillModel() *PrefillModel { return &PrefillModel{base: startBase, rate: startRate} }
 
-// Time predicts the time to the first event of a prompt when an engine has some
+// Predict predicts the time to the first event of a prompt when an engine has some
 // tokens to read until its end.
-func (r *Reading) Time(tokens int) time.Duration {
+func (r *PrefillModel) Predict(tokens int) time.Duration {
 	return r.base + time.Duration(float64(tokens)/r.rate*float64(time.Millisecond))
 }
 
 // Observe takes the time in that a call took to its first event, and the tokens
 // that the engine had to read until then.
-func (r *Reading) Observe(tokens int, took time.Duration) {
-	expected := r.Time(tokens)
+func (r *PrefillModel) Observe(tokens int, took time.Duration) {
+	expected := r.Predict(tokens)
 	took = min(max(took, time.Duration(float64(expected)/farOff)), time.Duration(farOff*float64(expected)))
 	switch {
 	case tokens <= shortPrompt:
--- a/internal/core/place/reading_test.go
+++ b/internal/core/place/reading_test.go
@@ -12,7 +12,7 @@
 func TestReadingFollowsTheEngines(t *testing.T) {
 	for _, rate := range []float64{startRate / 2, startRate, 4 * startRate} {
 		const base = 20 * time.Millisecond
-		r := NewReading()
+		r := NewPrefillModel()
 		random := rand.New(rand.NewPCG(1, 2))
 		for i := range 400 {
 			tokens := 100 + random.IntN(12_000)
@@ -24,7 +24,7 @@
 			r.Observe(tokens, took)
 		}
 		want := base + time.Duration(8000/rate*float64(time.Millisecond))
-		if got := r.Time(8000); got < want*3/4 || got > want*5/4 {
+		if got := r.Predict(8000); got < want*3/4 || got > want*5/4 {
 			t.Errorf("%.0f tokens a ms: 8000 tokens predicted to take %v, want about %v", rate, got, want)
 		}
 	}
@@ -32,7 +32,7 @@
 
 // TestReadingStaysWithinItsBounds feeds nothing but outliers.
 func TestReadingStaysWithinItsBounds(t *testing.T) {
-	r := NewReading()
+	r := NewPrefillModel()
 	for range 1000 {
 		r.Observe(5000, time.Hour)
 		r.Observe(1, time.Hour)
--- a/internal/core/place/sharing.go
+++ b/internal/core/place/sharing.go
@@ -9,12 +9,12 @@
 	mostParts = 1024
 )
 
-// Sharing learns how widely the parts of prompts are shared, and picks the
+// KeySelector learns how widely the parts of prompts are shared, and picks the
 // part by which a prompt is placed. A part of which one endpoint can carry all
 // calls is read once in the whole system when its calls meet there; one that
 // a large share of the calls begins with would overload its endpoint, so the
 // next part decides. It is not safe for concurrent use.
-type Sharing struct {
+type KeySelector struct {
 	kinds map[string]*kindSharing
 	total int
 }
@@ -33,13 +33,13 @@
 	pairs int
 }
 
-// NewSharing returns counts that know nothing yet.
-func NewSharing() *Sharing { return &Sharing{kinds: make(map[string]*kindSharing)} }
+// NewKeySelector returns counts that know nothing yet.
+func NewKeySelector() *KeySelector { return &KeySelector{kinds: make(map[string]*kindSharing)} }
 
 // Key takes a prompt of a kind of request in, and returns the part by which
 // it is placed among a number of endpoints, or 0 for a prompt without shared
 // parts. Parts are in order; the last one belongs to the request itself.
-func (s *Sharing) Key(kind string, parts []uint64, endpoints int) uint64 {
+func (s *KeySelector) Key(kind string, parts []uint64, endpoints int) uint64 {
 	switch len(parts) {
 	case 0:
 		return 0
--- a/internal/core/place/sharing_test.go
+++ b/internal/core/place/sharing_test.go
@@ -18,7 +18,7 @@
 		{"three first parts", 3, 1},
 		{"eighty first parts", 80, 0},
 	} {
-		s := NewSharing()
+		s := NewKeySelector()
 		r := rand.New(rand.NewPCG(1, 2))
 		right, total := 0, 0
 		for i := range 400 {
@@ -41,7 +41,7 @@
 
 // TestKeyOfShortPrompts covers prompts that share nothing.
 func TestKeyOfShortPrompts(t *testing.T) {
-	s := NewSharing()
+	s := NewKeySelector()
 	if key := s.Key("none", nil, 4); key != 0 {
 		t.Errorf("key %d for a prompt without parts", key)
 	}
--- a/internal/core/place/turns.go
+++ b/internal/core/place/turns.go
@@ -18,9 +18,9 @@
 	return None
 }
 
-// Turns is how many calls this node may send until a moment to the available endpoints, and
+// SendAllowance is how many calls this node may send until a moment to the available endpoints, and
 // how many a second that is. It is false if one of them takes any number, or there is none.
-func (p *Pool) Turns(now, by time.Time) (turns int, perSecond float64, bounded bool) {
+func (p *Pool) SendAllowance(now, by time.Time) (turns int, perSecond float64, bounded bool) {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
 		if !e.available(now, "") {
@@ -38,9 +38,9 @@
 	return turns, perSecond, bounded
 }
 
-// NextTurn is when the first of the available endpoints takes a call of this node, or false
+// NextSendTime is when the first of the available endpoints takes a call of this node, or false
 // if there is none.
-func (p *Pool) NextTurn(now time.Time) (time.Time, bool) {
+func (p *Pool) NextSendTime(now time.Time) (time.Time, bool) {
 	var first time.Time
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
--- a/internal/core/place/work.go
+++ b/internal/core/place/work.go
@@ -78,10 +78,10 @@
 // anyDomain stands for all failure domains together.
 const anyDomain = ""
 
-// Consider returns the request with what the endpoints hold of its prompt, which
+// WithCacheHits returns the request with what the endpoints hold of its prompt, which
 // the other methods then need not work out again each. It is good until calls start
 // or end.
-func (p *Pool) Consider(now time.Time, req Request) Request {
+func (p *Pool) WithCacheHits(now time.Time, req Request) Request {
 	h := p.holdings(now, req)
 	req.known = &h
 	return req
@@ -103,7 +103,7 @@
 		}
 		h.held[i] = e.cache.held(parts)
 		h.most = max(h.most, h.held[i])
-		if h.held[i] == 0 || !e.spec.Copies || e.health.state(now) != Good {
+		if h.held[i] == 0 || !e.spec.CanCopy || e.health.state(now) != Healthy {
 			continue
 		}
 		for _, domain := range []string{e.spec.Domain, anyDomain} {
@@ -131,7 +131,7 @@
 func (h *holdings) copied(p *Pool, i int) copying {
 	e := &p.endpoints[i]
 	best := copying{source: None}
-	if !e.spec.Copies {
+	if !e.spec.CanCopy {
 		return best
 	}
 	lowest := rereadWeight * float64(h.most-h.held[i])
@@ -153,9 +153,9 @@
 	return best
 }
 
-// Source returns the endpoint from which endpoint i should copy the beginning
+// CopySource returns the endpoint from which endpoint i should copy the beginning
 // of a prompt, or None.
-func (p *Pool) Source(now time.Time, i int, req Request) int {
+func (p *Pool) CopySource(now time.Time, i int, req Request) int {
 	h := p.holdings(now, req)
 	return h.copied(p, i).source
 }
@@ -168,17 +168,17 @@
 	return max(left, 0) + int(c.share*float64(c.tokens))
 }
 
-// ReadTime predicts the time to the first event of a prompt at endpoint i, behind
+// PredictTTFT predicts the time to the first event of a prompt at endpoint i, behind
 // what that has to read now.
-func (p *Pool) ReadTime(now time.Time, i int, req Request) time.Duration {
-	return p.reading.Time(p.endpoints[i].work + p.work(now, i, req))
+func (p *Pool) PredictTTFT(now time.Time, i int, req Request) time.Duration {
+	return p.reading.Predict(p.endpoints[i].work + p.work(now, i, req))
 }
 
-// Work returns how many tokens the calls in flight at endpoint i have to read.
-func (p *Pool) Work(i int) int { return p.endpoints[i].work }
+// PendingTokens returns how many tokens the calls in flight at endpoint i have to read.
+func (p *Pool) PendingTokens(i int) int { return p.endpoints[i].work }
 
-// Reading returns what is known of the time that reading takes.
-func (p *Pool) Reading() *Reading { return p.reading }
+// PrefillModel returns what is known of the time that reading takes.
+func (p *Pool) PrefillModel() *PrefillModel { return p.reading }
 
 // leastWork picks the endpoint at which the prompt waits for the fewest tokens
 // of others, where reading shared parts again and fetching inputs from another
--- a/internal/core/place/work_test.go
+++ b/internal/core/place/work_test.go
@@ -88,7 +88,7 @@
 	if work != 900+600 || p.endpoints[at].work != work {
 		t.Errorf("%d tokens counted, %d told, want 1500", p.endpoints[at].work, work)
 	}
-	p.Finish(now, at, Result{OK: true, Work: work})
+	p.Finish(now, at, Result{OK: true, PendingTokens: work})
 	if p.endpoints[at].work != 0 {
 		t.Errorf("%d tokens are left", p.endpoints[at].work)
 	}
--- a/internal/core/run/call.go
+++ b/internal/core/run/call.go
@@ -110,7 +110,7 @@
 	if r.current().Streams() && c.machine.State() == attempt.Answering {
 		return
 	}
-	c.pool.place.Late(now, c.endpoint, now.Sub(c.started))
+	c.pool.place.ObserveOverdue(now, c.endpoint, now.Sub(c.started))
 	if len(r.calls) > 1 || r.tries >= maxTries {
 		return
 	}
--- a/internal/core/run/engine.go
+++ b/internal/core/run/engine.go
@@ -260,13 +260,13 @@
 	case leaving:
 		e.leave(p, i)
 	default:
-		p.place.Return(i)
+		p.place.ClearLeaving(i)
 	}
 	return e.take()
 }
 
 func (e *Engine) leave(p *pool, i int) {
-	if p.place.Leave(i) {
+	if p.place.MarkLeaving(i) {
 		e.emit(Decision{Name: DecideLeave, Endpoint: p.place.At(i).Spec().Name})
 	}
 }
--- a/internal/core/run/outcome.go
+++ b/internal/core/run/outcome.go
@@ -32,7 +32,7 @@
 	took := now.Sub(c.started)
 	spec := c.pool.place.At(c.endpoint).Spec()
 	result := place.Result{
-		Took:    took,
+		Latency: took,
 		OK:      end.Event == attempt.Complete || end.Event == attempt.RefuseByEndpoint,
 		Neutral: c.dropped || end.Event == attempt.RefuseByEndpoint,
 		Load:    end.Load,
--- a/internal/core/signal/world_test.go
+++ b/internal/core/signal/world_test.go
@@ -204,7 +204,7 @@
 		n.pending = true
 		for _, p := range []*place.Pool{n.own, n.led} {
 			if i := p.Find(e); i != place.None {
-				p.Leave(i)
+				p.MarkLeaving(i)
 			}
 		}
 	}
@@ -236,11 +236,11 @@
 	}
 	works := make([]int, len(pools))
 	for j, p := range pools {
-		works[j] = p.Start(now, i, place.Request{Placed: j == 0 && led != nil})
+		works[j] = p.Start(now, i, place.Request{ChosenByPeer: j == 0 && led != nil})
 	}
 	finish := func(now time.Time, r place.Result) {
 		for j, p := range pools {
-			r.Work = works[j]
+			r.PendingTokens = works[j]
 			p.Finish(now, i, r)
 		}
 	}
@@ -280,7 +280,7 @@
 				w.observe(now, k, i, s)
 				finish(now, place.Result{Neutral: true})
 				if led {
-					w.nodes[w.leader].led.Backoff(i, now.Add(holdTime))
+					w.nodes[w.leader].led.SetBackoff(i, now.Add(holdTime))
 				}
 				if !w.nodes[k].away {
 					w.send(now, k, sent, append(tried, i))
@@ -295,7 +295,7 @@
 	}
 	took := time.Duration(50+w.rand.IntN(300)) * time.Millisecond
 	w.after(now.Add(took), func(now time.Time) { w.observe(now, k, i, s) })
-	w.after(now.Add(2*took), func(now time.Time) { finish(now, place.Result{OK: true, Took: 2 * took}) })
+	w.after(now.Add(2*took), func(now time.Time) { finish(now, place.Result{OK: true, Latency: 2 * took}) })
 }
 
 // observe has a node pass on an answer and record its signals.
@@ -312,7 +312,7 @@
 		w.learn(n, []string{name(i)})
 	}
 	if !c.BackoffUntil.IsZero() {
-		n.own.Backoff(i, c.BackoffUntil)
+		n.own.SetBackoff(i, c.BackoffUntil)
 	}
 }
 
--- a/internal/endpoints/http.go
+++ b/internal/endpoints/http.go
@@ -155,7 +155,7 @@
 	if err != nil || busy < 0 {
 		return place.Load{}
 	}
-	return place.Load{Busy: busy, At: time.Now()}
+	return place.Load{Calls: busy, ReceivedAt: time.Now()}
 }
 
 func read(resp *http.Response, call run.Call, sink Sink, cancel context.CancelFunc) run.Ending {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -390,7 +390,7 @@
 	if !a.Signals.Load.Known {
 		return place.Load{}
 	}
-	return place.Load{Busy: a.Signals.Load.Busy, At: now}
+	return place.Load{Calls: a.Signals.Load.Busy, ReceivedAt: now}
 }
 
 // patience is how long an attempt may go without an answer: until the deadline,
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -80,7 +80,7 @@
 	}
 	now := time.Now()
 	at.end(now, place.Result{
-		Read: read, OK: how == wire.PlacementServed, Neutral: how == wire.PlacementUnused || how == wire.PlacementRejected, Unreachable: how == wire.PlacementUnreachable,
+		PrefillTokens: read, OK: how == wire.PlacementServed, Neutral: how == wire.PlacementUnused || how == wire.PlacementRejected, Unreachable: how == wire.PlacementUnreachable,
 	})
 	if how == wire.PlacementRejected {
 		c.group.models.backoff(at.endpoint.ID, now.Add(rejectedHold))
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -31,7 +31,7 @@
 	pace      pacing
 	off       mechanism.Off
 	byService map[string]*place.Pool
-	sharing   map[string]*place.Sharing
+	sharing   map[string]*place.KeySelector
 	// promised counts the calls of each service that were let in and are not placed yet.
 	promised map[string]int
 }
@@ -43,7 +43,7 @@
 type endpointPace func(endpoint string, cold discovery.Coldness) intake.Pace
 
 func newPools(seed uint64, models string, pace pacing, off mechanism.Off) *pools {
-	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), sharing: make(map[string]*place.Sharing), promised: make(map[string]int)}
+	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), sharing: make(map[string]*place.KeySelector), promised: make(map[string]int)}
 }
 
 func (p *pools) update(v *view) {
@@ -112,10 +112,10 @@
 		return nil, false
 	}
 	copyFrom := ""
-	if source := pool.Source(now, i, req); source != place.None {
+	if source := pool.CopySource(now, i, req); source != place.None {
 		copyFrom = pool.At(source).Spec().Address
 	}
-	ahead := pool.Work(i)
+	ahead := pool.PendingTokens(i)
 	work := pool.Start(now, i, req)
 	spec := pool.At(i).Spec()
 	e := catalog.Endpoint{ID: spec.Name, Service: n.service, Address: spec.Address, Domain: spec.Domain, Slots: spec.Slots}
@@ -138,11 +138,11 @@
 	defer p.mu.Unlock()
 	pool, req, i, ok := p.pick(now, n)
 	if !ok {
-		r := place.NewReading()
-		return forecast{read: r.Time(n.prompt.Tokens), rest: r.Time(extra) - r.Time(0)}
+		r := place.NewPrefillModel()
+		return forecast{read: r.Predict(n.prompt.Tokens), rest: r.Predict(extra) - r.Predict(0)}
 	}
-	r := pool.Reading()
-	return forecast{domain: pool.At(i).Spec().Domain, read: pool.ReadTime(now, i, req), rest: r.Time(extra) - r.Time(0)}
+	r := pool.PrefillModel()
+	return forecast{domain: pool.At(i).Spec().Domain, read: pool.PredictTTFT(now, i, req), rest: r.Predict(extra) - r.Predict(0)}
 }
 
 func (p *pools) pick(now time.Time, n need) (*place.Pool, place.Request, int, bool) {
@@ -151,9 +151,9 @@
 		return nil, place.Request{}, place.None, false
 	}
 	req := place.Request{Prefix: n.prefix, Prompt: n.prompt, Exclude: place.None, Tried: indices(pool, n.tried)}
-	req = pool.Consider(now, req)
+	req = pool.WithCacheHits(now, req)
 	if i := pool.Find(n.wanted); i != place.None && pool.Accepts(now, i, req) {
-		req.Placed = true
+		req.ChosenByPeer = true
 		return pool, req, i, true
 	}
 	i, ok := pool.Choose(now, req)
@@ -195,7 +195,7 @@
 	defer p.mu.Unlock()
 	for _, pool := range p.byService {
 		if i := pool.Find(endpoint); i != place.None {
-			pool.Leave(i)
+			pool.MarkLeaving(i)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	defer p.mu.Unlock()
 	for _, pool := range p.byService {
 		if i := pool.Find(endpoint); i != place.None {
-			pool.Backoff(i, until)
+			pool.SetBackoff(i, until)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 	if !ok {
 		return time.Time{}, false
 	}
-	return pool.Closed(now)
+	return pool.AllBackedOff(now)
 }
 
 // reopens is when an endpoint that is in backoff, or was of late, may first take a call, or the
@@ -243,7 +243,7 @@
 	if !ok {
 		return time.Time{}
 	}
-	return pool.Reopens(now, indices(pool, n.tried))
+	return pool.NextAfterBackoff(now, indices(pool, n.tried))
 }
 
 func indices(pool *place.Pool, names []string) []int {
@@ -259,7 +259,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pool, ok := p.byService[e.Service]; ok {
-		pool.Hold(e.ID, parts)
+		pool.RecordCached(e.ID, parts)
 	}
 }
 
@@ -273,7 +273,7 @@
 	}
 	shared, ok := p.sharing[q.service]
 	if !ok {
-		shared = place.NewSharing()
+		shared = place.NewKeySelector()
 		p.sharing[q.service] = shared
 	}
 	parts := make([]uint64, len(q.in.Prefix))
@@ -287,12 +287,12 @@
 func (c *placed) end(now time.Time, r place.Result) {
 	c.pools.mu.Lock()
 	defer c.pools.mu.Unlock()
-	if r.Took == 0 {
-		r.Took = now.Sub(c.started)
+	if r.Latency == 0 {
+		r.Latency = now.Sub(c.started)
 	}
-	r.Work = c.work
+	r.PendingTokens = c.work
 	if c.pools.off.Has(mechanism.Reading) {
-		r.Read = 0
+		r.PrefillTokens = 0
 	}
 	c.pool.Finish(now, c.index, r)
 }
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -41,7 +41,7 @@
 	if !known {
 		return 0, true
 	}
-	turns, perSecond, bounded := pool.Turns(now, by)
+	turns, perSecond, bounded := pool.SendAllowance(now, by)
 	missing := p.promised[service] + 1 - turns
 	if !bounded || missing <= 0 {
 		return 0, true
@@ -77,7 +77,7 @@
 	if !ok {
 		return 0, false
 	}
-	at, ok := pool.NextTurn(now)
+	at, ok := pool.NextSendTime(now)
 	return at.Sub(now), ok
 }
 
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -305,7 +305,7 @@
 		}
 		specs = append(specs, place.Spec{
 			Name: e.ID, Address: e.Address, Domain: e.Domain, Slots: max(e.Slots, 1),
-			CacheTokens: cache.Tokens, Copies: cache.Copies, Pace: paceOf(e.ID, v.coldness(service, e)),
+			CacheTokens: cache.Tokens, CanCopy: cache.Copies, Pace: paceOf(e.ID, v.coldness(service, e)),
 		})
 	}
 	return specs
