--- a/internal/core/assignment/locate.go
+++ b/internal/core/assignment/locate.go
@@ -98,12 +98,12 @@
 // that are not among its entries, for callers with old answers.
 const strayShare = 0.25
 
-// Share returns the part of the account's rate that a node may admit. Callers
+// RateShare returns the part of the account's rate that a node may admit. Callers
 // follow locate answers, so the entries that an account is told share its rate
 // evenly, and every other node of the region holds a small part of strayShare.
 // The sum over a region is at most 1+strayShare; accounts whose callers are in
 // several regions have their rate in each.
-func (t *Table) Share(account, region, node string) float64 {
+func (t *Table) RateShare(account, region, node string) float64 {
 	a, ok := t.regions[region]
 	if !ok {
 		a = t.all
--- a/internal/core/assignment/share_test.go
+++ b/internal/core/assignment/share_test.go
@@ -25,7 +25,7 @@
 				view := all[part*size/parts : (part+1)*size/parts]
 				table := NewTable(view, accounts(50), 3)
 				for _, e := range view {
-					share := table.Share("account-1", "r", e.Node)
+					share := table.RateShare("account-1", "r", e.Node)
 					admitted += admit(rate*share, seconds)
 				}
 			}
@@ -61,7 +61,7 @@
 		account := fmt.Sprint("account-", i)
 		sum := 0.0
 		for _, e := range table.Entries(account, "r1", "") {
-			sum += table.Share(account, "r1", e.Node)
+			sum += table.RateShare(account, "r1", e.Node)
 		}
 		if sum < 0.999 || sum > 1.001 {
 			t.Fatalf("%s gets %.3f of its rate", account, sum)
--- a/internal/core/subset/lookup.go
+++ b/internal/core/subset/lookup.go
@@ -30,9 +30,9 @@
 	nearPerFar = 16
 )
 
-// Answer returns the addresses for a client in a failure domain, sorted. self is
+// Addresses returns the addresses for a client in a failure domain, sorted. self is
 // the node that answers. Nodes that leave are named to nobody.
-func Answer(entries []wire.Entry, self, domain string) []string {
+func Addresses(entries []wire.Entry, self, domain string) []string {
 	var near, far []wire.Entry
 	for _, e := range entries {
 		switch {
--- a/internal/core/subset/lookup_test.go
+++ b/internal/core/subset/lookup_test.go
@@ -29,7 +29,7 @@
 		work := make(map[string]float64)
 		for _, answering := range entries {
 			clients := 1 / float64(perDomain[answering.Domain[0]-'a'])
-			answer := Answer(entries, answering.Node, answering.Domain)
+			answer := Addresses(entries, answering.Node, answering.Domain)
 			if len(answer) > 64 || len(answer) < min(8, len(entries)) {
 				t.Fatalf("%v: an answer with %d addresses", perDomain, len(answer))
 			}
@@ -55,7 +55,7 @@
 		domain    string
 		near, far int
 	}{{"a", 2, 6}, {"b", 40, 3}, {"elsewhere", 0, 8}} {
-		answer := Answer(entries, "front-b-1", c.domain)
+		answer := Addresses(entries, "front-b-1", c.domain)
 		near := 0
 		for _, e := range entries {
 			if slices.Contains(answer, e.Address) {
--- a/internal/core/workqueue/policy.go
+++ b/internal/core/workqueue/policy.go
@@ -27,7 +27,7 @@
 }
 
 // Policy computes an item's key. fair holds the virtual time of each account.
-type Policy func(it Item, fair *Fair) Key
+type Policy func(it Item, fair *VirtualTime) Key
 
 var policies = policy.NewRegistry[Policy]()
 
@@ -42,19 +42,19 @@
 // Names lists the registered policies.
 func Names() []string { return policies.Names() }
 
-func fifo(Item, *Fair) Key { return Key{} }
+func fifo(Item, *VirtualTime) Key { return Key{} }
 
-func earliestDeadline(it Item, _ *Fair) Key {
+func earliestDeadline(it Item, _ *VirtualTime) Key {
 	return Key{First: it.Deadline.UnixNano()}
 }
 
-func leastSlack(it Item, _ *Fair) Key {
+func leastSlack(it Item, _ *VirtualTime) Key {
 	return Key{First: slackKey(it)}
 }
 
 // weightedFair orders accounts by their virtual time, and the calls that
 // share a step of virtual time by slack.
-func weightedFair(it Item, fair *Fair) Key {
+func weightedFair(it Item, fair *VirtualTime) Key {
 	tag := fair.tag(it.Account, it.Weight)
 	return Key{First: tag, Second: slackKey(it), tag: tag}
 }
@@ -66,7 +66,7 @@
 // fairSlack orders by slack alone while accounts keep to their shares; calls
 // of an account that is ahead of its share go behind all others, in fair
 // order.
-func fairSlack(it Item, fair *Fair) Key {
+func fairSlack(it Item, fair *VirtualTime) Key {
 	tag := fair.tag(it.Account, it.Weight)
 	key := Key{Second: slackKey(it), tag: tag}
 	if tag-fair.now > fairCredit*fairUnit {
--- a/internal/core/workqueue/queue.go
+++ b/internal/core/workqueue/queue.go
@@ -17,7 +17,7 @@
 // use.
 type Queue[T any] struct {
 	policy Policy
-	fair   *Fair
+	fair   *VirtualTime
 	seq    uint64
 	items  handles[T]
 }
--- a/internal/entry/apply.go
+++ b/internal/entry/apply.go
@@ -147,7 +147,7 @@
 	n.table.Store(table)
 	shares := make([]float64, len(accounts))
 	for i, a := range accounts {
-		shares[i] = table.Share(a, n.id.Region, n.id.Node)
+		shares[i] = table.RateShare(a, n.id.Region, n.id.Node)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -305,6 +305,6 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	addresses := subset.Answer(*n.entries.Load(), n.settings.Node, platform.ParseLookup(r).Domain)
+	addresses := subset.Addresses(*n.entries.Load(), n.settings.Node, platform.ParseLookup(r).Domain)
 	platform.WriteLookup(w, addresses, min(answerLife, n.settings.AnswerLife))
 }
