--- a/internal/core/place/backoff.go
+++ b/internal/core/place/backoff.go
@@ -12,11 +12,11 @@
 // isn't taken to be unhealthy.
 func (p *Pool) SetBackoff(i int, until time.Time) {
 	e := &p.endpoints[i]
-	if until.After(e.backoff) {
-		e.backoff = until
+	if until.After(e.backoffUntil) {
+		e.backoffUntil = until
 	}
-	if e.health.ramp == 0 {
-		e.health.ramp = 1
+	if e.health.rampLimit == 0 {
+		e.health.rampLimit = 1
 	}
 }
 
@@ -27,10 +27,10 @@
 		e := &p.endpoints[i]
 		switch {
 		case e.removed || e.health.leaving:
-		case !now.Before(e.backoff):
+		case !now.Before(e.backoffUntil):
 			return time.Time{}, false
-		case reopens.IsZero() || e.backoff.Before(reopens):
-			reopens = e.backoff
+		case reopens.IsZero() || e.backoffUntil.Before(reopens):
+			reopens = e.backoffUntil
 		}
 	}
 	return reopens, true
@@ -42,11 +42,11 @@
 	var first time.Time
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if e.removed || e.health.leaving || e.backoff.IsZero() || e.health.ramp == 0 || slices.Contains(tried, i) {
+		if e.removed || e.health.leaving || e.backoffUntil.IsZero() || e.health.rampLimit == 0 || slices.Contains(tried, i) {
 			continue
 		}
 		at := now.Add(rampPoll)
-		for _, end := range []time.Time{e.backoff, e.health.until} {
+		for _, end := range []time.Time{e.backoffUntil, e.health.ejectedUntil} {
 			if end.After(at) {
 				at = end
 			}
--- a/internal/core/place/backoff_test.go
+++ b/internal/core/place/backoff_test.go
@@ -85,7 +85,7 @@
 		t.Error("an endpoint in full use is waited for")
 	}
 	// It fails later, for reasons of its own.
-	for range failuresToSetAside {
+	for range ejectionThreshold {
 		p.Start(now, 0, Request{})
 		p.Finish(now, 0, Result{})
 	}
--- a/internal/core/place/endpoint.go
+++ b/internal/core/place/endpoint.go
@@ -38,16 +38,16 @@
 type Endpoint struct {
 	spec        Spec
 	outstanding int
-	// work is the number of tokens that calls in flight have to read.
-	work int
+	// pendingTokens is the number of tokens that calls in flight have to read.
+	pendingTokens int
 	// cache is what it is believed to hold of prompts.
-	cache    *promptCache
-	load     Load
-	took     time.Duration
-	measured time.Time // when took last changed
-	health   health
-	// backoff is until when this node sends it nothing, since it asked for that.
-	backoff time.Time
+	cache     *promptCache
+	load      Load
+	latency   time.Duration
+	latencyAt time.Time // when took last changed
+	health    health
+	// backoffUntil is until when this node sends it nothing, since it asked for that.
+	backoffUntil time.Time
 	// sends are the calls that this node's own choices have sent there of late.
 	sends intake.Sends
 	// removed endpoints are no longer in the configuration.
@@ -61,13 +61,13 @@
 func (e *Endpoint) Outstanding() int { return e.outstanding }
 
 // MeanLatency returns the moving average of its call times.
-func (e *Endpoint) MeanLatency() time.Duration { return e.took }
+func (e *Endpoint) MeanLatency() time.Duration { return e.latency }
 
 // Health returns the state of its health in one word.
 func (e *Endpoint) Health(now time.Time) string { return e.health.state(now).String() }
 
 func (e *Endpoint) available(now time.Time, version string) bool {
-	if e.removed || now.Before(e.backoff) || e.outstanding >= e.health.limit(now, e.spec.Slots) {
+	if e.removed || now.Before(e.backoffUntil) || e.outstanding >= e.health.limit(now, e.spec.Slots) {
 		return false
 	}
 	if version == "" || len(e.spec.Versions) == 0 {
--- a/internal/core/place/health.go
+++ b/internal/core/place/health.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	failuresToSetAside = 3
-	firstSetAside      = 500 * time.Millisecond
-	longestSetAside    = 8 * time.Second
-	// lateFactor and longestTook bound how far late calls raise an average.
-	lateFactor  = 2
-	longestTook = 30 * time.Second
+	ejectionThreshold = 3
+	baseEjectionTime  = 500 * time.Millisecond
+	maxEjectionTime   = 8 * time.Second
+	// overdueFactor and longestTook bound how far late calls raise an average.
+	overdueFactor     = 2
+	maxOverdueLatency = 30 * time.Second
 )
 
 // State is the health of an endpoint.
@@ -32,20 +32,20 @@
 }
 
 type health struct {
-	leaving  bool
-	failures int
-	aside    time.Duration
-	until    time.Time
-	ramp     int
+	leaving      bool
+	failures     int
+	ejectionTime time.Duration
+	ejectedUntil time.Time
+	rampLimit    int
 }
 
 func (h *health) state(now time.Time) State {
 	switch {
 	case h.leaving:
 		return Leaving
-	case now.Before(h.until):
+	case now.Before(h.ejectedUntil):
 		return Ejected
-	case h.ramp > 0:
+	case h.rampLimit > 0:
 		return Recovering
 	}
 	return Healthy
@@ -56,41 +56,41 @@
 	case Leaving, Ejected:
 		return 0
 	case Recovering:
-		return min(h.ramp, slots)
+		return min(h.rampLimit, slots)
 	}
 	return slots
 }
 
-// failed counts a failure and reports whether it set the endpoint aside.
-func (h *health) failed(now time.Time) bool {
+// recordFailure counts a failure and reports whether it set the endpoint aside.
+func (h *health) recordFailure(now time.Time) bool {
 	h.failures++
-	if h.ramp == 0 && h.failures < failuresToSetAside {
+	if h.rampLimit == 0 && h.failures < ejectionThreshold {
 		return false
 	}
-	if now.Before(h.until) {
+	if now.Before(h.ejectedUntil) {
 		return false
 	}
-	h.aside = min(max(firstSetAside, 2*h.aside), longestSetAside)
-	h.until = now.Add(h.aside)
-	h.ramp = 1
+	h.ejectionTime = min(max(baseEjectionTime, 2*h.ejectionTime), maxEjectionTime)
+	h.ejectedUntil = now.Add(h.ejectionTime)
+	h.rampLimit = 1
 	return true
 }
 
-// unreachable sets the endpoint aside at once: to wait for more failures would
+// recordUnreachable sets the endpoint aside at once: to wait for more failures would
 // only cost more requests a try.
-func (h *health) unreachable(now time.Time) bool {
-	h.failures = max(h.failures, failuresToSetAside-1)
-	return h.failed(now)
+func (h *health) recordUnreachable(now time.Time) bool {
+	h.failures = max(h.failures, ejectionThreshold-1)
+	return h.recordFailure(now)
 }
 
-func (h *health) succeeded(slots int) {
+func (h *health) recordSuccess(slots int) {
 	h.failures = 0
-	if h.ramp == 0 {
+	if h.rampLimit == 0 {
 		return
 	}
-	h.ramp *= 2
-	if h.ramp >= slots {
-		h.ramp = 0
-		h.aside = 0
+	h.rampLimit *= 2
+	if h.rampLimit >= slots {
+		h.rampLimit = 0
+		h.ejectionTime = 0
 	}
 }
--- a/internal/core/place/sharing.go
+++ b/internal/core/place/keyselector.go
@@ -1,12 +1,12 @@
 package place
 
 const (
-	// fewestSamples is how many prompts of a kind are seen before their parts
+	// minSamples is how many prompts of a kind are seen before their parts
 	// are judged; until then the last shared part is the key.
-	fewestSamples = 8
-	// mostParts bounds the parts that are counted at one position; beyond it
+	minSamples = 8
+	// maxPartsPerPosition bounds the parts that are counted at one position; beyond it
 	// the counts start anew.
-	mostParts = 1024
+	maxPartsPerPosition = 1024
 )
 
 // KeySelector learns how widely the parts of prompts are shared, and picks the
@@ -15,12 +15,12 @@
 // a large share of the calls begins with would overload its endpoint, so the
 // next part decides. It is not safe for concurrent use.
 type KeySelector struct {
-	kinds map[string]*kindSharing
+	kinds map[string]*kindStats
 	total int
 }
 
-// kindSharing counts the prompts of one kind of request.
-type kindSharing struct {
+// kindStats counts the prompts of one kind of request.
+type kindStats struct {
 	prompts   int
 	positions []partCounts
 }
@@ -34,7 +34,7 @@
 }
 
 // NewKeySelector returns counts that know nothing yet.
-func NewKeySelector() *KeySelector { return &KeySelector{kinds: make(map[string]*kindSharing)} }
+func NewKeySelector() *KeySelector { return &KeySelector{kinds: make(map[string]*kindStats)} }
 
 // Key takes a prompt of a kind of request in, and returns the part by which
 // it is placed among a number of endpoints, or 0 for a prompt without shared
@@ -49,7 +49,7 @@
 	shared := parts[:len(parts)-1]
 	k, ok := s.kinds[kind]
 	if !ok {
-		k = &kindSharing{}
+		k = &kindStats{}
 		s.kinds[kind] = k
 	}
 	s.total++
@@ -70,7 +70,7 @@
 }
 
 func (c *partCounts) add(part uint64) {
-	if len(c.counts) >= mostParts {
+	if len(c.counts) >= maxPartsPerPosition {
 		c.counts = make(map[uint64]int)
 		c.samples = 0
 		c.pairs = 0
@@ -85,7 +85,7 @@
 // the same part is the share that such a part has of its kind's calls; it is
 // known after few samples, since their pairs grow with the square.
 func (c *partCounts) fits(kindShare float64, endpoints int) bool {
-	if c.samples < fewestSamples {
+	if c.samples < minSamples {
 		return false
 	}
 	pairs := float64(c.samples) * float64(c.samples-1) / 2
--- a/internal/core/place/work.go
+++ b/internal/core/place/leastwork.go
@@ -10,24 +10,24 @@
 const LeastWork = "least_work"
 
 const (
-	// rereadWeight is how many tokens of other prompts one token of a shared
+	// recomputeWeight is how many tokens of other prompts one token of a shared
 	// part is worth waiting for: reading it again costs every later prompt.
 	// 7 was measured too, and without copies 2.5 to 12 (docs/DECISIONS.md).
-	rereadWeight = 3.0
+	recomputeWeight = 3.0
 	// copyWeight is the same for a token that is copied from another endpoint,
 	// and copyTime the time of copying it as a part of that of reading it.
 	// Copies take 0.05 to 0.2 of the time of reading at the deployments of
 	// today; between failure domains they take twice as long.
-	copyWeight   = 1.0
-	copyTime     = 0.2
-	crossingCopy = 2.0
-	// leastCopied is the number of tokens from which on a copy is worth its
+	copyWeight            = 1.0
+	copyTimeRatio         = 0.2
+	crossDomainCopyFactor = 2.0
+	// minCopyTokens is the number of tokens from which on a copy is worth its
 	// fixed costs. 256 and 64 were measured (docs/DECISIONS.md).
-	leastCopied = 64
-	// crossTokens is how many tokens of waiting one megabyte of inputs from
+	minCopyTokens = 64
+	// crossDomainTokensPerMB is how many tokens of waiting one megabyte of inputs from
 	// another failure domain is worth.
-	crossTokens = 8000.0
-	megabyte    = 1e6
+	crossDomainTokensPerMB = 8000.0
+	megabyte               = 1e6
 )
 
 func init() { policies.Register(LeastWork, leastWork) }
@@ -48,9 +48,9 @@
 // shared returns the parts that other prompts may have in common.
 func (m *Prompt) shared() []Part { return m.Parts[:max(len(m.Parts)-1, 0)] }
 
-// home returns the endpoint that rendezvous hashing gives a prefix, or None.
+// rendezvousHome returns the endpoint that rendezvous hashing gives a prefix, or None.
 // Any earlier leader sent the prefix there when nothing spoke against it.
-func (p *Pool) home(prefix uint64) int {
+func (p *Pool) rendezvousHome(prefix uint64) int {
 	home, highest := None, uint64(0)
 	for i := range p.endpoints {
 		if p.endpoints[i].removed {
@@ -63,16 +63,16 @@
 	return home
 }
 
-// holdings tells what the endpoints hold of a prompt's shared parts. It is made
+// cacheHits tells what the endpoints hold of a prompt's shared parts. It is made
 // once for a choice, so that the choice looks at each endpoint once.
-type holdings struct {
-	// held is how many tokens each endpoint holds, most the largest of them.
-	held []int
-	most int
-	// fullest is the endpoint of each failure domain that holds most and can
+type cacheHits struct {
+	// cached is how many tokens each endpoint holds, most the largest of them.
+	cached    []int
+	maxCached int
+	// bestSource is the endpoint of each failure domain that holds most and can
 	// be copied from; the one of anyDomain holds most of all.
-	fullest map[string]int
-	shared  int
+	bestSource   map[string]int
+	sharedTokens int
 }
 
 // anyDomain stands for all failure domains together.
@@ -82,17 +82,17 @@
 // the other methods then need not work out again each. It is good until calls start
 // or end.
 func (p *Pool) WithCacheHits(now time.Time, req Request) Request {
-	h := p.holdings(now, req)
-	req.known = &h
+	h := p.cacheHits(now, req)
+	req.hits = &h
 	return req
 }
 
-func (p *Pool) holdings(now time.Time, req Request) holdings {
-	if req.known != nil {
-		return *req.known
+func (p *Pool) cacheHits(now time.Time, req Request) cacheHits {
+	if req.hits != nil {
+		return *req.hits
 	}
 	parts := req.Prompt.shared()
-	h := holdings{held: make([]int, len(p.endpoints)), fullest: make(map[string]int), shared: tokensOf(parts)}
+	h := cacheHits{cached: make([]int, len(p.endpoints)), bestSource: make(map[string]int), sharedTokens: totalTokens(parts)}
 	if len(parts) == 0 {
 		return h
 	}
@@ -101,51 +101,51 @@
 		if e.removed {
 			continue
 		}
-		h.held[i] = e.cache.held(parts)
-		h.most = max(h.most, h.held[i])
-		if h.held[i] == 0 || !e.spec.CanCopy || e.health.state(now) != Healthy {
+		h.cached[i] = e.cache.prefixTokens(parts)
+		h.maxCached = max(h.maxCached, h.cached[i])
+		if h.cached[i] == 0 || !e.spec.CanCopy || e.health.state(now) != Healthy {
 			continue
 		}
 		for _, domain := range []string{e.spec.Domain, anyDomain} {
-			if best, ok := h.fullest[domain]; !ok || h.held[i] > h.held[best] {
-				h.fullest[domain] = i
+			if best, ok := h.bestSource[domain]; !ok || h.cached[i] > h.cached[best] {
+				h.bestSource[domain] = i
 			}
 		}
 	}
 	return h
 }
 
-// copying is the beginning of a prompt that one endpoint copies from another.
-type copying struct {
+// copyPlan is the beginning of a prompt that one endpoint copies from another.
+type copyPlan struct {
 	// source is None when nothing is copied.
 	source int
 	tokens int
-	// share is the time of copying a token as a part of reading it, weight its
+	// timeRatio is the time of copying a token as a part of reading it, weight its
 	// price in tokens of waiting.
-	share  float64
-	weight float64
+	timeRatio   float64
+	tokenWeight float64
 }
 
-// copied returns what endpoint i should copy: from its own failure domain, or
+// copyPlan returns what endpoint i should copy: from its own failure domain, or
 // from another one that holds so much more that the longer way is worth it.
-func (h *holdings) copied(p *Pool, i int) copying {
+func (h *cacheHits) copyPlan(p *Pool, i int) copyPlan {
 	e := &p.endpoints[i]
-	best := copying{source: None}
+	best := copyPlan{source: None}
 	if !e.spec.CanCopy {
 		return best
 	}
-	lowest := rereadWeight * float64(h.most-h.held[i])
+	lowest := recomputeWeight * float64(h.maxCached-h.cached[i])
 	for _, domain := range []string{e.spec.Domain, anyDomain} {
-		source, ok := h.fullest[domain]
-		if !ok || h.held[source]-h.held[i] < leastCopied {
+		source, ok := h.bestSource[domain]
+		if !ok || h.cached[source]-h.cached[i] < minCopyTokens {
 			continue
 		}
-		c := copying{source: source, tokens: h.held[source] - h.held[i], share: copyTime, weight: copyWeight}
+		c := copyPlan{source: source, tokens: h.cached[source] - h.cached[i], timeRatio: copyTimeRatio, tokenWeight: copyWeight}
 		if p.endpoints[source].spec.Domain != e.spec.Domain {
-			c.share *= crossingCopy
-			c.weight *= crossingCopy
+			c.timeRatio *= crossDomainCopyFactor
+			c.tokenWeight *= crossDomainCopyFactor
 		}
-		price := c.weight*float64(c.tokens) + rereadWeight*float64(h.most-h.held[source])
+		price := c.tokenWeight*float64(c.tokens) + recomputeWeight*float64(h.maxCached-h.cached[source])
 		if price < lowest {
 			best, lowest = c, price
 		}
@@ -156,26 +156,26 @@
 // CopySource returns the endpoint from which endpoint i should copy the beginning
 // of a prompt, or None.
 func (p *Pool) CopySource(now time.Time, i int, req Request) int {
-	h := p.holdings(now, req)
-	return h.copied(p, i).source
+	h := p.cacheHits(now, req)
+	return h.copyPlan(p, i).source
 }
 
-// work is how many tokens endpoint i still has to read for a request.
-func (p *Pool) work(now time.Time, i int, req Request) int {
-	h := p.holdings(now, req)
-	c := h.copied(p, i)
-	left := req.Prompt.Tokens - h.held[i] - c.tokens
-	return max(left, 0) + int(c.share*float64(c.tokens))
+// prefillTokens is how many tokens endpoint i still has to read for a request.
+func (p *Pool) prefillTokens(now time.Time, i int, req Request) int {
+	h := p.cacheHits(now, req)
+	c := h.copyPlan(p, i)
+	left := req.Prompt.Tokens - h.cached[i] - c.tokens
+	return max(left, 0) + int(c.timeRatio*float64(c.tokens))
 }
 
 // PredictTTFT predicts the time to the first event of a prompt at endpoint i, behind
 // what that has to read now.
 func (p *Pool) PredictTTFT(now time.Time, i int, req Request) time.Duration {
-	return p.reading.Predict(p.endpoints[i].work + p.work(now, i, req))
+	return p.reading.Predict(p.endpoints[i].pendingTokens + p.prefillTokens(now, i, req))
 }
 
 // PendingTokens returns how many tokens the calls in flight at endpoint i have to read.
-func (p *Pool) PendingTokens(i int) int { return p.endpoints[i].work }
+func (p *Pool) PendingTokens(i int) int { return p.endpoints[i].pendingTokens }
 
 // PrefillModel returns what is known of the time that reading takes.
 func (p *Pool) PrefillModel() *PrefillModel { return p.reading }
@@ -186,19 +186,19 @@
 // belongs to the home of its prefix. Calls that wait equally long anywhere are
 // spread by their number.
 func leastWork(p *Pool, now time.Time, req Request) int {
-	h := p.holdings(now, req)
+	h := p.cacheHits(now, req)
 	home := None
-	if h.most == 0 && req.Prefix != 0 {
-		home = p.home(req.Prefix)
+	if h.maxCached == 0 && req.Prefix != 0 {
+		home = p.rendezvousHome(req.Prefix)
 	}
 	chosen, lowest := None, 0.0
 	for i := range p.endpoints {
 		if !p.usable(now, i, req) {
 			continue
 		}
-		score := p.waitingTokens(i, req, &h)
+		score := p.placementCost(i, req, &h)
 		if home != None && i != home {
-			score += rereadWeight * float64(h.shared)
+			score += recomputeWeight * float64(h.sharedTokens)
 		}
 		if chosen == None || score < lowest || score == lowest && p.endpoints[i].outstanding < p.endpoints[chosen].outstanding {
 			chosen, lowest = i, score
@@ -207,7 +207,7 @@
 	return chosen
 }
 
-func tokensOf(parts []Part) int {
+func totalTokens(parts []Part) int {
 	sum := 0
 	for _, part := range parts {
 		sum += part.Tokens
@@ -215,14 +215,14 @@
 	return sum
 }
 
-// waitingTokens is the price of endpoint i for a request, in tokens.
-func (p *Pool) waitingTokens(i int, req Request, h *holdings) float64 {
+// placementCost is the price of endpoint i for a request, in tokens.
+func (p *Pool) placementCost(i int, req Request, h *cacheHits) float64 {
 	e := &p.endpoints[i]
-	c := h.copied(p, i)
-	score := float64(e.work) + c.weight*float64(c.tokens)
-	score += rereadWeight * float64(h.most-h.held[i]-c.tokens)
+	c := h.copyPlan(p, i)
+	score := float64(e.pendingTokens) + c.tokenWeight*float64(c.tokens)
+	score += recomputeWeight * float64(h.maxCached-h.cached[i]-c.tokens)
 	if req.Prompt.InputDomain != "" && e.spec.Domain != req.Prompt.InputDomain {
-		score += crossTokens * float64(req.Prompt.InputBytes) / megabyte
+		score += crossDomainTokensPerMB * float64(req.Prompt.InputBytes) / megabyte
 	}
 	return score
 }
--- a/internal/core/place/work_test.go
+++ b/internal/core/place/leastwork_test.go
@@ -27,8 +27,8 @@
 			t.Fatalf("prompt %d: no endpoint", i)
 		}
 		for other := range p.Len() {
-			if p.endpoints[other].work+int(rereadWeight*100) < p.endpoints[at].work && p.endpoints[other].outstanding < 2 {
-				t.Errorf("prompt %d waits for %d tokens, endpoint %d has %d", i, p.endpoints[at].work, other, p.endpoints[other].work)
+			if p.endpoints[other].pendingTokens+int(recomputeWeight*100) < p.endpoints[at].pendingTokens && p.endpoints[other].outstanding < 2 {
+				t.Errorf("prompt %d waits for %d tokens, endpoint %d has %d", i, p.endpoints[at].pendingTokens, other, p.endpoints[other].pendingTokens)
 			}
 		}
 		p.Start(now, at, req)
@@ -44,13 +44,13 @@
 	req := Request{Exclude: None, Prefix: 7, Prompt: promptOf(6000, 7, 5000)}
 	first, _ := p.Choose(now, req)
 	p.Start(now, first, req)
-	if work := p.endpoints[first].work; work != 6000 {
+	if work := p.endpoints[first].pendingTokens; work != 6000 {
 		t.Errorf("%d tokens to read for the first prompt, want 6000", work)
 	}
 	if second, _ := p.Choose(now, req); second != first {
 		t.Errorf("the second prompt went to %d, the first is at %d", second, first)
 	}
-	p.endpoints[first].work = 60_000
+	p.endpoints[first].pendingTokens = 60_000
 	if third, _ := p.Choose(now, req); third == first {
 		t.Error("a prompt waits for 60000 tokens rather than read 5000 again")
 	}
@@ -85,12 +85,12 @@
 	for range 2 {
 		work += p.Start(now, at, req)
 	}
-	if work != 900+600 || p.endpoints[at].work != work {
-		t.Errorf("%d tokens counted, %d told, want 1500", p.endpoints[at].work, work)
+	if work != 900+600 || p.endpoints[at].pendingTokens != work {
+		t.Errorf("%d tokens counted, %d told, want 1500", p.endpoints[at].pendingTokens, work)
 	}
 	p.Finish(now, at, Result{OK: true, PendingTokens: work})
-	if p.endpoints[at].work != 0 {
-		t.Errorf("%d tokens are left", p.endpoints[at].work)
+	if p.endpoints[at].pendingTokens != 0 {
+		t.Errorf("%d tokens are left", p.endpoints[at].pendingTokens)
 	}
 }
 
@@ -101,7 +101,7 @@
 	now := time.Unix(1000, 0)
 	earlier, later := newPool(t, LeastWork, 12), newPool(t, LeastWork, 12)
 	for i := range later.Len() {
-		later.endpoints[i].work = 100 * i
+		later.endpoints[i].pendingTokens = 100 * i
 	}
 	for prefix := uint64(1); prefix <= 60; prefix++ {
 		req := Request{Exclude: None, Prefix: prefix, Prompt: promptOf(6000, prefix, 5000)}
--- a/internal/core/place/place_test.go
+++ b/internal/core/place/place_test.go
@@ -81,8 +81,8 @@
 		for i := range p.endpoints {
 			e := &p.endpoints[i]
 			e.outstanding = rapid.IntRange(0, 2).Draw(t, "outstanding")
-			e.measured = now
-			e.took = time.Duration(rapid.IntRange(0, 50).Draw(t, "took")) * time.Millisecond
+			e.latencyAt = now
+			e.latency = time.Duration(rapid.IntRange(0, 50).Draw(t, "took")) * time.Millisecond
 			e.load = Load{Calls: float64(rapid.IntRange(0, 9).Draw(t, "busy")), ReceivedAt: now.Add(-time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second)}
 			e.spec.Cost = float64(rapid.IntRange(1, 4).Draw(t, "cost"))
 		}
@@ -92,7 +92,7 @@
 			return
 		}
 		for k := range p.endpoints {
-			if p.usable(now, k, req) && finishScore(p, now, k, req) < indifference*finishScore(p, now, i, req) {
+			if p.usable(now, k, req) && finishScore(p, now, k, req) < scoreTolerance*finishScore(p, now, i, req) {
 				t.Fatalf("chose %d with score %v, endpoint %d has %v", i, finishScore(p, now, i, req), k, finishScore(p, now, k, req))
 			}
 		}
@@ -105,16 +105,16 @@
 	p := newPool(t, "round_robin", 1)
 	p.endpoints[0].spec.Slots = 8
 	now := time.Unix(1000, 0)
-	for k := range failuresToSetAside {
+	for k := range ejectionThreshold {
 		p.Start(now, 0, Request{})
-		if aside := p.Finish(now, 0, Result{}); aside != (k == failuresToSetAside-1) {
+		if aside := p.Finish(now, 0, Result{}); aside != (k == ejectionThreshold-1) {
 			t.Fatalf("failure %d: set aside %v", k, aside)
 		}
 	}
 	if _, ok := p.Choose(now, Request{Exclude: None}); ok {
 		t.Fatal("an endpoint that is set aside was chosen")
 	}
-	now = now.Add(firstSetAside)
+	now = now.Add(baseEjectionTime)
 	for _, limit := range []int{1, 2, 4, 8} {
 		if got := p.Capacity(now); got != limit {
 			t.Fatalf("capacity %d on the way back, want %d", got, limit)
--- a/internal/core/place/policy.go
+++ b/internal/core/place/policy.go
@@ -41,8 +41,8 @@
 	return p.Accepts(now, i, req) && e.spec.Pace.Due(now, &e.sends)
 }
 
-// next returns the first usable endpoint from start on, going round once.
-func (p *Pool) next(now time.Time, start int, req Request) int {
+// firstUsable returns the first usable endpoint from start on, going round once.
+func (p *Pool) firstUsable(now time.Time, start int, req Request) int {
 	n := len(p.endpoints)
 	for k := range n {
 		i := (start + k) % n
@@ -54,22 +54,22 @@
 }
 
 func roundRobin(p *Pool, now time.Time, req Request) int {
-	i := p.next(now, p.cursor%len(p.endpoints), req)
+	i := p.firstUsable(now, p.nextIndex%len(p.endpoints), req)
 	if i != None {
-		p.cursor = i + 1
+		p.nextIndex = i + 1
 	}
 	return i
 }
 
-// indifference: endpoints whose scores differ less are taken as equal, and the
+// scoreTolerance: endpoints whose scores differ less are taken as equal, and the
 // random start decides. Without it, light load stayed on the one endpoint that
 // was a little faster, and the others were never measured again.
-const indifference = 0.9
+const scoreTolerance = 0.9
 
-// best returns the usable endpoint of lowest score in a sample of the given
+// bestOfSample returns the usable endpoint of lowest score in a sample of the given
 // size that starts anywhere. A sample without a usable endpoint falls back to
 // the first usable one behind it.
-func (p *Pool) best(now time.Time, size int, req Request, score func(*Pool, time.Time, int, Request) float64) int {
+func (p *Pool) bestOfSample(now time.Time, size int, req Request, score func(*Pool, time.Time, int, Request) float64) int {
 	n := len(p.endpoints)
 	start := p.rand.IntN(n)
 	stride := 1
@@ -82,26 +82,26 @@
 		if !p.usable(now, i, req) {
 			continue
 		}
-		if s := score(p, now, i, req); chosen == None || s < indifference*lowest {
+		if s := score(p, now, i, req); chosen == None || s < scoreTolerance*lowest {
 			chosen, lowest = i, s
 		}
 	}
 	if chosen == None {
-		return p.next(now, start, req)
+		return p.firstUsable(now, start, req)
 	}
 	return chosen
 }
 
-// leastSample bounds the scan of leastOutstanding, so that its time is bounded
+// maxLeastOutstandingSample bounds the scan of leastOutstanding, so that its time is bounded
 // too: 8.2 µs for a whole pool of 600 was over the 5 µs that a choice may take.
-const leastSample = 64
+const maxLeastOutstandingSample = 64
 
 func leastOutstanding(p *Pool, now time.Time, req Request) int {
-	return p.best(now, leastSample, req, outstandingScore)
+	return p.bestOfSample(now, maxLeastOutstandingSample, req, outstandingScore)
 }
 
 func powerOfTwo(p *Pool, now time.Time, req Request) int {
-	return p.best(now, 2, req, outstandingScore)
+	return p.bestOfSample(now, 2, req, outstandingScore)
 }
 
 func outstandingScore(p *Pool, _ time.Time, i int, _ Request) float64 {
--- a/internal/core/place/pool.go
+++ b/internal/core/place/pool.go
@@ -9,8 +9,8 @@
 // None stands for no endpoint.
 const None = -1
 
-// tookWeight is the weight of the newest call in the moving average.
-const tookWeight = 0.2
+// latencyWeight is the weight of the newest call in the moving average.
+const latencyWeight = 0.2
 
 // Request is what a policy may know of a call.
 type Request struct {
@@ -31,8 +31,8 @@
 	Tried []int
 	// CostWeight is how many seconds of delay one unit of cost is worth.
 	CostWeight float64
-	// known is what Consider worked out, or nil.
-	known *holdings
+	// hits is what Consider worked out, or nil.
+	hits *cacheHits
 }
 
 // Result is how a call at an endpoint ended.
@@ -58,13 +58,13 @@
 	policy    Policy
 	endpoints []Endpoint
 	rand      *rand.Rand
-	cursor    int
-	prefixes  *prefixes
+	nextIndex int
+	prefixes  *prefixTable
 	reading   *PrefillModel
-	// took is the moving average over all endpoints.
-	took time.Duration
-	// limited tells that some endpoints name what they take.
-	limited bool
+	// latency is the moving average over all endpoints.
+	latency time.Duration
+	// rateLimited tells that some endpoints name what they take.
+	rateLimited bool
 }
 
 // SetPolicy puts another policy in force and keeps what is known of the
@@ -80,7 +80,7 @@
 
 // NewPool returns an empty pool under the named policy.
 func NewPool(policyName string, seed uint64) (*Pool, error) {
-	p := &Pool{rand: rand.New(rand.NewPCG(seed, seed)), prefixes: newPrefixes(), reading: NewPrefillModel()}
+	p := &Pool{rand: rand.New(rand.NewPCG(seed, seed)), prefixes: newPrefixTable(), reading: NewPrefillModel()}
 	return p, p.SetPolicy(policyName)
 }
 
@@ -90,10 +90,10 @@
 // flight name them by index.
 func (p *Pool) Update(specs []Spec) {
 	wanted := make(map[string]Spec, len(specs))
-	p.limited = false
+	p.rateLimited = false
 	for _, s := range specs {
 		wanted[s.Name] = s
-		p.limited = p.limited || s.Pace.Named()
+		p.rateLimited = p.rateLimited || s.Pace.Named()
 	}
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -115,7 +115,7 @@
 func (p *Pool) add(s Spec) {
 	for i := range p.endpoints {
 		if e := &p.endpoints[i]; e.removed && e.outstanding == 0 {
-			p.prefixes.forget(i)
+			p.prefixes.removeEndpoint(i)
 			*e = Endpoint{spec: s, cache: newPromptCache(s.CacheTokens)}
 			return
 		}
@@ -128,7 +128,7 @@
 	if len(p.endpoints) == 0 {
 		return None, false
 	}
-	if i := p.turn(now, req); i != None {
+	if i := p.expiringTurn(now, req); i != None {
 		return i, true
 	}
 	choose := p.policy
@@ -167,7 +167,7 @@
 func (p *Pool) ClearLeaving(i int) {
 	h := &p.endpoints[i].health
 	if h.leaving {
-		*h = health{ramp: 1}
+		*h = health{rampLimit: 1}
 	}
 }
 
@@ -187,13 +187,13 @@
 // Start counts a call that goes out to endpoint i, and returns how many tokens
 // it has to read there.
 func (p *Pool) Start(now time.Time, i int, req Request) int {
-	work := p.work(now, i, req)
+	work := p.prefillTokens(now, i, req)
 	p.endpoints[i].outstanding++
 	if !req.ChosenByPeer {
 		p.endpoints[i].sends.Add(now, p.endpoints[i].spec.Pace)
 	}
-	p.endpoints[i].work += work
-	p.endpoints[i].cache.use(req.Prompt.Parts)
+	p.endpoints[i].pendingTokens += work
+	p.endpoints[i].cache.add(req.Prompt.Parts)
 	if req.Prefix != 0 {
 		p.prefixes.put(req.Prefix, i)
 	}
@@ -205,7 +205,7 @@
 func (p *Pool) Finish(now time.Time, i int, r Result) bool {
 	e := &p.endpoints[i]
 	e.outstanding--
-	e.work -= r.PendingTokens
+	e.pendingTokens -= r.PendingTokens
 	if !r.Load.ReceivedAt.IsZero() {
 		e.load = r.Load
 	}
@@ -214,51 +214,51 @@
 		return false
 	case r.Unreachable:
 		e.cache.clear()
-		return e.health.unreachable(now)
+		return e.health.recordUnreachable(now)
 	case !r.OK:
-		return e.health.failed(now)
+		return e.health.recordFailure(now)
 	}
-	if !now.Before(e.backoff) {
+	if !now.Before(e.backoffUntil) {
 		// Calls that were under way when a backoff began say nothing about its end.
-		e.health.succeeded(e.spec.Slots)
-		if e.health.ramp == 0 {
-			e.backoff = time.Time{}
+		e.health.recordSuccess(e.spec.Slots)
+		if e.health.rampLimit == 0 {
+			e.backoffUntil = time.Time{}
 		}
 	}
 	if r.PrefillTokens > 0 {
 		p.reading.Observe(r.PrefillTokens, r.Latency)
 	}
-	e.took = average(e.took, r.Latency)
-	e.measured = now
-	p.took = average(p.took, r.Latency)
+	e.latency = ewma(e.latency, r.Latency)
+	e.latencyAt = now
+	p.latency = ewma(p.latency, r.Latency)
 	return false
 }
 
-func average(old, newest time.Duration) time.Duration {
+func ewma(old, newest time.Duration) time.Duration {
 	if old == 0 {
 		return newest
 	}
-	return old + time.Duration(tookWeight*float64(newest-old))
+	return old + time.Duration(latencyWeight*float64(newest-old))
 }
 
 // ObserveOverdue tells that a call at endpoint i takes far longer than the pool's calls
 // do. The endpoint then looks slower at once, long before the call ends.
 func (p *Pool) ObserveOverdue(now time.Time, i int, waited time.Duration) {
 	e := &p.endpoints[i]
-	e.measured = now
-	e.took = min(max(lateFactor*e.took, waited), longestTook)
+	e.latencyAt = now
+	e.latency = min(max(overdueFactor*e.latency, waited), maxOverdueLatency)
 }
 
 // RecordCached takes in that an endpoint tells to hold parts of prompts.
 func (p *Pool) RecordCached(name string, parts []Part) {
 	if i := p.Find(name); i != None {
-		p.endpoints[i].cache.use(parts)
+		p.endpoints[i].cache.add(parts)
 	}
 }
 
 // InvalidateCache drops what is believed of endpoint i's prefix cache, as after a gap
 // in its cache events.
 func (p *Pool) InvalidateCache(i int) {
-	p.prefixes.forget(i)
+	p.prefixes.removeEndpoint(i)
 	p.endpoints[i].cache.clear()
 }
--- a/internal/core/place/predict.go
+++ b/internal/core/place/predictedfinish.go
@@ -13,31 +13,31 @@
 	// prefixSaving is the share of a call's time that a cached prefix saves.
 	// The default is cautious; the engines' own figures are not known yet.
 	prefixSaving = 0.3
-	// tookLife is how long a measured time is believed.
-	tookLife = 2 * time.Second
-	// unknownTook stands for an endpoint that has not answered yet.
-	unknownTook = 5 * time.Millisecond
+	// latencyMaxAge is how long a measured time is believed.
+	latencyMaxAge = 2 * time.Second
+	// defaultLatency stands for an endpoint that has not answered yet.
+	defaultLatency = 5 * time.Millisecond
 )
 
 // predictedFinish picks the endpoint that should finish the call first, with
 // a price on its cost and a bonus for the endpoint that likely holds the
 // prompt's prefix.
 func predictedFinish(p *Pool, now time.Time, req Request) int {
-	chosen := p.best(now, sampleSize, req, finishScore)
-	holder := p.holder(req.Prefix)
+	chosen := p.bestOfSample(now, sampleSize, req, finishScore)
+	holder := p.prefixHolder(req.Prefix)
 	if holder == None || holder == chosen || chosen == None || !p.usable(now, holder, req) {
 		return chosen
 	}
-	saved := prefixSaving * p.expected(now, holder).Seconds() * (1 + req.CostWeight*p.endpoints[holder].spec.Cost)
+	saved := prefixSaving * p.expectedLatency(now, holder).Seconds() * (1 + req.CostWeight*p.endpoints[holder].spec.Cost)
 	if finishScore(p, now, holder, req)-saved <= finishScore(p, now, chosen, req) {
 		return holder
 	}
 	return chosen
 }
 
-// holder returns the endpoint that likely holds a prefix: the one that took
+// prefixHolder returns the endpoint that likely holds a prefix: the one that took
 // it last from this node, else the one that all nodes would send it to first.
-func (p *Pool) holder(prefix uint64) int {
+func (p *Pool) prefixHolder(prefix uint64) int {
 	if prefix == 0 {
 		return None
 	}
@@ -47,25 +47,25 @@
 	return int(hash.Mix(prefix) % uint64(len(p.endpoints)))
 }
 
-// expected is the time that a lone call at endpoint i will take. What was
+// expectedLatency is the time that a lone call at endpoint i will take. What was
 // measured long ago says nothing, so the endpoint counts as an average one
 // then: it is tried again, and one that was slow is found to have recovered.
-func (p *Pool) expected(now time.Time, i int) time.Duration {
+func (p *Pool) expectedLatency(now time.Time, i int) time.Duration {
 	e := &p.endpoints[i]
 	switch {
-	case e.took != 0 && now.Sub(e.measured) < tookLife:
-		return e.took
-	case p.took != 0:
-		return p.took
+	case e.latency != 0 && now.Sub(e.latencyAt) < latencyMaxAge:
+		return e.latency
+	case p.latency != 0:
+		return p.latency
 	}
-	return unknownTook
+	return defaultLatency
 }
 
 // finishScore is the expected time to finish in seconds. An endpoint is
 // taken to slow down in proportion to what runs there beyond this call.
 func finishScore(p *Pool, now time.Time, i int, req Request) float64 {
 	e := &p.endpoints[i]
-	took := p.expected(now, i).Seconds()
+	took := p.expectedLatency(now, i).Seconds()
 	slots := float64(max(e.spec.Slots, 1))
 	busy := float64(e.outstanding)
 	if !e.load.ReceivedAt.IsZero() {
--- a/internal/core/place/reading_test.go
+++ b/internal/core/place/prefill_test.go
@@ -10,7 +10,7 @@
 // the rate of the start value, with calls that hang now and then: the prediction
 // comes within a quarter of the truth.
 func TestReadingFollowsTheEngines(t *testing.T) {
-	for _, rate := range []float64{startRate / 2, startRate, 4 * startRate} {
+	for _, rate := range []float64{initialTokensPerMS / 2, initialTokensPerMS, 4 * initialTokensPerMS} {
 		const base = 20 * time.Millisecond
 		r := NewPrefillModel()
 		random := rand.New(rand.NewPCG(1, 2))
@@ -37,14 +37,14 @@
 		r.Observe(5000, time.Hour)
 		r.Observe(1, time.Hour)
 	}
-	if r.rate < slowestRate || r.base > longestBase {
-		t.Errorf("rate %v, base %v", r.rate, r.base)
+	if r.tokensPerMS < minTokensPerMS || r.base > maxBase {
+		t.Errorf("rate %v, base %v", r.tokensPerMS, r.base)
 	}
 	for range 1000 {
 		r.Observe(5000, 0)
 		r.Observe(1, 0)
 	}
-	if r.rate > fastestRate || r.base < 0 {
-		t.Errorf("rate %v, base %v", r.rate, r.base)
+	if r.tokensPerMS > maxTokensPerMS || r.base < 0 {
+		t.Errorf("rate %v, base %v", r.tokensPerMS, r.base)
 	}
 }
--- a/internal/core/place/affinity.go
+++ b/internal/core/place/prefixaffinity.go
@@ -11,7 +11,7 @@
 	// to is too busy compared with the average, so that the next in the order
 	// of hashes is asked.
 	spillFactor = 1.5
-	spillSlack  = 4.0
+	spillMargin = 4.0
 )
 
 func init() { policies.Register("prefix_affinity", prefixAffinity) }
@@ -22,22 +22,22 @@
 // to the least busy endpoint.
 func prefixAffinity(p *Pool, now time.Time, req Request) int {
 	if req.Prefix == 0 {
-		return p.best(now, sampleSize, req, busyScore)
+		return p.bestOfSample(now, sampleSize, req, loadScore)
 	}
 	sum, count := 0.0, 0
 	for i := range p.endpoints {
 		if p.usable(now, i, req) {
-			sum += p.busy(now, i)
+			sum += p.knownCalls(now, i)
 			count++
 		}
 	}
 	if count == 0 {
 		return None
 	}
-	most := spillFactor*sum/float64(count) + spillSlack
+	most := spillFactor*sum/float64(count) + spillMargin
 	chosen, weight := None, uint64(0)
 	for i := range p.endpoints {
-		if !p.usable(now, i, req) || p.busy(now, i) > most {
+		if !p.usable(now, i, req) || p.knownCalls(now, i) > most {
 			continue
 		}
 		if w := hash.Pair(req.Prefix, hash.Of(p.endpoints[i].spec.Name)); chosen == None || w > weight {
@@ -45,13 +45,13 @@
 		}
 	}
 	if chosen == None {
-		return p.best(now, sampleSize, req, busyScore)
+		return p.bestOfSample(now, sampleSize, req, loadScore)
 	}
 	return chosen
 }
 
-// busy is the number of calls at endpoint i as far as this node knows.
-func (p *Pool) busy(now time.Time, i int) float64 {
+// knownCalls is the number of calls at endpoint i as far as this node knows.
+func (p *Pool) knownCalls(now time.Time, i int) float64 {
 	e := &p.endpoints[i]
 	own := float64(e.outstanding)
 	if e.load.ReceivedAt.IsZero() || now.Sub(e.load.ReceivedAt) > loadHalfLife {
@@ -60,6 +60,6 @@
 	return max(own, e.load.Calls)
 }
 
-func busyScore(p *Pool, now time.Time, i int, _ Request) float64 {
-	return p.busy(now, i) / float64(max(p.endpoints[i].spec.Slots, 1))
+func loadScore(p *Pool, now time.Time, i int, _ Request) float64 {
+	return p.knownCalls(now, i) / float64(max(p.endpoints[i].spec.Slots, 1))
 }
--- a/internal/core/place/cache.go
+++ b/internal/core/place/promptcache.go
@@ -8,17 +8,17 @@
 	Tokens int
 }
 
-// mostCachedParts bounds the entries of one cache, some 100 bytes each. Engines of
+// maxCachedParts bounds the entries of one cache, some 100 bytes each. Engines of
 // today told of 40 to 292 parts.
-const mostCachedParts = 1024
+const maxCachedParts = 1024
 
 // promptCache is what an endpoint is believed to hold of prompts: the parts of
 // the calls that were sent there, as far as its memory goes, those unused
 // longest given up first. It is a belief only; a wrong entry costs time.
 type promptCache struct {
-	parts  *simplelru.LRU[uint64, int]
-	tokens int
-	limit  int
+	parts     *simplelru.LRU[uint64, int]
+	tokens    int
+	maxTokens int
 }
 
 // newPromptCache returns the empty cache of an endpoint with memory for limit
@@ -27,8 +27,8 @@
 	if limit <= 0 {
 		return nil
 	}
-	c := &promptCache{limit: limit}
-	parts, err := simplelru.NewLRU(mostCachedParts, func(_ uint64, tokens int) { c.tokens -= tokens })
+	c := &promptCache{maxTokens: limit}
+	parts, err := simplelru.NewLRU(maxCachedParts, func(_ uint64, tokens int) { c.tokens -= tokens })
 	if err != nil {
 		// Only a size of 0 is refused.
 		panic(err)
@@ -41,8 +41,8 @@
 	if c == nil || limit <= 0 {
 		return
 	}
-	c.limit = limit
-	c.shrink()
+	c.maxTokens = limit
+	c.evict()
 }
 
 func (c *promptCache) clear() {
@@ -51,9 +51,9 @@
 	}
 }
 
-// held is how many tokens at the beginning of a prompt need not be read: a part
+// prefixTokens is how many tokens at the beginning of a prompt need not be read: a part
 // is reused only together with all parts before it.
-func (c *promptCache) held(parts []Part) int {
+func (c *promptCache) prefixTokens(parts []Part) int {
 	if c == nil {
 		return 0
 	}
@@ -67,8 +67,8 @@
 	return sum
 }
 
-// use takes a prompt in that the endpoint reads now.
-func (c *promptCache) use(parts []Part) {
+// add takes a prompt in that the endpoint reads now.
+func (c *promptCache) add(parts []Part) {
 	if c == nil {
 		return
 	}
@@ -79,11 +79,11 @@
 		c.parts.Add(part.ID, part.Tokens)
 		c.tokens += part.Tokens
 	}
-	c.shrink()
+	c.evict()
 }
 
-func (c *promptCache) shrink() {
-	for c.tokens > c.limit {
+func (c *promptCache) evict() {
+	for c.tokens > c.maxTokens {
 		if _, _, ok := c.parts.RemoveOldest(); !ok {
 			return
 		}
--- a/internal/core/place/cache_test.go
+++ b/internal/core/place/promptcache_test.go
@@ -21,17 +21,17 @@
 				parts = append(parts, Part{ID: id, Tokens: 1 + int(id)})
 				total += 1 + int(id)
 			}
-			c.use(parts)
+			c.add(parts)
 			sum := 0
 			for _, id := range c.parts.Keys() {
 				tokens, _ := c.parts.Peek(id)
 				sum += tokens
 			}
-			if sum != c.tokens || sum > c.limit {
-				t.Fatalf("%d tokens held, counted as %d, memory for %d", sum, c.tokens, c.limit)
+			if sum != c.tokens || sum > c.maxTokens {
+				t.Fatalf("%d tokens held, counted as %d, memory for %d", sum, c.tokens, c.maxTokens)
 			}
-			if total <= c.limit && c.held(parts) != total {
-				t.Fatalf("%d tokens of a prompt of %d are held after it was read", c.held(parts), total)
+			if total <= c.maxTokens && c.prefixTokens(parts) != total {
+				t.Fatalf("%d tokens of a prompt of %d are held after it was read", c.prefixTokens(parts), total)
 			}
 		}
 	})
@@ -41,7 +41,7 @@
 // when the one before it is not.
 func TestPartCountsOnlyBehindThoseBeforeIt(t *testing.T) {
 	c := newPromptCache(1000)
-	c.use([]Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}})
+	c.add([]Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}})
 	for _, check := range []struct {
 		parts []Part
 		want  int
@@ -49,7 +49,7 @@
 		{[]Part{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 50}, {ID: 3, Tokens: 7}}, 150},
 		{[]Part{{ID: 4, Tokens: 100}, {ID: 2, Tokens: 50}}, 0},
 	} {
-		if got := c.held(check.parts); got != check.want {
+		if got := c.prefixTokens(check.parts); got != check.want {
 			t.Errorf("%v: %d tokens held, want %d", check.parts, got, check.want)
 		}
 	}
@@ -80,7 +80,7 @@
 	if source := p.CopySource(now, 0, req); source != None {
 		t.Errorf("the holder copies from %d", source)
 	}
-	p.endpoints[0].work = 50_000
+	p.endpoints[0].pendingTokens = 50_000
 	at, _ := p.Choose(now, req)
 	if at == 0 || p.At(at).Spec().Domain != "d0" || p.CopySource(now, at, req) != 0 {
 		t.Errorf("placed at %d, which copies from %d; want another one of d0 that copies from 0", at, p.CopySource(now, at, req))
--- a/internal/core/place/lives_test.go
+++ b/internal/core/place/replacement_test.go
@@ -62,8 +62,8 @@
 				current[at], lives[l.name] = l, l
 				update()
 				e := pool.At(pool.Find(l.name))
-				if e.Outstanding() != 0 || e.work != 0 || e.cache.held(parts) != 0 || e.health.state(now) != Healthy {
-					t.Fatalf("%s begins with %d calls, %d tokens of work, %d held, %s", l.name, e.Outstanding(), e.work, e.cache.held(parts), e.Health(now))
+				if e.Outstanding() != 0 || e.pendingTokens != 0 || e.cache.prefixTokens(parts) != 0 || e.health.state(now) != Healthy {
+					t.Fatalf("%s begins with %d calls, %d tokens of work, %d held, %s", l.name, e.Outstanding(), e.pendingTokens, e.cache.prefixTokens(parts), e.Health(now))
 				}
 			case 1:
 				if l := current[at]; l != nil {
--- a/internal/core/place/turns.go
+++ b/internal/core/place/sendallowance.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// turn returns an endpoint at which this node has a turn that ends unused soon, or None. Left to
+// expiringTurn returns an endpoint at which this node has a expiringTurn that ends unused soon, or None. Left to
 // the policy, 295 nodes that choose for themselves used a tenth of what such an endpoint takes
 // while others had room, and none heard for half a minute that it took any number again.
-func (p *Pool) turn(now time.Time, req Request) int {
-	if !p.limited {
+func (p *Pool) expiringTurn(now time.Time, req Request) int {
+	if !p.rateLimited {
 		return None
 	}
 	for i := range p.endpoints {
