--- a/internal/core/workqueue/doc.go
+++ b/internal/core/workqueue/doc.go
@@ -1,10 +1,10 @@
-// Package workqueue keeps the queue of stage calls that wait for a pool and
-// orders it by the policy in force.
+// Package workqueue implements the queue of stage calls that wait for a pool,
+// ordered by a configurable policy.
 //
-// Every policy reduces to a key that is fixed when the item is queued: slack
-// is the deadline less the time still needed, and both ends move together
-// with the clock, so the order of two waiting items never changes. A binary
-// heap is therefore enough.
+// Every policy maps an item to a key that is fixed when the item is queued. This
+// holds for slack too, the time until the deadline less the expected time of the
+// remaining stages: the slack of all waiting items shrinks at the same rate, so
+// their order never changes. A binary heap is therefore sufficient.
 //
 // # Usage
 //
--- a/internal/core/workqueue/policy.go
+++ b/internal/core/workqueue/policy.go
@@ -6,28 +6,28 @@
 	"gradetiller.example/internal/policy"
 )
 
-// Item tells a policy what it needs to know of one waiting stage call.
+// Item describes a waiting stage call to a policy.
 type Item struct {
-	// Deadline is the time at which the whole request must be finished.
+	// Deadline is the time by which the whole request must be finished.
 	Deadline time.Time
-	// Remaining is the expected time of this stage and all later ones.
+	// Remaining is the expected duration of this stage and all later ones.
 	Remaining time.Duration
 	// Account is the index of the client account.
 	Account int
-	// Weight is the account's weight for fair shares; at least 1.
+	// Weight is the account's weight in fair queueing; it is at least 1.
 	Weight int
 }
 
-// Key orders the queue: smaller First goes first, Second breaks ties, and the
-// order of arrival breaks the rest.
+// Key is the sort key of an item: items are served in ascending order of First,
+// then of Second, then in order of arrival.
 type Key struct {
 	First, Second int64
-	// tag is the item's place in virtual time under a fair policy.
-	tag int64
+	// startTag is the item's start tag in virtual time under a fair policy.
+	startTag int64
 }
 
-// Policy computes an item's key. fair holds the virtual time of each account.
-type Policy func(it Item, fair *VirtualTime) Key
+// Policy computes the key of an item. The clock provides start tags by account.
+type Policy func(it Item, clock *VirtualTime) Key
 
 var policies = policy.NewRegistry[Policy]()
 
@@ -52,24 +52,24 @@
 	return Key{First: slackKey(it)}
 }
 
-// weightedFair orders accounts by their virtual time, and the calls that
-// share a step of virtual time by slack.
-func weightedFair(it Item, fair *VirtualTime) Key {
-	tag := fair.tag(it.Account, it.Weight)
-	return Key{First: tag, Second: slackKey(it), tag: tag}
+// weightedFair orders calls by their start tag, and calls with the same start tag
+// by slack.
+func weightedFair(it Item, clock *VirtualTime) Key {
+	tag := clock.startTag(it.Account, it.Weight)
+	return Key{First: tag, Second: slackKey(it), startTag: tag}
 }
 
-// fairCredit is how many calls an account of weight 1 may be ahead of the
-// queue's virtual time and still count as within its share.
-const fairCredit = 16
+// fairBurst is the number of calls by which an account of weight 1 may run ahead
+// of the queue's virtual time while still being within its share.
+const fairBurst = 16
 
-// fairSlack orders by slack alone while accounts keep to their shares; calls
-// of an account that is ahead of its share go behind all others, in fair
-// order.
-func fairSlack(it Item, fair *VirtualTime) Key {
-	tag := fair.tag(it.Account, it.Weight)
-	key := Key{Second: slackKey(it), tag: tag}
-	if tag-fair.now > fairCredit*fairUnit {
+// fairSlack orders by slack while accounts stay within their shares. Calls of
+// accounts that exceed their shares go behind all other calls, in order of their
+// start tags.
+func fairSlack(it Item, clock *VirtualTime) Key {
+	tag := clock.startTag(it.Account, it.Weight)
+	key := Key{Second: slackKey(it), startTag: tag}
+	if tag-clock.now > fairBurst*costUnit {
 		key.First = tag
 	}
 	return key
--- a/internal/core/workqueue/queue_test.go
+++ b/internal/core/workqueue/queue_test.go
@@ -11,8 +11,8 @@
 	"gradetiller.example/internal/naive"
 )
 
-// TestQueueMatchesNaive compares every policy with a scanned list under
-// random pushes, pops and removals.
+// TestQueueMatchesNaive compares every policy with a linear-scan implementation
+// under random pushes, pops and removals.
 func TestQueueMatchesNaive(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, policy := range Names() {
@@ -43,18 +43,18 @@
 							got = -1
 						}
 						if want := ref.Pop(); got != want {
-							t.Fatalf("pop = %d, naive %d", got, want)
+							t.Fatalf("Pop returned %d, the naive queue %d", got, want)
 						}
 					case 3:
 						victim := rapid.IntRange(0, max(id, 1)).Draw(t, "victim")
 						if got, want := q.Remove(handles[victim]), ref.Remove(victim); got != want {
-							t.Fatalf("remove(%d) = %v, naive %v", victim, got, want)
+							t.Fatalf("Remove of %d returned %v, the naive queue %v", victim, got, want)
 						}
 					}
 				}
 				for want := ref.Pop(); want != -1; want = ref.Pop() {
 					if got, _ := q.Pop(); got != want {
-						t.Fatalf("final pop = %d, naive %d", got, want)
+						t.Fatalf("Pop while draining returned %d, the naive queue %d", got, want)
 					}
 				}
 			})
