--- a/internal/core/assignment/rateshare_test.go
+++ b/internal/core/assignment/rateshare_test.go
@@ -8,10 +8,10 @@
 	"gradetiller.example/internal/core/limit"
 )
 
-// TestRateOvershoot lets a caller ask every node, not only those it is told,
-// for ten seconds as fast as it can, at 7 and at 380 nodes, and with the
-// nodes' view cut in two. What all nodes admit together stays within the
-// stated bound of the account's rate.
+// TestRateOvershoot guards against an account that exceeds its rate limit by
+// sending to nodes that are not assigned to it: a caller floods every node for ten
+// seconds, at 7 and at 380 nodes, and with the membership split into two views.
+// All nodes together admit no more than 1+unassignedShare of the rate in each view.
 func TestRateOvershoot(t *testing.T) {
 	const rate, seconds = 1000.0, 10
 	for _, size := range []int{7, 380} {
@@ -29,16 +29,16 @@
 					admitted += admit(rate*share, seconds)
 				}
 			}
-			t.Logf("%d nodes, view in %d parts: %.2f of the rate", size, parts, float64(admitted)/(rate*seconds))
-			// Every node's bucket also starts with one whole token.
-			if bound := float64(parts)*(1+strayShare)*rate*seconds + float64(size); float64(admitted) > bound {
-				t.Errorf("%d nodes, view in %d parts: %d admitted, bound %.0f", size, parts, admitted, bound)
+			t.Logf("%d nodes, %d membership views: %.2f of the rate admitted", size, parts, float64(admitted)/(rate*seconds))
+			// The token bucket of each node also starts with one token.
+			if bound := float64(parts)*(1+unassignedShare)*rate*seconds + float64(size); float64(admitted) > bound {
+				t.Errorf("%d nodes, %d membership views: %d requests admitted, bound %.0f", size, parts, admitted, bound)
 			}
 		}
 	}
 }
 
-// admit counts what one node admits of a flood.
+// admit returns the number of requests that one node admits of a flood.
 func admit(rate float64, seconds int) int {
 	now := time.Unix(1000, 0)
 	a := limit.NewAccount(now, limit.Settings{Rate: rate, Burst: 1})
@@ -53,9 +53,9 @@
 	return count
 }
 
-// TestFollowersGetTheirRate checks that a caller who spreads over the entries
-// it is told gets its whole rate.
-func TestFollowersGetTheirRate(t *testing.T) {
+// TestAssignedEntriesAdmitFullRate guards against callers that spread over the
+// entries assigned to their account and still get less than its rate limit.
+func TestAssignedEntriesAdmitFullRate(t *testing.T) {
 	table := NewTable(entries(40), accounts(50), 3)
 	for i := range 50 {
 		account := fmt.Sprint("account-", i)
@@ -64,7 +64,7 @@
 			sum += table.RateShare(account, "r1", e.Node)
 		}
 		if sum < 0.999 || sum > 1.001 {
-			t.Fatalf("%s gets %.3f of its rate", account, sum)
+			t.Fatalf("the entries of %s admit %.3f of its rate", account, sum)
 		}
 	}
 }
--- a/internal/core/assignment/table.go
+++ b/internal/core/assignment/table.go
@@ -1,10 +1,10 @@
-// Package assignment decides which entries a client account is told to use.
+// Package assignment assigns client accounts to the entries that they use.
 //
 // Every node computes the same assignment from the same entries and accounts,
-// without messages: each account ranks the entries by a hash of both names
-// (rendezvous hashing) and takes the first ones that still have room. The
-// room bounds how far the fullest entry exceeds the mean, and a change of one
-// entry moves few accounts.
+// without coordination: each account ranks the entries by rendezvous hashing and
+// is assigned the first ones that have capacity left (rendezvous hashing with
+// bounded loads). The bound limits how far the most loaded entry exceeds the
+// mean, and a change of one entry moves few accounts.
 //
 // # Usage
 //
@@ -19,7 +19,7 @@
 	"gradetiller.example/internal/core/hash"
 )
 
-// Entry is an entry process that may be named in an answer.
+// Entry is an entry process to which accounts can be assigned.
 type Entry struct {
 	Node    string
 	Address string
@@ -28,31 +28,34 @@
 }
 
 const (
-	// topRanked is how many entries are looked at first for an account.
-	topRanked = 24
-	// evenBelow is the number of accounts for each entry below which chance
-	// alone would leave entries idle.
-	evenBelow = 4
+	// maxTopRanked is the number of top-ranked entries that are considered for an
+	// account before all of them are ranked.
+	maxTopRanked = 24
+	// balanceBelow is the number of accounts per entry below which hashing alone
+	// would leave entries idle, so that the least loaded entries are preferred.
+	balanceBelow = 4
 )
 
-// headroom is how far an entry may exceed the mean number of accounts.
-const headroom = 1.15
+// maxLoadFactor bounds the number of accounts of an entry relative to the mean.
+const maxLoadFactor = 1.15
 
-// Table is the assignment of accounts to entries. It never changes.
+// Table is an immutable assignment of accounts to entries.
 type Table struct {
-	all     *assignment
-	regions map[string]*assignment
+	all     *entrySet
+	regions map[string]*entrySet
 }
 
-type assignment struct {
-	entries []Entry
-	chosen  map[string][]int
-	want    int
+// entrySet is the assignment of the accounts to the entries of one region, or of
+// all regions.
+type entrySet struct {
+	entries    []Entry
+	byAccount  map[string][]int // indexes of entries
+	perAccount int
 }
 
-// NewTable assigns every account to at least want entries of every region, or
-// to all entries of a smaller region.
-func NewTable(entries []Entry, accounts []string, want int) *Table {
+// NewTable assigns every account to at least perAccount entries of every region,
+// or to all entries of a smaller region.
+func NewTable(entries []Entry, accounts []string, perAccount int) *Table {
 	entries = slices.Clone(entries)
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Node, b.Node) })
 	accounts = slices.Sorted(slices.Values(accounts))
@@ -60,9 +63,9 @@
 	for _, e := range entries {
 		byRegion[e.Region] = append(byRegion[e.Region], e)
 	}
-	t := &Table{regions: make(map[string]*assignment)}
+	t := &Table{regions: make(map[string]*entrySet)}
 	for region, list := range byRegion {
-		t.regions[region] = assign(list, accounts, want)
+		t.regions[region] = assign(list, accounts, perAccount)
 	}
 	if len(byRegion) == 1 {
 		for _, only := range t.regions {
@@ -70,119 +73,119 @@
 		}
 		return t
 	}
-	t.all = assign(entries, accounts, want)
+	t.all = assign(entries, accounts, perAccount)
 	return t
 }
 
-// Entries returns the entries for an account, those in the caller's failure
-// domain first. An unknown region is served from all entries, an unknown
-// account by its hash alone.
+// Entries returns the entries assigned to an account, those in the caller's
+// failure domain first. For an unknown region it uses the assignment across all
+// regions, for an unknown account the top-ranked entries regardless of load.
 func (t *Table) Entries(account, region, domain string) []Entry {
-	a, ok := t.regions[region]
+	set, ok := t.regions[region]
 	if !ok {
-		a = t.all
+		set = t.all
 	}
-	chosen, ok := a.chosen[account]
+	chosen, ok := set.byAccount[account]
 	if !ok {
-		chosen = a.rank(account)[:a.want]
+		chosen = set.rank(account)[:set.perAccount]
 	}
 	out := make([]Entry, len(chosen))
 	for i, c := range chosen {
-		out[i] = a.entries[c]
+		out[i] = set.entries[c]
 	}
-	slices.SortStableFunc(out, func(x, y Entry) int { return cmp.Compare(near(x, domain), near(y, domain)) })
+	slices.SortStableFunc(out, func(x, y Entry) int { return cmp.Compare(domainRank(x, domain), domainRank(y, domain)) })
 	return out
 }
 
-// strayShare is the part of an account's rate that all nodes together admit
-// that are not among its entries, for callers with old answers.
-const strayShare = 0.25
+// unassignedShare is the fraction of an account's rate limit that the nodes that
+// are not assigned to it admit together, for callers with a stale assignment.
+const unassignedShare = 0.25
 
-// RateShare returns the part of the account's rate that a node may admit. Callers
-// follow locate answers, so the entries that an account is told share its rate
-// evenly, and every other node of the region holds a small part of strayShare.
-// The sum over a region is at most 1+strayShare; accounts whose callers are in
-// several regions have their rate in each.
+// RateShare returns the fraction of the account's rate limit that a node may admit.
+// Callers use the entries assigned to their account, so these share the rate evenly,
+// and the other nodes of the region share unassignedShare. The sum over a region is
+// at most 1+unassignedShare. Accounts with callers in several regions have their
+// full rate in each.
 func (t *Table) RateShare(account, region, node string) float64 {
-	a, ok := t.regions[region]
+	set, ok := t.regions[region]
 	if !ok {
-		a = t.all
+		set = t.all
 	}
-	chosen := a.chosen[account]
+	chosen := set.byAccount[account]
 	for _, i := range chosen {
-		if a.entries[i].Node == node {
+		if set.entries[i].Node == node {
 			return 1 / float64(len(chosen))
 		}
 	}
-	if others := len(a.entries) - len(chosen); others > 0 {
-		return strayShare / float64(others)
+	if others := len(set.entries) - len(chosen); others > 0 {
+		return unassignedShare / float64(others)
 	}
 	return 1
 }
 
-func near(e Entry, domain string) int {
+func domainRank(e Entry, domain string) int {
 	if domain != "" && e.Domain == domain {
 		return 0
 	}
 	return 1
 }
 
-func assign(entries []Entry, accounts []string, want int) *assignment {
-	a := &assignment{entries: entries, chosen: make(map[string][]int, len(accounts))}
+func assign(entries []Entry, accounts []string, perAccount int) *entrySet {
+	set := &entrySet{entries: entries, byAccount: make(map[string][]int, len(accounts))}
 	n := len(entries)
 	if n == 0 {
-		return a
+		return set
 	}
 	if len(accounts) > 0 {
-		// With few accounts, more entries for each keep every entry in use.
-		want = max(want, (want*n+len(accounts)-1)/len(accounts))
+		// With few accounts, each is assigned more entries, so that every entry is used.
+		perAccount = max(perAccount, (perAccount*n+len(accounts)-1)/len(accounts))
 	}
-	a.want = min(want, n)
-	total := a.want * max(len(accounts), 1)
-	room := make([]int, n)
-	for i := range room {
-		room[i] = max(1, int(headroom*float64(total)/float64(n)+0.999))
+	set.perAccount = min(perAccount, n)
+	total := set.perAccount * max(len(accounts), 1)
+	remaining := make([]int, n)
+	for i := range remaining {
+		remaining[i] = max(1, int(maxLoadFactor*float64(total)/float64(n)+0.999))
 	}
 	hashes := make([]uint64, n)
 	for i, e := range entries {
 		hashes[i] = hash.Of(e.Node)
 	}
-	even := len(accounts) < evenBelow*n
+	even := len(accounts) < balanceBelow*n
 	for _, account := range accounts {
-		rank := a.rankTop(account, hashes)
+		rank := set.rankBest(account, hashes)
 		if even {
-			// Too few accounts to even out by chance: the emptiest go first.
-			rank = a.rank(account)
-			slices.SortStableFunc(rank, func(x, y int) int { return cmp.Compare(room[y], room[x]) })
+			// Too few accounts for hashing to balance: prefer the least loaded entries.
+			rank = set.rank(account)
+			slices.SortStableFunc(rank, func(x, y int) int { return cmp.Compare(remaining[y], remaining[x]) })
 		}
-		chosen := a.choose(rank, room)
-		if len(chosen) < a.want {
-			chosen = a.choose(a.rank(account), room)
+		chosen := set.pick(rank, remaining)
+		if len(chosen) < set.perAccount {
+			chosen = set.pick(set.rank(account), remaining)
 		}
 		for _, i := range chosen {
-			room[i]--
+			remaining[i]--
 		}
-		a.chosen[account] = chosen
+		set.byAccount[account] = chosen
 	}
-	return a
+	return set
 }
 
-// rankTop returns the best-ranked entries only; nearly always some of them
-// have room, and a whole ranking costs far more.
-func (a *assignment) rankTop(account string, hashes []uint64) []int {
-	if len(hashes) <= topRanked {
-		return a.rank(account)
+// rankBest returns only the maxTopRanked best entries for an account. They nearly
+// always have enough capacity left, and ranking all entries costs far more.
+func (set *entrySet) rankBest(account string, hashes []uint64) []int {
+	if len(hashes) <= maxTopRanked {
+		return set.rank(account)
 	}
-	var best [topRanked]uint64
-	var index [topRanked]int
+	var best [maxTopRanked]uint64
+	var index [maxTopRanked]int
 	count := 0
 	base := hash.Of(account)
 	for i, h := range hashes {
 		w := hash.Pair(base, h)
-		if count == topRanked && w <= best[count-1] {
+		if count == maxTopRanked && w <= best[count-1] {
 			continue
 		}
-		if count < topRanked {
+		if count < maxTopRanked {
 			count++
 		}
 		k := count - 1
@@ -194,40 +197,41 @@
 	return index[:count]
 }
 
-// choose takes the best-ranked entries with room, first from failure domains
-// that the account does not use yet, then from any, then, in a whole ranking,
-// without regard to room.
-func (a *assignment) choose(rank, room []int) []int {
-	chosen := make([]int, 0, a.want)
-	used := make(map[string]bool)
-	taken := make(map[int]bool)
-	take := func(allowed func(i int) bool) {
+// pick selects the best-ranked entries with capacity left, first from failure
+// domains that the account does not use yet, then from any domain. If the ranking
+// is complete, it fills up with entries regardless of their capacity.
+func (set *entrySet) pick(rank, remaining []int) []int {
+	chosen := make([]int, 0, set.perAccount)
+	usedDomains := make(map[string]bool)
+	picked := make(map[int]bool)
+	fill := func(allowed func(i int) bool) {
 		for _, i := range rank {
-			if len(chosen) == a.want {
+			if len(chosen) == set.perAccount {
 				return
 			}
-			if !taken[i] && allowed(i) {
-				taken[i] = true
-				used[a.entries[i].Domain] = true
+			if !picked[i] && allowed(i) {
+				picked[i] = true
+				usedDomains[set.entries[i].Domain] = true
 				chosen = append(chosen, i)
 			}
 		}
 	}
-	take(func(i int) bool { return room[i] > 0 && !used[a.entries[i].Domain] })
-	take(func(i int) bool { return room[i] > 0 })
-	if len(rank) == len(a.entries) {
-		take(func(int) bool { return true })
+	fill(func(i int) bool { return remaining[i] > 0 && !usedDomains[set.entries[i].Domain] })
+	fill(func(i int) bool { return remaining[i] > 0 })
+	if len(rank) == len(set.entries) {
+		fill(func(int) bool { return true })
 	}
 	return chosen
 }
 
-func (a *assignment) rank(account string) []int {
+// rank returns the indexes of all entries in the account's rendezvous order.
+func (set *entrySet) rank(account string) []int {
 	type scored struct {
 		weight uint64
 		index  int
 	}
-	list := make([]scored, len(a.entries))
-	for i, e := range a.entries {
+	list := make([]scored, len(set.entries))
+	for i, e := range set.entries {
 		list[i] = scored{hash.Pair(hash.Of(account), hash.Of(e.Node)), i}
 	}
 	slices.SortFunc(list, func(x, y scored) int {
--- a/internal/core/assignment/table_test.go
+++ b/internal/core/assignment/table_test.go
@@ -43,8 +43,9 @@
 	return n
 }
 
-// TestEvenSpread checks at several sizes that the fullest entry has at most
-// 1.25 times the mean, and that every entry is used.
+// TestEvenSpread guards against overloaded and unused entries: at several sizes,
+// the most loaded entry has at most 1.25 times the mean number of accounts, and
+// every entry is used.
 func TestEvenSpread(t *testing.T) {
 	for _, size := range []struct{ entries, accounts int }{{7, 5}, {6, 5}, {40, 400}, {380, 3900}} {
 		table := NewTable(entries(size.entries), accounts(size.accounts), 3)
@@ -60,24 +61,25 @@
 			}
 			mean := float64(sum) / float64(used)
 			if len(counts) != used || float64(most) > 1.25*mean+1 {
-				t.Errorf("%d entries, %d accounts, region %q: fullest %d, mean %.1f, used %d", size.entries, size.accounts, region, most, mean, len(counts))
+				t.Errorf("%d entries, %d accounts, region %q: most accounts %d, mean %.1f, entries used %d", size.entries, size.accounts, region, most, mean, len(counts))
 			}
 			if size.entries == 380 && float64(most) > 1.25*mean {
-				t.Errorf("380 entries, region %q: fullest %d, mean %.1f", region, most, mean)
+				t.Errorf("380 entries, region %q: most accounts %d, mean %.1f", region, most, mean)
 			}
-			t.Logf("%d entries, %d accounts, region %q: fullest %.2f of the mean", size.entries, size.accounts, region, float64(most)/mean)
+			t.Logf("%d entries, %d accounts, region %q: most loaded entry at %.2f of the mean", size.entries, size.accounts, region, float64(most)/mean)
 		}
 	}
 }
 
-// TestFewMove checks that the answers of few accounts change when one entry
-// goes: no more than twice the answers that named it.
-func TestFewMove(t *testing.T) {
+// TestFewAssignmentsMove guards against a reassignment of many accounts when one
+// entry is removed: no more assignments move than twice the number that the
+// removed entry had.
+func TestFewAssignmentsMove(t *testing.T) {
 	names := accounts(3900)
 	all := entries(380)
 	before := NewTable(all, names, 3)
 	after := NewTable(slices.Delete(slices.Clone(all), 100, 101), names, 3)
-	gone, moved := 0, 0
+	removed, moved := 0, 0
 	for _, a := range names {
 		kept := make(map[string]bool)
 		for _, e := range after.Entries(a, "", "") {
@@ -86,21 +88,22 @@
 		for _, e := range before.Entries(a, "", "") {
 			switch {
 			case e.Node == all[100].Node:
-				gone++
+				removed++
 			case !kept[e.Node]:
 				moved++
 			}
 		}
 	}
-	t.Logf("%d answers named the entry that went, %d others moved", gone, moved)
-	if moved > 2*gone {
-		t.Errorf("%d answers moved although only %d named the entry", moved, gone)
+	t.Logf("%d assignments to the removed entry, %d others moved", removed, moved)
+	if moved > 2*removed {
+		t.Errorf("%d assignments moved although the removed entry had only %d", moved, removed)
 	}
 }
 
-// TestAnswers checks the order by failure domain, that an account's entries
-// lie in different domains, and unknown accounts and regions.
-func TestAnswers(t *testing.T) {
+// TestEntries checks that an account's entries are in different failure domains,
+// that those in the caller's domain come first, and that unknown accounts and
+// regions get entries too.
+func TestEntries(t *testing.T) {
 	table := NewTable(entries(12), accounts(20), 3)
 	for _, a := range append(accounts(20), "unknown") {
 		got := table.Entries(a, "nowhere", "")
@@ -113,15 +116,15 @@
 		}
 		near := table.Entries(a, "", got[2].Domain)
 		if near[0].Domain != got[2].Domain {
-			t.Errorf("%s: %v is not led by the caller's domain", a, near)
+			t.Errorf("%s: %v does not begin with an entry in the caller's failure domain", a, near)
 		}
 	}
 	if got := NewTable(nil, accounts(2), 3).Entries("account-0", "", ""); len(got) != 0 {
-		t.Errorf("answers without entries: %v", got)
+		t.Errorf("a table without entries returned %v", got)
 	}
 }
 
-// BenchmarkNewTable is the cost of a change of membership.
+// BenchmarkNewTable measures the cost of a membership change.
 func BenchmarkNewTable(b *testing.B) {
 	for _, size := range []struct{ entries, accounts int }{{7, 5}, {40, 400}, {380, 3900}} {
 		b.Run(fmt.Sprintf("%dx%d", size.entries, size.accounts), func(b *testing.B) {
