--- a/internal/core/subset/subset.go
+++ b/internal/core/subset/subset.go
@@ -1,11 +1,12 @@
-// Package subset decides which nodes a client is told to use.
+// Package subset chooses the subset of nodes that a client uses (client
+// subsetting).
 //
-// A client takes one of the nodes of its answer by chance, so whoever is in more
-// answers gets more of the work. Clients are told all nodes of their own failure
-// domain, and a few of the others in case that domain is lost. The others differ
-// from one answering node to the next, so that each of them is named about as
-// often: when all answers were filled up with the same 13 of 295 nodes, these got
-// five times the work of the rest.
+// A client picks a node of its subset at random, so a node in more subsets
+// receives more load. A subset consists of all nodes in the client's failure
+// domain and a few remote nodes in case that domain fails. Each answering node
+// chooses different remote nodes, so that all of them are in about as many
+// subsets: when every subset was filled up with the same 13 of 295 nodes, these
+// received five times the load of the rest.
 //
 // # Usage
 //
@@ -21,31 +22,31 @@
 )
 
 const (
-	// mostAddresses bounds an answer.
-	mostAddresses = 64
-	// fewest is how many nodes an answer names where there are as many, and
-	// nearPerFar how many nodes of the client's domain it names for each other
-	// one beyond that.
-	fewest     = 8
-	nearPerFar = 16
+	// maxAddresses is the maximum size of a subset.
+	maxAddresses = 64
+	// minAddresses is the minimum size of a subset if there are that many nodes.
+	// Beyond it, a subset has one remote node for every localPerRemote nodes of
+	// the client's failure domain.
+	minAddresses   = 8
+	localPerRemote = 16
 )
 
-// Addresses returns the addresses for a client in a failure domain, sorted. self is
-// the node that answers. Nodes that leave are named to nobody.
+// Addresses returns the sorted addresses of the subset for a client in the given failure
+// domain, as chosen by the answering node self. Nodes that are leaving are excluded.
 func Addresses(entries []wire.Entry, self, domain string) []string {
-	var near, far []wire.Entry
+	var local, remote []wire.Entry
 	for _, e := range entries {
 		switch {
 		case e.Leaving:
 		case e.Domain == domain:
-			near = append(near, e)
+			local = append(local, e)
 		default:
-			far = append(far, e)
+			remote = append(remote, e)
 		}
 	}
-	near = first(near, self, mostAddresses)
-	others := max(fewest-len(near), (len(near)+nearPerFar-1)/nearPerFar)
-	chosen := append(near, first(far, self, min(others, mostAddresses-len(near)))...)
+	local = topRanked(local, self, maxAddresses)
+	remoteCount := max(minAddresses-len(local), (len(local)+localPerRemote-1)/localPerRemote)
+	chosen := append(local, topRanked(remote, self, min(remoteCount, maxAddresses-len(local)))...)
 	addresses := make([]string, len(chosen))
 	for i, e := range chosen {
 		addresses[i] = e.Address
@@ -54,8 +55,9 @@
 	return addresses
 }
 
-// first returns the first of some entries in an order of the answering node's own.
-func first(entries []wire.Entry, self string, count int) []wire.Entry {
+// topRanked returns up to count entries, those ranked first by rendezvous hashing with self as
+// the key. It sorts entries in place if there are more than count.
+func topRanked(entries []wire.Entry, self string, count int) []wire.Entry {
 	if len(entries) <= count {
 		return entries
 	}
