--- a/internal/core/hash/hash.go
+++ b/internal/core/hash/hash.go
@@ -1,7 +1,7 @@
-// Package hash holds the one hash by which nodes agree without messages:
-// which entry an account uses, which node writes a record, which arm or
-// version a request gets. It must be the same on every node and never depend
-// on a process's seed.
+// Package hash provides the hash by which nodes reach the same decisions without
+// coordination: which entry an account uses, which node writes a record, which
+// arm or version a request gets. It must give the same results on every node and
+// must not depend on a seed of the process.
 //
 // # Usage
 //
@@ -14,18 +14,18 @@
 	"slices"
 )
 
-// Of returns the hash of a text, with its bits well spread.
+// Of returns the FNV-1a hash of s, finalized by Mix.
 func Of(s string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s))
 	return Mix(h.Sum64())
 }
 
-// Pair returns the weight of two hashes, for rendezvous hashing.
+// Pair combines two hashes into a weight for rendezvous hashing.
 func Pair(a, b uint64) uint64 { return Mix(a ^ b) }
 
-// Mix is the finalizer of MurmurHash3; it spreads the bits of FNV, whose high
-// bits follow the last bytes of a text too weakly.
+// Mix is the finalizer of MurmurHash3. It makes up for the weak avalanche of FNV,
+// in which the last bytes of a string hardly affect the high bits of the hash.
 func Mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -34,20 +34,20 @@
 	return x ^ x>>33
 }
 
-// Rank orders names by rendezvous hashing for a key, the first choice first.
-// All nodes that know the same names find the same order without messages.
-// Each name is hashed once; hashed in each comparison, 295 names took 12 times
-// as long (BenchmarkRank), and every node ranks them whenever it hears of one.
+// Rank returns the names in rendezvous order for a key, the preferred one first.
+// All nodes with the same names compute the same order. Each name is hashed only
+// once: every node ranks all names on each membership change, and with 295 names,
+// hashing in the comparisons takes 12 times as long.
 func Rank(key uint64, names []string) []string {
-	type weighed struct {
+	type weighted struct {
 		name   string
 		weight uint64
 	}
-	list := make([]weighed, len(names))
+	list := make([]weighted, len(names))
 	for i, name := range names {
-		list[i] = weighed{name: name, weight: Pair(key, Of(name))}
+		list[i] = weighted{name: name, weight: Pair(key, Of(name))}
 	}
-	slices.SortFunc(list, func(a, b weighed) int {
+	slices.SortFunc(list, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.name, b.name))
 	})
 	ranked := make([]string, len(list))
