--- a/internal/core/place/health.go
+++ b/internal/core/place/health.go
@@ -3,94 +3,96 @@
 import "time"
 
 const (
-	failuresToSetAside = 3
-	firstSetAside      = 500 * time.Millisecond
-	longestSetAside    = 8 * time.Second
-	// lateFactor and longestTook bound how far late calls raise an average.
-	lateFactor  = 2
-	longestTook = 30 * time.Second
+	// ejectionThreshold is the number of consecutive failures that eject a healthy endpoint.
+	ejectionThreshold = 3
+	baseEjectionTime  = 500 * time.Millisecond
+	maxEjectionTime   = 8 * time.Second
+	// overdueFactor and maxOverdueLatency bound how far overdue calls raise a latency average.
+	overdueFactor     = 2
+	maxOverdueLatency = 30 * time.Second
 )
 
-// State is the health of an endpoint.
+// State is the health state of an endpoint.
 type State int
 
-// The states of health.
+// The health states.
 const (
-	Good State = iota
-	// Returning endpoints take few calls at once, twice as many after each
-	// success.
-	Returning
-	// SetAside endpoints take no calls.
-	SetAside
-	// Leaving endpoints take no new calls for good.
+	Healthy State = iota
+	// Recovering endpoints are in a slow start: their concurrency limit is small
+	// and doubles with each success.
+	Recovering
+	// Ejected endpoints receive no calls until their ejection time has passed.
+	Ejected
+	// Leaving endpoints are shutting down and receive no new calls.
 	Leaving
 )
 
-// String returns the state's name.
+// String returns the name of the state as used in logs and status output.
 func (s State) String() string {
 	return [...]string{"good", "returning", "set_aside", "leaving"}[s]
 }
 
 type health struct {
-	leaving  bool
-	failures int
-	aside    time.Duration
-	until    time.Time
-	ramp     int
+	leaving      bool
+	failures     int // consecutive failures
+	ejectionTime time.Duration
+	ejectedUntil time.Time
+	rampLimit    int // concurrency limit of a recovering endpoint, else 0
 }
 
 func (h *health) state(now time.Time) State {
 	switch {
 	case h.leaving:
 		return Leaving
-	case now.Before(h.until):
-		return SetAside
-	case h.ramp > 0:
-		return Returning
+	case now.Before(h.ejectedUntil):
+		return Ejected
+	case h.rampLimit > 0:
+		return Recovering
 	}
-	return Good
+	return Healthy
 }
 
 func (h *health) limit(now time.Time, slots int) int {
 	switch h.state(now) {
-	case Leaving, SetAside:
+	case Leaving, Ejected:
 		return 0
-	case Returning:
-		return min(h.ramp, slots)
+	case Recovering:
+		return min(h.rampLimit, slots)
 	}
 	return slots
 }
 
-// failed counts a failure and reports whether it set the endpoint aside.
-func (h *health) failed(now time.Time) bool {
+// recordFailure counts a failure and reports whether the endpoint was ejected
+// because of it. Each ejection lasts twice as long as the one before.
+func (h *health) recordFailure(now time.Time) bool {
 	h.failures++
-	if h.ramp == 0 && h.failures < failuresToSetAside {
+	if h.rampLimit == 0 && h.failures < ejectionThreshold {
 		return false
 	}
-	if now.Before(h.until) {
+	if now.Before(h.ejectedUntil) {
 		return false
 	}
-	h.aside = min(max(firstSetAside, 2*h.aside), longestSetAside)
-	h.until = now.Add(h.aside)
-	h.ramp = 1
+	h.ejectionTime = min(max(baseEjectionTime, 2*h.ejectionTime), maxEjectionTime)
+	h.ejectedUntil = now.Add(h.ejectionTime)
+	h.rampLimit = 1
 	return true
 }
 
-// unreachable sets the endpoint aside at once: to wait for more failures would
-// only cost more requests a try.
-func (h *health) unreachable(now time.Time) bool {
-	h.failures = max(h.failures, failuresToSetAside-1)
-	return h.failed(now)
+// recordUnreachable ejects the endpoint at once: waiting for more failures would
+// only cost further requests an attempt.
+func (h *health) recordUnreachable(now time.Time) bool {
+	h.failures = max(h.failures, ejectionThreshold-1)
+	return h.recordFailure(now)
 }
 
-func (h *health) succeeded(slots int) {
+func (h *health) recordSuccess(slots int) {
 	h.failures = 0
-	if h.ramp == 0 {
+	if h.rampLimit == 0 {
 		return
 	}
-	h.ramp *= 2
-	if h.ramp >= slots {
-		h.ramp = 0
-		h.aside = 0
+	h.rampLimit *= 2
+	if h.rampLimit >= slots {
+		h.rampLimit = 0
+		h.ejectionTime = 0
 	}
 }
--- /dev/null
+++ b/internal/core/place/promptcache.go
@@ -0,0 +1,91 @@
+package place
+
+import "github.com/hashicorp/golang-lru/v2/simplelru"
+
+// Part is a contiguous section of a prompt that is cached as a unit.
+type Part struct {
+	ID     uint64
+	Tokens int
+}
+
+// maxCachedParts bounds the entries of one cache, at about 100 bytes each. Engines
+// report 40 to 292 parts.
+const maxCachedParts = 1024
+
+// promptCache estimates the contents of an endpoint's prompt cache: the parts of
+// the calls sent there, with LRU eviction at the capacity of the endpoint. It is
+// a hint: a wrong entry costs latency, never correctness.
+type promptCache struct {
+	parts     *simplelru.LRU[uint64, int]
+	tokens    int
+	maxTokens int
+}
+
+// newPromptCache returns an empty cache with a capacity of maxTokens. Without
+// capacity it returns nil, which is a valid cache that is always empty.
+func newPromptCache(maxTokens int) *promptCache {
+	if maxTokens <= 0 {
+		return nil
+	}
+	c := &promptCache{maxTokens: maxTokens}
+	parts, err := simplelru.NewLRU(maxCachedParts, func(_ uint64, tokens int) { c.tokens -= tokens })
+	if err != nil {
+		// NewLRU fails only if the size is not positive.
+		panic(err)
+	}
+	c.parts = parts
+	return c
+}
+
+func (c *promptCache) resize(maxTokens int) {
+	if c == nil || maxTokens <= 0 {
+		return
+	}
+	c.maxTokens = maxTokens
+	c.evict()
+}
+
+func (c *promptCache) clear() {
+	if c != nil {
+		c.parts.Purge()
+	}
+}
+
+// prefixTokens returns the number of tokens at the beginning of a prompt that need
+// no prefill. A cached part is usable only if all parts before it are cached too.
+func (c *promptCache) prefixTokens(parts []Part) int {
+	if c == nil {
+		return 0
+	}
+	sum := 0
+	for _, part := range parts {
+		if !c.parts.Contains(part.ID) {
+			break
+		}
+		sum += part.Tokens
+	}
+	return sum
+}
+
+// add records the parts of a prompt that is sent to the endpoint.
+func (c *promptCache) add(parts []Part) {
+	if c == nil {
+		return
+	}
+	for _, part := range parts {
+		if _, ok := c.parts.Get(part.ID); ok {
+			continue
+		}
+		c.parts.Add(part.ID, part.Tokens)
+		c.tokens += part.Tokens
+	}
+	c.evict()
+}
+
+func (c *promptCache) evict() {
+	for c.tokens > c.maxTokens {
+		if _, _, ok := c.parts.RemoveOldest(); !ok {
+			return
+		}
+	}
+}
