--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -155,7 +155,7 @@
 	every(ctx, member.FlushInterval, func() {
 		c.mu.Lock()
 		sends := c.member.Tick(time.Now())
-		changed := c.member.Changed()
+		changed := c.member.PollChanged()
 		c.mu.Unlock()
 		c.peers.send(sends)
 		if changed {
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -232,7 +232,7 @@
 
 func (c *Control) writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	c.mu.Lock()
-	live := c.member.Live()
+	live := c.member.LiveCount()
 	version := c.inForce.Version
 	c.mu.Unlock()
 	fmt.Fprintf(w, "gradetiller_members_live %d\n", live)
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -53,7 +53,7 @@
 	p.wait.Wait()
 }
 
-func (p *peers) send(sends []member.Send) {
+func (p *peers) send(sends []member.Message) {
 	for _, s := range sends {
 		if s.Address == "" {
 			// Links between control processes carry no answers but files; the
@@ -180,7 +180,7 @@
 // fetchFromPeer asks a peer for a configuration that is above this node's.
 func (c *Control) fetchFromPeer() {
 	c.mu.Lock()
-	node, version := c.member.HigherConfig()
+	node, version := c.member.NewerConfig()
 	own := c.inForce.Version
 	address := ""
 	for _, m := range c.member.Members() {
--- a/internal/core/discovery/evacuation.go
+++ b/internal/core/discovery/evacuation.go
@@ -33,8 +33,8 @@
 // Revision is the store's count of changes up to which all evacuations are in.
 func (v Evacuations) Revision() catalog.Revision { return v.revision }
 
-// Has reports whether a failure domain is evacuated.
-func (v Evacuations) Has(domain string) bool {
+// Contains reports whether a failure domain is evacuated.
+func (v Evacuations) Contains(domain string) bool {
 	_, held := v.held[domain]
 	return held || v.domains[domain]
 }
@@ -59,8 +59,8 @@
 // it again as what else was lost; one that was taken back meanwhile costs this time.
 const heldFor = 10 * time.Second
 
-// Settle returns the evacuations without those whose time to be written again is over.
-func (v Evacuations) Settle(now time.Time) Evacuations {
+// Expire returns the evacuations without those whose time to be written again is over.
+func (v Evacuations) Expire(now time.Time) Evacuations {
 	for d, until := range v.held {
 		if now.Before(until) {
 			continue
@@ -88,10 +88,12 @@
 // Its endpoints may be cold from then on, before the list of endpoints tells so.
 func (v Evacuations) EndedAt(domain string) time.Time { return v.ended[domain] }
 
-// Takes reports whether an endpoint takes further work. It is the one decision by which
+// AcceptsWork reports whether an endpoint takes further work. It is the one decision by which
 // anything is sent to an endpoint: new requests, repeats, calls of a stage pool, questions
 // and results that are given up.
-func (v Evacuations) Takes(e catalog.Endpoint) bool { return !e.Draining && !v.Has(e.Domain) }
+func (v Evacuations) AcceptsWork(e catalog.Endpoint) bool {
+	return !e.Draining && !v.Contains(e.Domain)
+}
 
 // Replace returns the evacuations as of a revision, which are all there are. What is not
 // ahead of the present ones changes nothing.
@@ -117,9 +119,9 @@
 	return v.after(now, Evacuations{revision: revision, domains: listed, held: held})
 }
 
-// Change returns the evacuations as of a revision, given the last change of each failure
+// ApplyChanges returns the evacuations as of a revision, given the last change of each failure
 // domain since one that is not after the present one and of its era.
-func (v Evacuations) Change(now time.Time, revision catalog.Revision, changes []EvacuationChange) Evacuations {
+func (v Evacuations) ApplyChanges(now time.Time, revision catalog.Revision, changes []EvacuationChange) Evacuations {
 	if revision <= v.revision {
 		return v
 	}
@@ -142,12 +144,12 @@
 func (v Evacuations) after(now time.Time, next Evacuations) Evacuations {
 	next.ended = v.ended
 	for _, d := range v.Domains() {
-		if !next.Has(d) {
+		if !next.Contains(d) {
 			next.ended = marked(next.ended, d, now)
 		}
 	}
 	return next
 }
 
-// Same reports whether nothing is to be sent to the same failure domains.
-func (v Evacuations) Same(o Evacuations) bool { return slices.Equal(v.Domains(), o.Domains()) }
+// Equal reports whether nothing is to be sent to the same failure domains.
+func (v Evacuations) Equal(o Evacuations) bool { return slices.Equal(v.Domains(), o.Domains()) }
--- a/internal/core/discovery/evacuation_test.go
+++ b/internal/core/discovery/evacuation_test.go
@@ -73,7 +73,7 @@
 				nodes[at] = before.Replace(now, revision, history[revision])
 			case 2:
 				since := catalog.Revision(rapid.Uint64Range(0, uint64(before.Revision())).Draw(t, "since"))
-				nodes[at] = before.Change(now, store.revision, store.since(since))
+				nodes[at] = before.ApplyChanges(now, store.revision, store.since(since))
 			case 3:
 				peer := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")]
 				nodes[at] = before.Replace(now, peer.Revision(), peer.Domains())
@@ -93,7 +93,7 @@
 	now := time.Unix(1000, 0)
 	none := Evacuations{}.Replace(now, 1, nil)
 	during := none.Replace(now, 2, []string{"a"})
-	after := during.Change(now.Add(time.Minute), 3, []EvacuationChange{{Domain: "a", Ended: true}})
+	after := during.ApplyChanges(now.Add(time.Minute), 3, []EvacuationChange{{Domain: "a", Ended: true}})
 	cases := []struct {
 		name string
 		in   Evacuations
@@ -107,7 +107,7 @@
 		{"over", after, catalog.Endpoint{Domain: "a"}, true},
 	}
 	for _, c := range cases {
-		if got := c.in.Takes(c.of); got != c.want {
+		if got := c.in.AcceptsWork(c.of); got != c.want {
 			t.Errorf("%s: takes work: %v", c.name, got)
 		}
 	}
@@ -121,8 +121,8 @@
 func TestColdness(t *testing.T) {
 	start := time.Unix(1000, 0)
 	l := NewList()
-	read := func(after time.Duration, revision catalog.Revision, cold time.Duration) (Coldness, bool) {
-		l.Read(start.Add(after), []catalog.Endpoint{{ID: "e", Listed: revision, Cold: cold}}, revision)
+	read := func(after time.Duration, revision catalog.Revision, cold time.Duration) (ColdPeriod, bool) {
+		l.ApplySnapshot(start.Add(after), []catalog.Endpoint{{ID: "e", Listed: revision, Cold: cold}}, revision)
 		c, ok := l.Cold()["e"]
 		return c, ok
 	}
--- a/internal/core/discovery/freshness.go
+++ b/internal/core/discovery/freshness.go
@@ -9,19 +9,19 @@
 	// They are read by different calls, of which one may hang or fail for long
 	// while the other succeeds.
 	List, Config time.Time
-	// Readers is as of when one of the usual readers had both from the store
+	// Primaries is as of when one of the usual readers had both from the store
 	// itself. What others have read in the readers' place does not count: it is no
 	// sign that the readers are back.
-	Readers time.Time
-	// StandIns is as of when one of the usual readers, or of those that stand in for
+	Primaries time.Time
+	// Candidates is as of when one of the usual readers, or of those that stand in for
 	// them first, had both from the store itself.
-	StandIns time.Time
+	Candidates time.Time
 	// Own is as of when the node itself had both from the store.
 	Own time.Time
 }
 
-// Current is as of when all that the node holds is known to be the store's.
-func (f Freshness) Current() time.Time {
+// AsOf is as of when all that the node holds is known to be the store's.
+func (f Freshness) AsOf() time.Time {
 	if f.Config.Before(f.List) {
 		return f.Config
 	}
@@ -29,13 +29,13 @@
 }
 
 // Stale reports whether another reader is to be asked than the last time.
-func (f Freshness) Stale(now time.Time) bool { return now.Sub(f.Current()) > askStale }
+func (f Freshness) Stale(now time.Time) bool { return now.Sub(f.AsOf()) > askStale }
 
-// Later joins what is known from two sources.
-func (f Freshness) Later(o Freshness) Freshness {
+// Merge joins what is known from two sources.
+func (f Freshness) Merge(o Freshness) Freshness {
 	return Freshness{
 		List: later(f.List, o.List), Config: later(f.Config, o.Config),
-		Readers: later(f.Readers, o.Readers), StandIns: later(f.StandIns, o.StandIns), Own: later(f.Own, o.Own),
+		Primaries: later(f.Primaries, o.Primaries), Candidates: later(f.Candidates, o.Candidates), Own: later(f.Own, o.Own),
 	}
 }
 
@@ -46,42 +46,42 @@
 	return a
 }
 
-// FirstHand is what a node knows by its own reads of the store alone.
-type FirstHand struct{ list, config time.Time }
+// DirectReads is what a node knows by its own reads of the store alone.
+type DirectReads struct{ list, config time.Time }
 
-// ReadList notes a read of the list as of a moment.
-func (h *FirstHand) ReadList(at time.Time) { h.list = later(h.list, at) }
+// RecordList notes a read of the list as of a moment.
+func (h *DirectReads) RecordList(at time.Time) { h.list = later(h.list, at) }
 
-// ReadConfig notes a read of the configuration as of a moment.
-func (h *FirstHand) ReadConfig(at time.Time) { h.config = later(h.config, at) }
+// RecordConfig notes a read of the configuration as of a moment.
+func (h *DirectReads) RecordConfig(at time.Time) { h.config = later(h.config, at) }
 
 // Freshness is what a node knows by its own reads, by its place among the readers.
-func (h *FirstHand) Freshness(r Ranking, node string) Freshness {
+func (h *DirectReads) Freshness(r Ranking, node string) Freshness {
 	f := Freshness{List: h.list, Config: h.config}
-	f.Own = f.Current()
-	if r.StandsIn(node) {
-		f.StandIns = f.Own
+	f.Own = f.AsOf()
+	if r.IsCandidate(node) {
+		f.Candidates = f.Own
 	}
-	if r.Usual(node) {
-		f.Readers = f.Own
+	if r.IsPrimary(node) {
+		f.Primaries = f.Own
 	}
 	return f
 }
 
 const (
-	// ReadEvery is how often a reader reads the list, AskEvery how often a node that is
+	// ReadInterval is how often a reader reads the list, AskEvery how often a node that is
 	// none asks a reader, and askStale the age of its view at which it asks another
 	// one. A reader's answer is 0.75 s old at most, and 0.35 s older when the next one
 	// is asked for.
-	ReadEvery = 700 * time.Millisecond
-	AskEvery  = 350 * time.Millisecond
-	askStale  = 1200 * time.Millisecond
+	ReadInterval = 700 * time.Millisecond
+	PollInterval = 350 * time.Millisecond
+	askStale     = 1200 * time.Millisecond
 	// sharedWait and ownWait are how long the store holds a question for changes of
 	// the configuration, of a node that reads for others and of one that reads for
 	// itself. That the configuration is still the newest is known only when the
 	// question ends, so a reader's must end about as often as it reads the list; the
 	// shorter wait is 0.8 calls a second more at each reader.
-	sharedWait = ReadEvery
+	sharedWait = ReadInterval
 	ownWait    = 1500 * time.Millisecond
 	// listOld is the age of the list from which on peers are asked for theirs.
 	listOld = 1300 * time.Millisecond
--- a/internal/core/discovery/freshness_test.go
+++ b/internal/core/discovery/freshness_test.go
@@ -9,32 +9,32 @@
 // TestOneAgeForAllThatIsRead checks that a view is as old as the older of its parts:
 // a configuration that is not confirmed any more makes it old, however fresh the list.
 func TestOneAgeForAllThatIsRead(t *testing.T) {
-	var own FirstHand
-	own.ReadList(testTime)
+	var own DirectReads
+	own.RecordList(testTime)
 	r := Rank([]string{"reader"}, nil)
-	if f := own.Freshness(r, "reader"); !f.Current().IsZero() || !f.Readers.IsZero() {
-		t.Errorf("without a configuration the view is current as of %v, of readers as of %v", f.Current(), f.Readers)
+	if f := own.Freshness(r, "reader"); !f.AsOf().IsZero() || !f.Primaries.IsZero() {
+		t.Errorf("without a configuration the view is current as of %v, of readers as of %v", f.AsOf(), f.Primaries)
 	}
-	own.ReadConfig(testTime)
+	own.RecordConfig(testTime)
 	for i := range 10 {
-		own.ReadList(testTime.Add(time.Duration(i) * time.Second))
+		own.RecordList(testTime.Add(time.Duration(i) * time.Second))
 	}
-	if f := own.Freshness(r, "reader"); !f.Current().Equal(testTime) || !f.Readers.Equal(testTime) {
-		t.Errorf("the configuration was read last at %v; the view is current as of %v, of readers as of %v", testTime, f.Current(), f.Readers)
+	if f := own.Freshness(r, "reader"); !f.AsOf().Equal(testTime) || !f.Primaries.Equal(testTime) {
+		t.Errorf("the configuration was read last at %v; the view is current as of %v, of readers as of %v", testTime, f.AsOf(), f.Primaries)
 	}
 }
 
 // TestStandInsAreNoReaders checks that what stand-ins read makes nobody believe that
 // the usual readers are back.
 func TestStandInsAreNoReaders(t *testing.T) {
-	readers := Freshness{List: testTime, Config: testTime, Readers: testTime}
-	var own FirstHand
-	own.ReadList(testTime.Add(time.Minute))
-	own.ReadConfig(testTime.Add(time.Minute))
+	readers := Freshness{List: testTime, Config: testTime, Primaries: testTime}
+	var own DirectReads
+	own.RecordList(testTime.Add(time.Minute))
+	own.RecordConfig(testTime.Add(time.Minute))
 	r := Rank(nodeNames(61), nil)
-	f := readers.Later(own.Freshness(r, r.Readers(time.Hour)[r.usual]))
-	if !f.Readers.Equal(testTime) || !f.Current().Equal(testTime.Add(time.Minute)) {
-		t.Errorf("after a stand-in's reads the view is current as of %v, of readers as of %v", f.Current(), f.Readers)
+	f := readers.Merge(own.Freshness(r, r.Readers(time.Hour)[r.usual]))
+	if !f.Primaries.Equal(testTime) || !f.AsOf().Equal(testTime.Add(time.Minute)) {
+		t.Errorf("after a stand-in's reads the view is current as of %v, of readers as of %v", f.AsOf(), f.Primaries)
 	}
 }
 
@@ -101,7 +101,7 @@
 	standInsToo bool
 	names       []string
 	index       map[string]int
-	own         []FirstHand
+	own         []DirectReads
 	known       []Freshness
 	tries       []int
 	others      []int
@@ -112,11 +112,11 @@
 	names := nodeNames(size)
 	e := &exchange{
 		ranking: Rank(names, nil), onlyConfig: onlyConfig, standInsToo: standInsToo, names: names, index: make(map[string]int),
-		own: make([]FirstHand, size), known: make([]Freshness, size), tries: make([]int, size), others: make([]int, size),
+		own: make([]DirectReads, size), known: make([]Freshness, size), tries: make([]int, size), others: make([]int, size),
 	}
 	for i, name := range names {
 		e.index[name] = i
-		e.known[i] = Freshness{List: testTime, Config: testTime, Readers: testTime, StandIns: testTime}
+		e.known[i] = Freshness{List: testTime, Config: testTime, Primaries: testTime, Candidates: testTime}
 	}
 	return e
 }
@@ -126,16 +126,16 @@
 		standIns, searching := 0, 0
 		for i := range e.names {
 			switch reads := e.step(i, at); {
-			case reads && !e.ranking.StandsIn(e.names[i]):
+			case reads && !e.ranking.IsCandidate(e.names[i]):
 				searching++
-			case reads && !e.ranking.Usual(e.names[i]):
+			case reads && !e.ranking.IsPrimary(e.names[i]):
 				standIns++
 			}
 		}
 		if searching > mostSearching || searching > searchers && !e.standInsToo {
 			t.Fatalf("%v after the start %d nodes search the store", at, searching)
 		}
-		allowed := ReadEvery + AskEvery
+		allowed := ReadInterval + PollInterval
 		if at >= lostAt && at < lostAt+foundAfter {
 			allowed += foundAfter
 		}
@@ -151,27 +151,27 @@
 // step has one node do what is due, and reports whether it reads the store.
 func (e *exchange) step(i int, at time.Duration) bool {
 	now, phase := testTime.Add(at), time.Duration(i)*exchangeStep
-	away := now.Sub(e.known[i].Readers)
+	away := now.Sub(e.known[i].Primaries)
 	name := e.names[i]
-	if (at+phase)%AskEvery == 0 && e.ranking.Overdue(now, e.known[i]) {
+	if (at+phase)%PollInterval == 0 && e.ranking.Overdue(now, e.known[i]) {
 		e.others[i]++
 		e.ask(i, e.names, e.others[i])
 	}
 	switch {
 	case e.ranking.Reads(name, now, e.known[i]):
-		if (at+phase)%ReadEvery == 0 {
+		if (at+phase)%ReadInterval == 0 {
 			e.read(i, at)
 			e.tries[i]++
 			switch {
-			case e.ranking.Usual(name):
-			case e.ranking.StandsIn(name):
+			case e.ranking.IsPrimary(name):
+			case e.ranking.IsCandidate(name):
 				e.ask(i, e.ranking.Readers(0), e.tries[i])
 			default:
 				e.ask(i, e.ranking.Readers(away), e.tries[i])
 			}
 		}
 		return true
-	case (at+phase)%AskEvery == 0:
+	case (at+phase)%PollInterval == 0:
 		if e.known[i].Stale(now) {
 			e.tries[i]++
 		}
@@ -181,20 +181,20 @@
 }
 
 func (e *exchange) read(i int, at time.Duration) {
-	lost := at >= lostAt && at < backAt && (e.ranking.Usual(e.names[i]) || e.standInsToo && e.ranking.StandsIn(e.names[i]))
+	lost := at >= lostAt && at < backAt && (e.ranking.IsPrimary(e.names[i]) || e.standInsToo && e.ranking.IsCandidate(e.names[i]))
 	if !lost || e.onlyConfig {
-		e.own[i].ReadList(testTime.Add(at))
+		e.own[i].RecordList(testTime.Add(at))
 	}
 	if !lost {
-		e.own[i].ReadConfig(testTime.Add(at))
+		e.own[i].RecordConfig(testTime.Add(at))
 		e.lastRead = at
 	}
-	e.known[i] = e.known[i].Later(e.own[i].Freshness(e.ranking, e.names[i]))
+	e.known[i] = e.known[i].Merge(e.own[i].Freshness(e.ranking, e.names[i]))
 }
 
 func (e *exchange) ask(i int, readers []string, turn int) {
 	j := e.index[ReaderFor(readers, e.names[i], turn)]
 	told := e.known[j]
 	told.Own = time.Time{}
-	e.known[i] = e.known[i].Later(told)
+	e.known[i] = e.known[i].Merge(told)
 }
--- a/internal/core/discovery/lapse.go
+++ b/internal/core/discovery/lapse.go
@@ -84,11 +84,11 @@
 	return after == before
 }
 
-// Doubted returns how many entries of a restored store are doubted.
-func (l *List) Doubted() int { return len(l.doubts.entries) }
+// Outdated returns how many entries of a restored store are doubted.
+func (l *List) Outdated() int { return len(l.doubts.entries) }
 
-// Kept returns how many endpoints are used although the store does not list them.
-func (l *List) Kept() int { return len(l.lapses.endpoints) }
+// Lapsed returns how many endpoints are used although the store does not list them.
+func (l *List) Lapsed() int { return len(l.lapses.endpoints) }
 
 // listedAfter is the list that a delta leads to.
 func (l *List) listedAfter(d Delta) map[string]catalog.Endpoint {
@@ -96,7 +96,7 @@
 	for id, k := range l.endpoints {
 		next[id] = k.endpoint
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		delete(next, id)
 	}
 	maps.Insert(next, byID(d.Changed))
--- a/internal/core/discovery/leavingworld_test.go
+++ b/internal/core/discovery/leavingworld_test.go
@@ -60,7 +60,7 @@
 type listNode struct {
 	name     string
 	list     *List
-	own      FirstHand
+	own      DirectReads
 	known    Freshness
 	nextRead time.Duration
 	nextAsk  time.Duration
@@ -100,8 +100,8 @@
 	for _, name := range names {
 		n := &listNode{
 			name: name, list: NewList(), missing: make(map[string]time.Duration), touched: -time.Hour,
-			nextRead: time.Duration(w.draw.Int64N(int64(ReadEvery))), nextAsk: time.Duration(w.draw.Int64N(int64(AskEvery))),
-			known: Freshness{Readers: testTime, StandIns: testTime},
+			nextRead: time.Duration(w.draw.Int64N(int64(ReadInterval))), nextAsk: time.Duration(w.draw.Int64N(int64(PollInterval))),
+			known: Freshness{Primaries: testTime, Candidates: testTime},
 		}
 		n.take(w.at(), w.entries(), w.revision, w.ranking)
 		w.nodes = append(w.nodes, n)
@@ -292,11 +292,11 @@
 	if w.now < n.nextAsk {
 		return
 	}
-	n.nextAsk = w.now + AskEvery
+	n.nextAsk = w.now + PollInterval
 	if n.known.Stale(now) {
 		n.silent++
 	}
-	w.ask(n, ReaderFor(w.ranking.Readers(now.Sub(n.known.Readers)), n.name, n.silent))
+	w.ask(n, ReaderFor(w.ranking.Readers(now.Sub(n.known.Primaries)), n.name, n.silent))
 	if w.ranking.Overdue(now, n.known) {
 		n.turn++
 		w.ask(n, ReaderFor(nodeNames(len(w.nodes)), n.name, n.turn))
@@ -332,30 +332,30 @@
 func (w *leavingWorld) read(n *listNode) {
 	if w.away() || w.now < n.cutUntil {
 		n.failed++
-		n.nextRead = w.now + RetryPause(true, n.failed)
+		n.nextRead = w.now + RetryDelay(true, n.failed)
 		return
 	}
 	n.failed = 0
-	n.nextRead = w.now + ReadEvery
+	n.nextRead = w.now + ReadInterval
 	stale, before := n.known.Stale(w.at()), n.list.Revision()
 	n.take(w.at(), w.entries(), w.revision, w.ranking)
 	n.renewed(stale, before)
 	n.silent++
 	switch {
-	case w.ranking.Usual(n.name):
-	case w.ranking.StandsIn(n.name):
+	case w.ranking.IsPrimary(n.name):
+	case w.ranking.IsCandidate(n.name):
 		w.ask(n, ReaderFor(w.ranking.Readers(0), n.name, n.silent))
 	default:
-		w.ask(n, ReaderFor(w.ranking.Readers(w.at().Sub(n.known.Readers)), n.name, n.silent))
+		w.ask(n, ReaderFor(w.ranking.Readers(w.at().Sub(n.known.Primaries)), n.name, n.silent))
 	}
 }
 
 // take takes the store's whole state in.
 func (n *listNode) take(at time.Time, entries []catalog.Endpoint, revision catalog.Revision, r Ranking) {
-	n.own.ReadList(at)
-	n.own.ReadConfig(at)
-	n.known = n.known.Later(n.own.Freshness(r, n.name))
-	n.list.Read(at, entries, revision)
+	n.own.RecordList(at)
+	n.own.RecordConfig(at)
+	n.known = n.known.Merge(n.own.Freshness(r, n.name))
+	n.list.ApplySnapshot(at, entries, revision)
 }
 
 // ask has a node ask another one for what is new.
@@ -364,7 +364,7 @@
 	if other == n || w.now < other.lostUntil || w.now < n.lostUntil {
 		return
 	}
-	delta := other.list.Above(n.list.Revision())
+	delta := other.list.ChangesSince(n.list.Revision())
 	if delta.Revision == 0 {
 		return
 	}
@@ -372,8 +372,8 @@
 	defer func() { n.renewed(stale, before) }()
 	told := other.known
 	told.Own = time.Time{}
-	n.known = n.known.Later(told)
-	n.list.Apply(told.List, delta)
+	n.known = n.known.Merge(told)
+	n.list.ApplyDelta(told.List, delta)
 }
 
 // inTouch reports whether nothing was done to a node or the store for the contact time.
--- a/internal/core/discovery/list.go
+++ b/internal/core/discovery/list.go
@@ -47,11 +47,11 @@
 type known struct {
 	endpoint catalog.Endpoint
 	changed  catalog.Revision
-	cold     Coldness
+	cold     ColdPeriod
 }
 
-// Coldness is from when to when an endpoint is taken to be cold.
-type Coldness struct{ Since, Until time.Time }
+// ColdPeriod is from when to when an endpoint is taken to be cold.
+type ColdPeriod struct{ Since, Until time.Time }
 
 type departed struct {
 	id      string
@@ -62,10 +62,10 @@
 type Delta struct {
 	// Revision is up to which the receiver then holds all changes.
 	Revision catalog.Revision
-	// Whole is true when Changed is the whole list.
-	Whole   bool
+	// Full is true when Changed is the whole list.
+	Full    bool
 	Changed []catalog.Endpoint
-	Gone    []string
+	Removed []string
 	// Digest is the sender's whole list in one number. An endpoint that came
 	// and went between two reads of the sender is in no delta; the digest then
 	// differs, and the receiver asks for the whole list.
@@ -94,8 +94,8 @@
 	return l.revision
 }
 
-// Current returns as of when the list was last known to be the store's.
-func (l *List) Current() time.Time { return l.current }
+// AsOf returns as of when the list was last known to be the store's.
+func (l *List) AsOf() time.Time { return l.current }
 
 // Endpoints returns the endpoints to use by id: those listed, and those whose entries
 // lapsed.
@@ -121,10 +121,10 @@
 	slices.SortFunc(list, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Read takes the store's whole list as of a revision in, as read at a time, and
+// ApplySnapshot takes the store's whole list as of a revision in, as read at a time, and
 // reports whether anything but the revision changed. An older list than the
 // present one is ignored.
-func (l *List) Read(at time.Time, endpoints []catalog.Endpoint, revision catalog.Revision) bool {
+func (l *List) ApplySnapshot(at time.Time, endpoints []catalog.Endpoint, revision catalog.Revision) bool {
 	if revision < l.revision || revision == 0 {
 		return false
 	}
@@ -204,19 +204,19 @@
 
 // coldAfter is the coldness of an endpoint whose entry is as given at a time. Its entry may
 // be older than that, so the time is counted rather too long.
-func (k known) coldAfter(at time.Time, e catalog.Endpoint) Coldness {
+func (k known) coldAfter(at time.Time, e catalog.Endpoint) ColdPeriod {
 	switch {
 	case e.Cold <= 0:
-		return Coldness{}
+		return ColdPeriod{}
 	case at.After(k.cold.Until):
-		return Coldness{Since: at, Until: at.Add(e.Cold)}
+		return ColdPeriod{Since: at, Until: at.Add(e.Cold)}
 	}
-	return Coldness{Since: k.cold.Since, Until: at.Add(e.Cold)}
+	return ColdPeriod{Since: k.cold.Since, Until: at.Add(e.Cold)}
 }
 
 // Cold returns the endpoints that are taken to be cold, by id.
-func (l *List) Cold() map[string]Coldness {
-	cold := make(map[string]Coldness)
+func (l *List) Cold() map[string]ColdPeriod {
+	cold := make(map[string]ColdPeriod)
 	for id, k := range l.endpoints {
 		if k.cold.Until.After(l.current) {
 			cold[id] = k.cold
@@ -244,15 +244,15 @@
 	}
 }
 
-// Above returns what changed above a revision, or an empty answer from a list that is
+// ChangesSince returns what changed above a revision, or an empty answer from a list that is
 // known to differ from the store's.
-func (l *List) Above(revision catalog.Revision) Delta {
+func (l *List) ChangesSince(revision catalog.Revision) Delta {
 	if l.differs {
 		return Delta{}
 	}
 	d := Delta{Revision: l.revision, Digest: l.digest}
 	if revision < l.floor || revision == 0 {
-		d.Whole = true
+		d.Full = true
 		d.Changed = l.listed()
 		sortByID(d.Changed)
 		return d
@@ -265,21 +265,21 @@
 	sortByID(d.Changed)
 	for _, g := range l.gone {
 		if _, back := l.endpoints[g.id]; g.changed > revision && !back {
-			d.Gone = append(d.Gone, g.id)
+			d.Removed = append(d.Removed, g.id)
 		}
 	}
 	return d
 }
 
-// Apply takes another node's answer in, whose list was the store's as of a time, and
+// ApplyDelta takes another node's answer in, whose list was the store's as of a time, and
 // reports whether anything but the revision changed. An answer that is behind is
 // ignored, whatever was asked for: a list never goes back. One that is not ahead still
 // renews the list. When the lists differ all the same, the whole one is asked for next.
-func (l *List) Apply(at time.Time, d Delta) bool {
+func (l *List) ApplyDelta(at time.Time, d Delta) bool {
 	switch {
 	case d.Revision == 0 || d.Revision < l.revision:
 		return false
-	case d.Whole:
+	case d.Full:
 		return l.replace(at, maps.Collect(byID(d.Changed)), d.Revision)
 	case d.Revision == l.revision:
 		l.differs = l.digest != d.Digest
@@ -300,7 +300,7 @@
 	for _, e := range d.Changed {
 		changed = l.put(at, e) || changed
 	}
-	for _, id := range d.Gone {
+	for _, id := range d.Removed {
 		if _, ok := l.endpoints[id]; ok {
 			l.remove(at, id)
 			changed = true
--- a/internal/core/discovery/list_test.go
+++ b/internal/core/discovery/list_test.go
@@ -46,11 +46,11 @@
 				revision++
 			case 2:
 				history[revision] = snapshot()
-				lists[rapid.IntRange(0, 1).Draw(rt, "reader")].Read(testTime, snapshot(), revision)
+				lists[rapid.IntRange(0, 1).Draw(rt, "reader")].ApplySnapshot(testTime, snapshot(), revision)
 			case 3:
 				to := lists[rapid.IntRange(0, nodes-1).Draw(rt, "to")]
 				from := lists[rapid.IntRange(0, nodes-1).Draw(rt, "from")]
-				to.Apply(testTime, from.Above(to.Revision()))
+				to.ApplyDelta(testTime, from.ChangesSince(to.Revision()))
 			}
 			for i, l := range lists {
 				if l.Revision() == 0 {
@@ -67,11 +67,11 @@
 // TestOldListIsIgnored checks that a list never goes back.
 func TestOldListIsIgnored(t *testing.T) {
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{{ID: "a", Draining: true}}, 7)
-	if l.Read(testTime, []catalog.Endpoint{{ID: "a"}}, 6) {
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "a", Draining: true}}, 7)
+	if l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "a"}}, 6) {
 		t.Error("an older list was taken")
 	}
-	if l.Apply(testTime, Delta{Revision: 7, Changed: []catalog.Endpoint{{ID: "a"}}}) {
+	if l.ApplyDelta(testTime, Delta{Revision: 7, Changed: []catalog.Endpoint{{ID: "a"}}}) {
 		t.Error("an answer that is not ahead was taken")
 	}
 }
@@ -83,7 +83,7 @@
 func TestLapsedEntriesComeBack(t *testing.T) {
 	a, b := catalog.Endpoint{ID: "a"}, catalog.Endpoint{ID: "b"}
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{a, b}, 1)
+	l.ApplySnapshot(testTime, []catalog.Endpoint{a, b}, 1)
 	for _, c := range []struct {
 		after  time.Duration
 		listed []catalog.Endpoint
@@ -96,7 +96,7 @@
 		{7300 * time.Millisecond, []catalog.Endpoint{a}, 1},
 		{8 * time.Second, nil, 0},
 	} {
-		l.Read(testTime.Add(c.after), c.listed, 2+catalog.Revision(c.after))
+		l.ApplySnapshot(testTime.Add(c.after), c.listed, 2+catalog.Revision(c.after))
 		if got := len(l.Endpoints()); got != c.want {
 			t.Errorf("after %v: %d endpoints, want %d", c.after, got, c.want)
 		}
--- a/internal/core/discovery/readers.go
+++ b/internal/core/discovery/readers.go
@@ -66,12 +66,12 @@
 	return r.names[:min(count, len(r.names))]
 }
 
-// Usual reports whether a node is one of the usual readers.
-func (r Ranking) Usual(node string) bool { return slices.Contains(r.Readers(0), node) }
+// IsPrimary reports whether a node is one of the usual readers.
+func (r Ranking) IsPrimary(node string) bool { return slices.Contains(r.Readers(0), node) }
 
-// StandsIn reports whether a node is a usual reader or one of those that stand in
+// IsCandidate reports whether a node is a usual reader or one of those that stand in
 // first.
-func (r Ranking) StandsIn(node string) bool { return slices.Contains(r.first(), node) }
+func (r Ranking) IsCandidate(node string) bool { return slices.Contains(r.first(), node) }
 
 func (r Ranking) first() []string { return r.names[:min(r.usual<<mostDoublings, len(r.names))] }
 
@@ -88,11 +88,11 @@
 	anyReadAfter = 5 * time.Second
 )
 
-// ReadsFirst reports whether a node that knows no list yet reads the store, a
+// ReadsAtStart reports whether a node that knows no list yet reads the store, a
 // time after its start. After all nodes were killed, whole lists for each of them at
 // once would hold all up; and while the store is away too, calls of all of them
 // would be in vain.
-func (r Ranking) ReadsFirst(node string, sinceStart time.Duration) bool {
+func (r Ranking) ReadsAtStart(node string, sinceStart time.Duration) bool {
 	turn := time.Duration(hash.Of(node) % uint64(firstReadSpread))
 	switch {
 	case len(r.names) < 2:
@@ -102,7 +102,7 @@
 	case sinceStart >= firstReadAfter:
 		return slices.Contains(r.Readers(readAge+sinceStart-firstReadAfter), node)
 	}
-	return sinceStart >= greetTime && r.Usual(node)
+	return sinceStart >= greetTime && r.IsPrimary(node)
 }
 
 // ReaderFor returns the reader that a node asks, or "" if there is none. Each try
@@ -130,19 +130,19 @@
 	longestRetry = 1200 * time.Millisecond
 )
 
-// ReadLimit is how long a read of the store may take after some that failed in a
+// ReadTimeout is how long a read of the store may take after some that failed in a
 // row, for a node that serves by what it knows or one that knows nothing yet.
-func ReadLimit(serves bool, failed int) time.Duration {
+func ReadTimeout(serves bool, failed int) time.Duration {
 	if !serves && failed < startTries {
 		return startLimit
 	}
 	return readLimit
 }
 
-// RetryPause is how long such a node waits after some calls to the store that failed
+// RetryDelay is how long such a node waits after some calls to the store that failed
 // in a row. While the store is away every call is in vain, and a second more until it
 // is found again does not count beside the time it was away.
-func RetryPause(serves bool, failed int) time.Duration {
+func RetryDelay(serves bool, failed int) time.Duration {
 	if !serves {
 		return startPause
 	}
--- a/internal/core/discovery/readers_test.go
+++ b/internal/core/discovery/readers_test.go
@@ -17,7 +17,7 @@
 
 // readsAt reports whether a node reads the store when all that it knows has an age.
 func readsAt(r Ranking, node string, age time.Duration) bool {
-	return r.Reads(node, testTime.Add(age), Freshness{List: testTime, Config: testTime, Readers: testTime, StandIns: testTime})
+	return r.Reads(node, testTime.Add(age), Freshness{List: testTime, Config: testTime, Primaries: testTime, Candidates: testTime})
 }
 
 // TestStoreAwayFromAll has the list of every node grow old, as when the store is
@@ -84,7 +84,7 @@
 	for at := time.Duration(0); at <= 7*time.Second; at += 100 * time.Millisecond {
 		reading := 0
 		for _, n := range nodes {
-			if r.ReadsFirst(n, at) {
+			if r.ReadsAtStart(n, at) {
 				reading++
 			}
 		}
@@ -102,12 +102,12 @@
 // store may be slow.
 func TestStartersTryAgainSoon(t *testing.T) {
 	for failed := range 20 {
-		starts, serves := ReadLimit(false, failed), ReadLimit(true, failed)
+		starts, serves := ReadTimeout(false, failed), ReadTimeout(true, failed)
 		if failed < 4 && starts >= serves || failed >= 4 && starts != serves {
 			t.Errorf("after %d failures a read may take %v at the start and %v later", failed, starts, serves)
 		}
-		if RetryPause(false, failed) >= RetryPause(true, failed) {
-			t.Errorf("after %d failures the pause is %v at the start and %v later", failed, RetryPause(false, failed), RetryPause(true, failed))
+		if RetryDelay(false, failed) >= RetryDelay(true, failed) {
+			t.Errorf("after %d failures the pause is %v at the start and %v later", failed, RetryDelay(false, failed), RetryDelay(true, failed))
 		}
 	}
 }
@@ -117,7 +117,7 @@
 func TestRetryPauseIsBounded(t *testing.T) {
 	before := time.Duration(0)
 	for failed := range 100 {
-		d := RetryPause(true, failed)
+		d := RetryDelay(true, failed)
 		if d < before || d < 300*time.Millisecond || d > 1200*time.Millisecond {
 			t.Errorf("%v after %d failures, %v before", d, failed, before)
 		}
@@ -181,7 +181,7 @@
 		reading := 0
 		for i := range nodes {
 			name := fmt.Sprintf("node-%d", i)
-			if Rank([]string{name}, nil).ReadsFirst(name, at) {
+			if Rank([]string{name}, nil).ReadsAtStart(name, at) {
 				reading++
 			}
 		}
@@ -193,7 +193,7 @@
 	if before != nodes {
 		t.Errorf("%d of %d nodes read in the end", before, nodes)
 	}
-	if pair := Rank([]string{"a", "b"}, nil); pair.ReadsFirst("a", 0) || !pair.ReadsFirst("a", 300*time.Millisecond) {
+	if pair := Rank([]string{"a", "b"}, nil); pair.ReadsAtStart("a", 0) || !pair.ReadsAtStart("a", 300*time.Millisecond) {
 		t.Error("a reader reads once the others had time to greet")
 	}
 }
--- a/internal/core/discovery/restored_test.go
+++ b/internal/core/discovery/restored_test.go
@@ -23,7 +23,7 @@
 	l := NewList()
 	at := testTime
 	read := func(after time.Duration, revision catalog.Revision, list ...catalog.Endpoint) {
-		l.Read(at.Add(after), list, revision)
+		l.ApplySnapshot(at.Add(after), list, revision)
 	}
 	read(0, 10, entry("stays", 1, false), entry("left", 2, false), entry("drains", 3, false))
 	read(time.Second, 20, entry("stays", 1, false), entry("drains", 15, true), entry("new", 18, false))
@@ -41,10 +41,10 @@
 		}
 	}
 	check("after the return", "drains draining=true", "new draining=false", "stays draining=false")
-	if d := l.Above(20); !d.Whole || len(d.Changed) != 3 {
+	if d := l.ChangesSince(20); !d.Full || len(d.Changed) != 3 {
 		t.Errorf("a node of the era before is told %+v, want the store's whole list", d)
 	}
-	if l.Read(at.Add(2100*time.Millisecond), nil, 999) {
+	if l.ApplySnapshot(at.Add(2100*time.Millisecond), nil, 999) {
 		t.Error("a list of the era before is taken")
 	}
 	read(3*time.Second, era(15), entry("stays", era(1), false), entry("left", era(2), false), entry("drains", era(14), true), entry("new", era(15), false))
@@ -57,9 +57,9 @@
 // of a node: the copy has the entry that the node never saw.
 func TestEntryRewrittenUnseen(t *testing.T) {
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{{ID: "left", Listed: 2}}, 2)
-	l.Read(testTime.Add(time.Second), nil, 4)
-	l.Read(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "left", Listed: catalog.RevisionOf(1, 3)}}, catalog.RevisionOf(1, 3))
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", Listed: 2}}, 2)
+	l.ApplySnapshot(testTime.Add(time.Second), nil, 4)
+	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "left", Listed: catalog.RevisionOf(1, 3)}}, catalog.RevisionOf(1, 3))
 	if got := l.Endpoints(); len(got) != 0 {
 		t.Errorf("%v is used, which had left", got)
 	}
@@ -69,10 +69,10 @@
 // lapsed, although the store was away just before.
 func TestDoubtedEntryGoes(t *testing.T) {
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{{ID: "leaves", Listed: 2}}, 2)
-	l.Read(testTime.Add(time.Second), []catalog.Endpoint{{ID: "leaves", Listed: 3, Draining: true}}, 3)
-	l.Read(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "leaves", Listed: catalog.RevisionOf(1, 2)}}, catalog.RevisionOf(1, 2))
-	l.Read(testTime.Add(3*time.Second), nil, catalog.RevisionOf(1, 3))
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "leaves", Listed: 2}}, 2)
+	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "leaves", Listed: 3, Draining: true}}, 3)
+	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "leaves", Listed: catalog.RevisionOf(1, 2)}}, catalog.RevisionOf(1, 2))
+	l.ApplySnapshot(testTime.Add(3*time.Second), nil, catalog.RevisionOf(1, 3))
 	if got := l.Endpoints(); len(got) != 0 {
 		t.Errorf("%v is kept, which was known to leave", got)
 	}
@@ -82,11 +82,11 @@
 // holds, and an endpoint that does not come back is used no longer than after any absence.
 func TestDoubtsEnd(t *testing.T) {
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{{ID: "left", Listed: 1}}, 2)
-	l.Read(testTime.Add(time.Second), []catalog.Endpoint{{ID: "new", Listed: 4}}, 4)
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", Listed: 1}}, 2)
+	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "new", Listed: 4}}, 4)
 	copied := []catalog.Endpoint{{ID: "left", Listed: catalog.RevisionOf(1, 1)}}
 	used := func(after time.Duration) (ids []string) {
-		l.Read(testTime.Add(after), copied, catalog.RevisionOf(1, 2))
+		l.ApplySnapshot(testTime.Add(after), copied, catalog.RevisionOf(1, 2))
 		for _, e := range l.Endpoints() {
 			ids = append(ids, e.ID)
 		}
@@ -208,13 +208,13 @@
 					knew[e.ID] = !e.Draining
 				}
 				sameEra := l.revision.Era() == store.era
-				l.Read(now, store.list(), store.revision())
+				l.ApplySnapshot(now, store.list(), store.revision())
 				if l.revision < before {
 					rt.Fatalf("node %d went back from %v to %v", n, before, l.revision)
 				}
 				for id, took := range knew {
 					e, listed := store.rows[id]
-					if sameEra && took && (!listed || e.Draining) && l.Kept() == 0 {
+					if sameEra && took && (!listed || e.Draining) && l.Lapsed() == 0 {
 						closed[key{n, id}] = written[id]
 					}
 				}
@@ -222,7 +222,7 @@
 				to := rapid.IntRange(0, len(nodes)-1).Draw(rt, "to")
 				from := nodes[rapid.IntRange(0, len(nodes)-1).Draw(rt, "from")]
 				before := nodes[to].revision
-				nodes[to].Apply(now, from.Above(nodes[to].Revision()))
+				nodes[to].ApplyDelta(now, from.ChangesSince(nodes[to].Revision()))
 				if nodes[to].revision < before {
 					rt.Fatalf("node %d went back from %v to %v", to, before, nodes[to].revision)
 				}
@@ -230,8 +230,8 @@
 			note()
 		}
 		for n, l := range nodes {
-			l.Read(now, store.list(), store.revision())
-			l.Read(now.Add(2*doubtTime), store.list(), store.revision())
+			l.ApplySnapshot(now, store.list(), store.revision())
+			l.ApplySnapshot(now.Add(2*doubtTime), store.list(), store.revision())
 			if got := l.Endpoints(); !slices.Equal(got, store.list()) {
 				rt.Fatalf("node %d holds %v at last, the store lists %v", n, got, store.list())
 			}
@@ -244,30 +244,30 @@
 func TestEvacuationsOfARestoredStore(t *testing.T) {
 	now := testTime
 	v := Evacuations{}.Replace(now, 5, []string{"a", "b"})
-	v = v.Change(now, 7, []EvacuationChange{{Domain: "b", Ended: true}})
+	v = v.ApplyChanges(now, 7, []EvacuationChange{{Domain: "b", Ended: true}})
 	v = v.Replace(now.Add(time.Second), catalog.RevisionOf(1, 5), []string{"b"})
-	if !v.Has("a") || !v.Has("b") || !slices.Equal(v.Listed(), []string{"b"}) {
+	if !v.Contains("a") || !v.Contains("b") || !slices.Equal(v.Listed(), []string{"b"}) {
 		t.Errorf("after the return: %v evacuated, %v listed", v.Domains(), v.Listed())
 	}
-	again := v.Change(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a"}}).Settle(now.Add(time.Hour))
-	if !again.Has("a") {
+	again := v.ApplyChanges(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a"}}).Expire(now.Add(time.Hour))
+	if !again.Contains("a") {
 		t.Error("an evacuation that was written again is over")
 	}
-	if over := again.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Has("a") || over.EndedAt("a").IsZero() {
+	if over := again.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Contains("a") || over.EndedAt("a").IsZero() {
 		t.Error("an evacuation that was written again and taken back holds on")
 	}
 	listed := v.Replace(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []string{"a"})
-	if over := listed.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Has("a") {
+	if over := listed.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Contains("a") {
 		t.Error("the same as told by another node holds on")
 	}
-	taken := v.Change(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
-	if taken.Has("a") || taken.EndedAt("a").IsZero() {
+	taken := v.ApplyChanges(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
+	if taken.Contains("a") || taken.EndedAt("a").IsZero() {
 		t.Error("an evacuation that was taken back holds on")
 	}
-	if held := v.Settle(now.Add(heldFor)); !held.Has("a") {
+	if held := v.Expire(now.Add(heldFor)); !held.Contains("a") {
 		t.Error("an evacuation ends before its time to be written again is over")
 	}
-	if over := v.Settle(now.Add(time.Second + heldFor)); over.Has("a") || over.EndedAt("a").IsZero() {
+	if over := v.Expire(now.Add(time.Second + heldFor)); over.Contains("a") || over.EndedAt("a").IsZero() {
 		t.Error("an evacuation that is not written again holds for ever")
 	}
 	if v.Replace(now, 999, nil).Revision() != v.Revision() {
--- a/internal/core/discovery/search.go
+++ b/internal/core/discovery/search.go
@@ -26,8 +26,8 @@
 // Reads reports whether a node reads the store itself: as one of the usual readers, in
 // their place, or, when none of all these reaches the store, in its turn.
 func (r Ranking) Reads(node string, now time.Time, f Freshness) bool {
-	away := now.Sub(f.Readers)
-	searching := now.Sub(f.StandIns) > searchAge
+	away := now.Sub(f.Primaries)
+	searching := now.Sub(f.Candidates) > searchAge
 	switch {
 	case !searching:
 		return slices.Contains(r.Readers(away), node)
@@ -35,7 +35,7 @@
 		return true
 	}
 	steady := r.steady()
-	return slices.Contains(steady, node) || searches(r.names[len(steady):], node, now.Sub(f.Current()))
+	return slices.Contains(steady, node) || searches(r.names[len(steady):], node, now.Sub(f.AsOf()))
 }
 
 // steady are the readers that go on trying during a search.
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -183,7 +183,7 @@
 	took := w.until(6*time.Second, "all have version 7", func() bool {
 		done := true
 		for _, n := range w.nodes {
-			if _, v := n.HigherConfig(); v > 0 {
+			if _, v := n.NewerConfig(); v > 0 {
 				n.SetConfigVersion(v)
 			}
 			done = done && n.config == 7
@@ -202,7 +202,7 @@
 	w.until(time.Second, "all have revision 7", func() bool {
 		done := true
 		for _, n := range w.nodes {
-			if name, v := n.HigherList(); v > 0 {
+			if name, v := n.NewerList(); v > 0 {
 				if w.nodes[name].list != v {
 					t.Fatalf("%s is said to have revision %d, and has %d", name, v, w.nodes[name].list)
 				}
--- a/internal/core/member/network_test.go
+++ b/internal/core/member/network_test.go
@@ -56,7 +56,7 @@
 	w.nodes[name] = n
 }
 
-func (w *network) deliver(from string, sends []Send) {
+func (w *network) deliver(from string, sends []Message) {
 	for _, s := range sends {
 		frame, err := wire.Append(nil, s.Gossip)
 		if err != nil {
@@ -115,7 +115,7 @@
 		if w.paused[name] {
 			continue
 		}
-		if n.Live() != live || len(n.Entries()) != live {
+		if n.LiveCount() != live || len(n.Entries()) != live {
 			return false
 		}
 	}
--- a/internal/core/member/node.go
+++ b/internal/core/member/node.go
@@ -14,13 +14,13 @@
 // The times of the protocol. Silence, suspicion and one interval together
 // stay under 5 s.
 const (
-	FlushInterval  = 100 * time.Millisecond
-	BeatInterval   = time.Second
-	silence        = 2200 * time.Millisecond
-	suspicion      = 1500 * time.Millisecond
-	courtesyPeriod = 3 * time.Second
-	probeInterval  = time.Second
-	forgetAfter    = 2 * time.Hour
+	FlushInterval     = 100 * time.Millisecond
+	HeartbeatInterval = time.Second
+	silence           = 2200 * time.Millisecond
+	suspicion         = 1500 * time.Millisecond
+	courtesyPeriod    = 3 * time.Second
+	probeInterval     = time.Second
+	forgetAfter       = 2 * time.Hour
 )
 
 // maxRecords bounds the member records of one message.
@@ -43,15 +43,15 @@
 // startPace for startTime: after a loss of all power every member has to learn
 // of every other, and until then they don't agree on who leads what.
 var (
-	usualPace = pace{beat: BeatInterval, records: 192, listings: 2, mismatches: 3, listingGap: 5 * time.Second}
+	usualPace = pace{beat: HeartbeatInterval, records: 192, listings: 2, mismatches: 3, listingGap: 5 * time.Second}
 	startPace = pace{beat: 200 * time.Millisecond, records: 1024, listings: 8, mismatches: 1, listingGap: 400 * time.Millisecond}
 )
 
 const startTime = 4 * time.Second
 
-// Send asks the shell to send a message to a node. Without an address it
+// Message asks the shell to send a message to a node. Without an address it
 // answers the message that was just received.
-type Send struct {
+type Message struct {
 	Node    string
 	Address string
 	Gossip  wire.Gossip
@@ -143,7 +143,7 @@
 		return
 	}
 	n.config = v
-	n.BeatSoon()
+	n.RequestHeartbeat()
 }
 
 // SetListRevision tells the revision of the list of endpoints in force here, with the
@@ -151,24 +151,24 @@
 func (n *Node) SetListRevision(v uint64, atOnce bool) {
 	n.list = v
 	if atOnce {
-		n.BeatSoon()
+		n.RequestHeartbeat()
 	}
 }
 
-// BeatSoon has the next tick send a beat on each link.
-func (n *Node) BeatSoon() {
+// RequestHeartbeat has the next tick send a beat on each link.
+func (n *Node) RequestHeartbeat() {
 	for _, l := range n.links {
 		l.wantBeat = true
 	}
 }
 
-// HigherConfig returns a node that is known to have a configuration above
+// NewerConfig returns a node that is known to have a configuration above
 // this one's, and its version.
-func (n *Node) HigherConfig() (node string, version uint64) { return highest(n.higher, n.config) }
+func (n *Node) NewerConfig() (node string, version uint64) { return highest(n.higher, n.config) }
 
-// HigherList returns a node that is known to have a list of endpoints of a revision
+// NewerList returns a node that is known to have a list of endpoints of a revision
 // above this one's, and that revision.
-func (n *Node) HigherList() (node string, revision uint64) { return highest(n.higherList, n.list) }
+func (n *Node) NewerList() (node string, revision uint64) { return highest(n.higherList, n.list) }
 
 // highest returns the node that told the highest version, if it is above one's own.
 func highest(told map[string]uint64, own uint64) (node string, version uint64) {
@@ -233,9 +233,9 @@
 	}
 }
 
-// Changed reports whether members, entries or endpoints changed since the
+// PollChanged reports whether members, entries or endpoints changed since the
 // last call.
-func (n *Node) Changed() bool {
+func (n *Node) PollChanged() bool {
 	c := n.changed
 	n.changed = false
 	return c
@@ -251,9 +251,9 @@
 	return list
 }
 
-// Live returns the number of members that are alive or suspect, itself
+// LiveCount returns the number of members that are alive or suspect, itself
 // included.
-func (n *Node) Live() int {
+func (n *Node) LiveCount() int {
 	n.rebuildRing()
 	return len(n.ring)
 }
@@ -369,8 +369,8 @@
 	return ""
 }
 
-// LiveAt reports whether a member that is alive or suspect has the address.
-func (n *Node) LiveAt(address string) bool {
+// HasLiveAddress reports whether a member that is alive or suspect has the address.
+func (n *Node) HasLiveAddress(address string) bool {
 	for _, r := range n.records {
 		if r.m.Address == address && !ended(r.m.State) {
 			return true
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -9,7 +9,7 @@
 )
 
 // Receive takes a message in and returns direct answers to its sender.
-func (n *Node) Receive(now time.Time, g wire.Gossip) []Send {
+func (n *Node) Receive(now time.Time, g wire.Gossip) []Message {
 	if g.Node == n.self.Node {
 		return nil
 	}
@@ -32,7 +32,7 @@
 		out := n.header()
 		out.Courtesy = true
 		out.Members = []wire.Member{r.m, n.self}
-		return []Send{{Node: g.Node, Address: r.m.Address, Gossip: out}}
+		return []Message{{Node: g.Node, Address: r.m.Address, Gossip: out}}
 	}
 	n.heard(now, r, g)
 	note(n.higher, g.Node, g.ConfigVersion, n.config)
@@ -57,12 +57,12 @@
 // one before it has given that up; the two could lead side by side until then.
 // The sender's address is not known, so the answer goes back the way the message
 // came.
-func (n *Node) answerStranger(g wire.Gossip) []Send {
+func (n *Node) answerStranger(g wire.Gossip) []Message {
 	if g.Courtesy || ended(n.self.State) || n.listings == 0 {
 		return nil
 	}
 	n.listings--
-	return []Send{n.greeting(Seed{Node: g.Node})}
+	return []Message{n.greeting(Seed{Node: g.Node})}
 }
 
 // heard counts the message as a sign of life of the incarnation that sent it.
@@ -209,7 +209,7 @@
 
 // answerListing sends what the listing lacks, and this node's own listing if
 // it holds something newer.
-func (n *Node) answerListing(r *record, g wire.Gossip) []Send {
+func (n *Node) answerListing(r *record, g wire.Gossip) []Message {
 	theirs := make(map[string]wire.RecordVersion, len(g.Listing))
 	behind := false
 	for _, v := range g.Listing {
@@ -256,7 +256,7 @@
 		n.listings--
 		out.Listing = n.listing()
 	}
-	return []Send{{Node: g.Node, Address: r.m.Address, Gossip: out}}
+	return []Message{{Node: g.Node, Address: r.m.Address, Gossip: out}}
 }
 
 func memberOf(v wire.RecordVersion) wire.Member {
--- a/internal/core/member/slow_test.go
+++ b/internal/core/member/slow_test.go
@@ -102,7 +102,7 @@
 func (w *slowNetwork) beat(n *slowNode) {
 	w.work(n, perMessage)
 	sends := n.Tick(w.now)
-	if n.Live() < 2 {
+	if n.LiveCount() < 2 {
 		sends = append(sends, n.Join()...)
 	}
 	w.send(n, sends)
@@ -118,7 +118,7 @@
 	return n.free
 }
 
-func (w *slowNetwork) send(from *slowNode, sends []Send) {
+func (w *slowNetwork) send(from *slowNode, sends []Message) {
 	for _, s := range sends {
 		to := w.byAt[s.Node]
 		frame, err := wire.Append(nil, s.Gossip)
--- a/internal/core/member/start_test.go
+++ b/internal/core/member/start_test.go
@@ -63,7 +63,7 @@
 	for _, i := range killed {
 		w.deliver(nodeName(i), w.nodes[nodeName(i)].Join())
 	}
-	w.until(BeatInterval+2*FlushInterval, "the groups become one", func() bool { return w.all(7) && w.onlyIncarnation(killed, 2) })
+	w.until(HeartbeatInterval+2*FlushInterval, "the groups become one", func() bool { return w.all(7) && w.onlyIncarnation(killed, 2) })
 }
 
 // onlyIncarnation reports whether all nodes know members by an incarnation.
--- a/internal/core/member/tick.go
+++ b/internal/core/member/tick.go
@@ -9,7 +9,7 @@
 
 // Tick watches neighbors, ends suspicions and returns the messages that are
 // due. The shell calls it every FlushInterval.
-func (n *Node) Tick(now time.Time) []Send {
+func (n *Node) Tick(now time.Time) []Message {
 	n.updateLinks(now)
 	n.watch(now)
 	beat := !now.Before(n.nextBeat)
@@ -19,7 +19,7 @@
 		n.allowance = n.pace.records
 		n.listings = n.pace.listings
 	}
-	var sends []Send
+	var sends []Message
 	for _, name := range n.linkNames() {
 		l := n.links[name]
 		if beat || l.wantBeat || l.self || l.members.len() > 0 && n.allowance > 0 || len(l.endpoints) > 0 {
@@ -114,7 +114,7 @@
 }
 
 // message builds the next message for a link.
-func (n *Node) message(now time.Time, name string, l *link, beat bool) Send {
+func (n *Node) message(now time.Time, name string, l *link, beat bool) Message {
 	l.wantBeat = false
 	g := n.header()
 	g.Courtesy = !l.neighbor
@@ -138,7 +138,7 @@
 		n.listings--
 		g.Listing = n.listing()
 	}
-	return Send{Node: name, Address: l.address, Gossip: g}
+	return Message{Node: name, Address: l.address, Gossip: g}
 }
 
 func (n *Node) header() wire.Gossip {
@@ -158,8 +158,8 @@
 
 // Join greets all seeds at once; the shell calls it at its start, so that the
 // node knows the others before its first beats have found them.
-func (n *Node) Join() []Send {
-	sends := make([]Send, 0, len(n.seeds))
+func (n *Node) Join() []Message {
+	sends := make([]Message, 0, len(n.seeds))
 	for _, s := range n.seeds {
 		if s.Node != n.self.Node {
 			sends = append(sends, n.greeting(s))
@@ -170,17 +170,17 @@
 
 // greeting tells an instance of the platform's list about this node, and asks
 // for what it knows.
-func (n *Node) greeting(s Seed) Send {
+func (n *Node) greeting(s Seed) Message {
 	g := n.header()
 	g.Courtesy = true
 	g.Members = []wire.Member{n.self}
 	g.Listing = n.listing()
-	return Send{Node: s.Node, Address: s.Address, Gossip: g}
+	return Message{Node: s.Node, Address: s.Address, Gossip: g}
 }
 
 // probe greets one instance of the platform's list that is unknown or ended,
 // or one ended member, so that new and cut-off nodes are found.
-func (n *Node) probe(sends []Send) []Send {
+func (n *Node) probe(sends []Message) []Message {
 	if ended(n.self.State) || n.listings == 0 {
 		return sends
 	}
--- a/internal/core/poison/guard.go
+++ b/internal/core/poison/guard.go
@@ -12,29 +12,29 @@
 // Report is what one node tells the owners of a request.
 type Report struct {
 	Request ID
-	// Ends are all that it knows under the request.
-	Ends []End
+	// Crashes are all that it knows under the request.
+	Crashes []Crash
 	// Served tells that the request was served well, so that no end counts against it.
 	Served bool
 }
 
 // Outcome is what follows from what a node learned.
 type Outcome struct {
-	// Ask are endpoints to be asked whether they take connections, since runs of this node
-	// broke off there, and Check those that other nodes said have ended. The answers go to
+	// Probe are endpoints to be asked whether they take connections, since runs of this node
+	// broke off there, and Verify those that other nodes said have ended. The answers go to
 	// Guard.Probed.
-	Ask, Check []catalog.Endpoint
-	// Found is what became known of broken runs.
-	Found []Finding
-	// Tell goes to the owners of each request.
-	Tell []Report
-	// Refused requests are refused from now on, Heard ones too, by another node's word;
+	Probe, Verify []catalog.Endpoint
+	// Findings is what became known of broken runs.
+	Findings []Finding
+	// Reports goes to the owners of each request.
+	Reports []Report
+	// Refused requests are refused from now on, RefusedByPeers ones too, by another node's word;
 	// Pardoned ones are not any more.
-	Refused, Heard, Pardoned []ID
-	// Spread has all neighbors told what is new soon.
-	Spread bool
-	// Answer has the node whose word it was told what it does not know.
-	Answer bool
+	Refused, RefusedByPeers, Pardoned []ID
+	// GossipSoon has all neighbors told what is new soon.
+	GossipSoon bool
+	// Reply has the node whose word it was told what it does not know.
+	Reply bool
 }
 
 // Guard is one node's part in finding and refusing the requests that crash endpoints. It is
@@ -45,7 +45,7 @@
 // break off and an owner of the request that it told; or when the list of endpoints tells
 // it.
 type Guard struct {
-	watch  *Watch
+	watch  *Detector
 	ledger *Ledger
 	// list is the last list of endpoints.
 	list []catalog.Endpoint
@@ -62,7 +62,7 @@
 // doubt is a reported end that is not agreed yet.
 type doubt struct {
 	request ID
-	end     End
+	end     Crash
 }
 
 // check is what this node found out about an endpoint that another one said has ended.
@@ -101,7 +101,7 @@
 // interval of the heartbeat, or the usual one if it is 0.
 func NewGuard(heartbeat time.Duration) *Guard {
 	return &Guard{
-		watch: NewWatch(heartbeat), ledger: NewLedger(), alone: true,
+		watch: NewDetector(heartbeat), ledger: NewLedger(), alone: true,
 		doubts: make(map[string][]doubt), checked: newLRU[string, check](mostChecked), served: newLRU[ID, time.Time](mostServed),
 	}
 }
@@ -116,8 +116,8 @@
 	return lru
 }
 
-// SetAlone tells whether there are no other nodes.
-func (g *Guard) SetAlone(alone bool) { g.alone = alone }
+// SetSingleNode tells whether there are no other nodes.
+func (g *Guard) SetSingleNode(alone bool) { g.alone = alone }
 
 // Refused reports whether a request is refused, and for how long still.
 func (g *Guard) Refused(now time.Time, id ID) (time.Duration, bool) { return g.ledger.Refused(now, id) }
@@ -125,7 +125,7 @@
 // Suspected reports whether so many endpoints ended under a request, as far as this node
 // knows, that it is to be kept apart from others.
 func (g *Guard) Suspected(now time.Time, id ID) bool {
-	return len(g.ledger.Ends(now, id)) >= endsToPart
+	return len(g.ledger.Crashes(now, id)) >= endsToPart
 }
 
 // Sizes returns how many requests are suspects, and how many refusals are known.
@@ -133,26 +133,26 @@
 	return g.ledger.Suspects(), g.ledger.Refusals().Len()
 }
 
-// Ends lists the endpoints that ended under a request, as far as this node knows.
-func (g *Guard) Ends(now time.Time, id ID) []string {
+// Crashes lists the endpoints that ended under a request, as far as this node knows.
+func (g *Guard) Crashes(now time.Time, id ID) []string {
 	var list []string
-	for _, e := range g.ledger.Ends(now, id) {
+	for _, e := range g.ledger.Crashes(now, id) {
 		list = append(list, e.Endpoint)
 	}
 	return list
 }
 
-// Broke takes in that runs broke off at an endpoint that is not leaving.
-func (g *Guard) Broke(now time.Time, e catalog.Endpoint, l Length, requests ...ID) Outcome {
-	if !g.watch.Broke(now, e, l, requests...) {
+// RecordBrokenRuns takes in that runs broke off at an endpoint that is not leaving.
+func (g *Guard) RecordBrokenRuns(now time.Time, e catalog.Endpoint, l RunLength, requests ...ID) Outcome {
+	if !g.watch.RecordBrokenRuns(now, e, l, requests...) {
 		return Outcome{}
 	}
-	return Outcome{Ask: []catalog.Endpoint{e}}
+	return Outcome{Probe: []catalog.Endpoint{e}}
 }
 
-// Probed takes in whether an endpoint refused a connection.
-func (g *Guard) Probed(now time.Time, endpoint string, refuses bool) Outcome {
-	out := Outcome{Found: g.watch.Probed(now, endpoint, refuses)}
+// RecordProbe takes in whether an endpoint refused a connection.
+func (g *Guard) RecordProbe(now time.Time, endpoint string, refuses bool) Outcome {
+	out := Outcome{Findings: g.watch.RecordProbe(now, endpoint, refuses)}
 	g.checked.Add(endpoint, check{at: now, ended: refuses})
 	waiting := g.doubts[endpoint]
 	delete(g.doubts, endpoint)
@@ -165,11 +165,11 @@
 	return out
 }
 
-// Listed takes in a list of endpoints that was current at a moment.
-func (g *Guard) Listed(now, current time.Time, list []catalog.Endpoint) Outcome {
+// UpdateEndpoints takes in a list of endpoints that was current at a moment.
+func (g *Guard) UpdateEndpoints(now, current time.Time, list []catalog.Endpoint) Outcome {
 	var out Outcome
 	g.list = list
-	out.Found, out.Ask = g.watch.Listed(now, current, list)
+	out.Findings, out.Probe = g.watch.UpdateEndpoints(now, current, list)
 	g.count(now, &out)
 	return out
 }
@@ -177,29 +177,29 @@
 // count counts what was found here, and has the owners told of it and of all that is known
 // here: one that came to own a request lately learns the earlier ends too.
 func (g *Guard) count(now time.Time, out *Outcome) {
-	for _, f := range out.Found {
+	for _, f := range out.Findings {
 		f.Requests = slices.DeleteFunc(slices.Clone(f.Requests), func(id ID) bool { return g.servedLately(now, id) })
-		e := End{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, Among: g.among(f.Endpoint.Service), Sure: f.Listed, Alive: !f.Ended}
+		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, Among: g.among(f.Endpoint.Service), Sure: f.FromList, Alive: !f.Crashed}
 		for _, id := range f.Requests {
-			r := Report{Request: id, Ends: append(g.ledger.Ends(now, id), e)}
+			r := Report{Request: id, Crashes: append(g.ledger.Crashes(now, id), e)}
 			g.end(now, id, e, e.Sure || g.alone, out)
-			out.Tell = append(out.Tell, r)
+			out.Reports = append(out.Reports, r)
 		}
 	}
 }
 
 // end takes in an end under a request.
-func (g *Guard) end(now time.Time, id ID, e End, agreed bool, out *Outcome) {
+func (g *Guard) end(now time.Time, id ID, e Crash, agreed bool, out *Outcome) {
 	if e.Alive {
-		if g.ledger.TakeBack(now, id, e.Endpoint) {
+		if g.ledger.RetractCrash(now, id, e.Endpoint) {
 			out.Pardoned = append(out.Pardoned, id)
-			out.Spread = true
+			out.GossipSoon = true
 		}
 		return
 	}
-	if !g.servedLately(now, id) && g.ledger.End(now, id, e, agreed) {
+	if !g.servedLately(now, id) && g.ledger.AddCrash(now, id, e, agreed) {
 		out.Refused = append(out.Refused, id)
-		out.Spread = true
+		out.GossipSoon = true
 	}
 }
 
@@ -220,31 +220,31 @@
 	return ok && now.Sub(at) < servedFor
 }
 
-// Served takes in that a request was served well: it crashes nothing.
-func (g *Guard) Served(now time.Time, id ID) Outcome {
+// RecordSuccess takes in that a request was served well: it crashes nothing.
+func (g *Guard) RecordSuccess(now time.Time, id ID) Outcome {
 	var out Outcome
 	g.served.Add(id, now)
-	if len(g.ledger.Ends(now, id)) == 0 && !g.ledger.Refusals().Knows(id) {
+	if len(g.ledger.Crashes(now, id)) == 0 && !g.ledger.Refusals().Contains(id) {
 		return out
 	}
 	g.pardon(now, id, &out)
-	out.Tell = []Report{{Request: id, Served: true}}
+	out.Reports = []Report{{Request: id, Served: true}}
 	return out
 }
 
 // pardon forgets the ends under a request that was served well.
 func (g *Guard) pardon(now time.Time, id ID, out *Outcome) {
-	if g.ledger.Served(now, id) {
+	if g.ledger.RecordSuccess(now, id) {
 		out.Pardoned = append(out.Pardoned, id)
-		out.Spread = true
+		out.GossipSoon = true
 	}
 }
 
-// Reported takes in what other nodes tell the owners of requests.
-func (g *Guard) Reported(now time.Time, reports []Report) Outcome {
+// HandleReports takes in what other nodes tell the owners of requests.
+func (g *Guard) HandleReports(now time.Time, reports []Report) Outcome {
 	var out Outcome
 	for _, r := range reports {
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			g.doubt(now, r.Request, e, &out)
 		}
 		if r.Served {
@@ -255,7 +255,7 @@
 }
 
 // doubt finds out whether a reported end is one for this node too.
-func (g *Guard) doubt(now time.Time, id ID, e End, out *Outcome) {
+func (g *Guard) doubt(now time.Time, id ID, e Crash, out *Outcome) {
 	if e.Sure || e.Alive {
 		g.end(now, id, e, true, out)
 		return
@@ -268,20 +268,20 @@
 	}
 	waiting := g.doubts[e.Endpoint]
 	if len(waiting) == 0 {
-		out.Check = append(out.Check, catalog.Endpoint{ID: e.Endpoint, Address: e.Address})
+		out.Verify = append(out.Verify, catalog.Endpoint{ID: e.Endpoint, Address: e.Address})
 	}
 	if len(waiting) < mostDoubts {
 		g.doubts[e.Endpoint] = append(waiting, doubt{request: id, end: e})
 	}
 }
 
-// Heard takes in what another node tells with a heartbeat: the sum over the refusals that
+// HandleGossip takes in what another node tells with a heartbeat: the sum over the refusals that
 // it knows, and those that may be new here.
-func (g *Guard) Heard(now time.Time, from string, sum uint64, told []Refusal) Outcome {
+func (g *Guard) HandleGossip(now time.Time, from string, sum uint64, told []Refusal) Outcome {
 	refusals := g.ledger.Refusals()
-	out := Outcome{Heard: refusals.Take(now, told), Spread: len(told) > 0}
-	out.Heard = slices.DeleteFunc(out.Heard, func(id ID) bool { return g.objects(now, id, &out) })
-	out.Answer = refusals.Compare(now, from, sum)
+	out := Outcome{RefusedByPeers: refusals.Merge(now, told), GossipSoon: len(told) > 0}
+	out.RefusedByPeers = slices.DeleteFunc(out.RefusedByPeers, func(id ID) bool { return g.objects(now, id, &out) })
+	out.Reply = refusals.NeedsUpdate(now, from, sum)
 	return out
 }
 
@@ -289,21 +289,21 @@
 // the first end that counts against it.
 func (g *Guard) objects(now time.Time, id ID, out *Outcome) bool {
 	at, ok := g.served.Peek(id)
-	if !ok || !at.After(g.ledger.Refusals().Since(id)) {
+	if !ok || !at.After(g.ledger.Refusals().FirstCrash(id)) {
 		return false
 	}
 	g.pardon(now, id, out)
-	out.Tell = append(out.Tell, Report{Request: id, Served: true})
+	out.Reports = append(out.Reports, Report{Request: id, Served: true})
 	return true
 }
 
-// News returns what a node is told with a heartbeat: the sum over the refusals known here,
+// NextUpdates returns what a node is told with a heartbeat: the sum over the refusals known here,
 // and most of those that it was not told yet.
-func (g *Guard) News(now time.Time, to string, most int) (sum uint64, news []Refusal) {
+func (g *Guard) NextUpdates(now time.Time, to string, most int) (sum uint64, news []Refusal) {
 	refusals := g.ledger.Refusals()
-	return refusals.Sum(now), refusals.News(now, to, most)
+	return refusals.Checksum(now), refusals.NextUpdates(now, to, most)
 }
 
 // ForgetPeers drops what the nodes were told that are gone: one that comes back is told all
 // anew.
-func (g *Guard) ForgetPeers(gone func(node string) bool) { g.ledger.Refusals().Forget(gone) }
+func (g *Guard) ForgetPeers(gone func(node string) bool) { g.ledger.Refusals().ForgetPeers(gone) }
--- a/internal/core/poison/identity.go
+++ b/internal/core/poison/identity.go
@@ -46,8 +46,8 @@
 	return id
 }
 
-// IDOf returns the ID of some bytes, as a node tells it another one.
-func IDOf(b []byte) (ID, error) {
+// ParseID returns the ID of some bytes, as a node tells it another one.
+func ParseID(b []byte) (ID, error) {
 	var id ID
 	if len(b) != idSize {
 		return id, fmt.Errorf("a request's identity has %d bytes, not %d", len(b), idSize)
--- a/internal/core/poison/identity_test.go
+++ b/internal/core/poison/identity_test.go
@@ -37,10 +37,10 @@
 // TestIDOf checks that an identity survives being told, and that others are refused.
 func TestIDOf(t *testing.T) {
 	id := Identify(Content{Caller: "clinics"})
-	if got, err := IDOf(id[:]); err != nil || got != id {
+	if got, err := ParseID(id[:]); err != nil || got != id {
 		t.Errorf("got %v, %v", got, err)
 	}
-	if _, err := IDOf(id[:5]); err == nil {
+	if _, err := ParseID(id[:5]); err == nil {
 		t.Error("five bytes were taken for an identity")
 	}
 }
--- a/internal/core/poison/ledger.go
+++ b/internal/core/poison/ledger.go
@@ -62,15 +62,15 @@
 
 // counted is an end under a request.
 type counted struct {
-	End
+	Crash
 	at time.Time
 	// agreed ends were found by two nodes, or by the list; the others tell only that this
 	// node can't reach the endpoint.
 	agreed bool
 }
 
-// End is an endpoint that ended while a request ran there, as nodes tell each other.
-type End struct {
+// Crash is an endpoint that ended while a request ran there, as nodes tell each other.
+type Crash struct {
 	Endpoint string
 	Address  string
 	// Among is how many endpoints serve the same.
@@ -93,10 +93,10 @@
 // Suspects returns how many requests ends are remembered of.
 func (l *Ledger) Suspects() int { return l.suspects.Len() }
 
-// End counts an endpoint's end under a request, once for each life of an endpoint, and
+// AddCrash counts an endpoint's end under a request, once for each life of an endpoint, and
 // reports whether the request is refused from now on and was not before. Only ends that
 // are agreed count for that.
-func (l *Ledger) End(now time.Time, id ID, e End, agreed bool) bool {
+func (l *Ledger) AddCrash(now time.Time, id ID, e Crash, agreed bool) bool {
 	s, ok := l.suspects.Get(id)
 	if !ok {
 		s = &suspect{}
@@ -106,7 +106,7 @@
 	if !l.ended.Contains(e.Endpoint) {
 		l.ended.Add(e.Endpoint, now)
 	}
-	if !s.add(counted{End: e, at: now, agreed: agreed}) {
+	if !s.add(counted{Crash: e, at: now, agreed: agreed}) {
 		return false
 	}
 	if s.agreed() < l.needed(s, e.Among) && !(agreed && l.refusals.OnProbation(now, id)) {
@@ -171,10 +171,10 @@
 	s.ends = slices.DeleteFunc(s.ends, func(e counted) bool { return now.Sub(e.at) >= endLife })
 }
 
-// TakeBack forgets an end that was none, and reports whether the request is refused no
+// RetractCrash forgets an end that was none, and reports whether the request is refused no
 // more that was before. Only a node at which it was refused by that end pardons it: others
 // know fewer of its ends.
-func (l *Ledger) TakeBack(now time.Time, id ID, endpoint string) bool {
+func (l *Ledger) RetractCrash(now time.Time, id ID, endpoint string) bool {
 	s, ok := l.suspects.Peek(id)
 	if !ok {
 		return false
@@ -187,23 +187,23 @@
 	return agreed >= fewestEnds && s.agreed() < fewestEnds && l.refusals.Pardon(now, id)
 }
 
-// Served takes in that a request was served well, so that no end counts against it. It
+// RecordSuccess takes in that a request was served well, so that no end counts against it. It
 // reports whether the request is refused no more that was before.
-func (l *Ledger) Served(now time.Time, id ID) bool {
+func (l *Ledger) RecordSuccess(now time.Time, id ID) bool {
 	l.suspects.Remove(id)
 	return l.refusals.Pardon(now, id)
 }
 
-// Ends lists the ends under a request. Those that are agreed are sure.
-func (l *Ledger) Ends(now time.Time, id ID) []End {
+// Crashes lists the ends under a request. Those that are agreed are sure.
+func (l *Ledger) Crashes(now time.Time, id ID) []Crash {
 	s, ok := l.suspects.Peek(id)
 	if !ok {
 		return nil
 	}
 	s.expire(now)
-	list := make([]End, len(s.ends))
+	list := make([]Crash, len(s.ends))
 	for i, e := range s.ends {
-		list[i] = e.End
+		list[i] = e.Crash
 		list[i].Sure = e.Sure || e.agreed
 	}
 	return list
@@ -211,5 +211,5 @@
 
 // Refused reports whether a request is refused, and for how long still.
 func (l *Ledger) Refused(now time.Time, id ID) (time.Duration, bool) {
-	return l.refusals.Left(now, id)
+	return l.refusals.Remaining(now, id)
 }
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -26,13 +26,13 @@
 	Request ID
 	// Version orders what is said of one request.
 	Version uint64
-	// Left is how long it is refused still. It is negative while the request is on
+	// Remaining is how long it is refused still. It is negative while the request is on
 	// probation, and for Pardoned requests how long that is remembered.
-	Left time.Duration
+	Remaining time.Duration
 	// Age is how long ago the first end was that counts against it.
 	Age time.Duration
-	// Times counts how often the request was refused.
-	Times int
+	// Count counts how often the request was refused.
+	Count int
 	// Pardoned requests are not refused: they were served, or the ends that counted
 	// against them were none.
 	Pardoned bool
@@ -79,8 +79,8 @@
 	return f.until.Add(refusedFor(f.times))
 }
 
-// Left reports whether a request is refused, and for how long still.
-func (r *Refusals) Left(now time.Time, id ID) (time.Duration, bool) {
+// Remaining reports whether a request is refused, and for how long still.
+func (r *Refusals) Remaining(now time.Time, id ID) (time.Duration, bool) {
 	f, ok := r.byID[id]
 	if !ok || f.pardoned || !now.Before(f.until) {
 		return 0, false
@@ -88,8 +88,8 @@
 	return f.until.Sub(now), true
 }
 
-// Knows reports whether anything is known of a request that is not pardoned.
-func (r *Refusals) Knows(id ID) bool {
+// Contains reports whether anything is known of a request that is not pardoned.
+func (r *Refusals) Contains(id ID) bool {
 	f, ok := r.byID[id]
 	return ok && !f.pardoned
 }
@@ -101,8 +101,8 @@
 	return ok && !f.pardoned && !now.Before(f.until) && now.Before(f.forgotten())
 }
 
-// Since returns when the first end was that counts against a refused request.
-func (r *Refusals) Since(id ID) time.Time {
+// FirstCrash returns when the first end was that counts against a refused request.
+func (r *Refusals) FirstCrash(id ID) time.Time {
 	if f, ok := r.byID[id]; ok {
 		return f.since
 	}
@@ -112,7 +112,7 @@
 // Refuse refuses a request for its time, under which a first endpoint ended at a moment. It
 // reports false when it is refused already.
 func (r *Refusals) Refuse(now time.Time, id ID, since time.Time) bool {
-	if _, refused := r.Left(now, id); refused {
+	if _, refused := r.Remaining(now, id); refused {
 		return false
 	}
 	r.forget(now)
@@ -167,22 +167,22 @@
 	}
 }
 
-// Take takes in what another node tells, and returns the requests that are refused now and
+// Merge takes in what another node tells, and returns the requests that are refused now and
 // were not before. What has ended meanwhile is left out, so that no two nodes keep it alive
 // between them.
-func (r *Refusals) Take(now time.Time, told []Refusal) []ID {
+func (r *Refusals) Merge(now time.Time, told []Refusal) []ID {
 	var fresh []ID
 	for _, t := range told {
-		next := refusal{version: t.Version, until: now.Add(min(t.Left, longestRefusal)), since: now.Add(-t.Age), times: max(t.Times, 1), pardoned: t.Pardoned}
+		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, longestRefusal)), since: now.Add(-t.Age), times: max(t.Count, 1), pardoned: t.Pardoned}
 		if !now.Before(next.forgotten()) {
 			continue
 		}
 		if f, ok := r.byID[t.Request]; ok && !next.newer(f) {
 			continue
 		}
-		_, before := r.Left(now, t.Request)
+		_, before := r.Remaining(now, t.Request)
 		r.put(t.Request, next)
-		if _, refused := r.Left(now, t.Request); refused && !before {
+		if _, refused := r.Remaining(now, t.Request); refused && !before {
 			fresh = append(fresh, t.Request)
 		}
 	}
@@ -201,8 +201,8 @@
 	return f.until.After(old.until.Add(sameMoment))
 }
 
-// Sum is the same on nodes that know the same. Nodes compare it with each heartbeat.
-func (r *Refusals) Sum(now time.Time) uint64 {
+// Checksum is the same on nodes that know the same. Nodes compare it with each heartbeat.
+func (r *Refusals) Checksum(now time.Time) uint64 {
 	if len(r.byID) == 0 {
 		return 0
 	}
@@ -218,22 +218,22 @@
 	return sum
 }
 
-// News returns what a peer was not told yet, most entries at a time, the oldest first. It
+// NextUpdates returns what a peer was not told yet, most entries at a time, the oldest first. It
 // counts as told.
-func (r *Refusals) News(now time.Time, to string, most int) []Refusal {
+func (r *Refusals) NextUpdates(now time.Time, to string, most int) []Refusal {
 	ids := r.log.News(to, most)
 	list := make([]Refusal, len(ids))
 	for i, id := range ids {
 		f := r.byID[id]
-		list[i] = Refusal{Request: id, Version: f.version, Left: f.until.Sub(now), Age: now.Sub(f.since), Times: f.times, Pardoned: f.pardoned}
+		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.since), Count: f.times, Pardoned: f.pardoned}
 	}
 	return list
 }
 
-// Compare takes in the sum of a peer, and reports whether there is anything to tell it.
-func (r *Refusals) Compare(now time.Time, from string, sum uint64) bool {
-	return sum != r.Sum(now) && r.log.Differs(now, from)
+// NeedsUpdate takes in the sum of a peer, and reports whether there is anything to tell it.
+func (r *Refusals) NeedsUpdate(now time.Time, from string, sum uint64) bool {
+	return sum != r.Checksum(now) && r.log.Differs(now, from)
 }
 
-// Forget drops what is known of peers that are gone.
-func (r *Refusals) Forget(gone func(peer string) bool) { r.log.Forget(gone) }
+// ForgetPeers drops what is known of peers that are gone.
+func (r *Refusals) ForgetPeers(gone func(peer string) bool) { r.log.Forget(gone) }
--- a/internal/core/poison/refusals_test.go
+++ b/internal/core/poison/refusals_test.go
@@ -19,7 +19,7 @@
 	now := start
 	end := func() bool {
 		now = now.Add(time.Second)
-		return l.End(now, idOf(1), End{Endpoint: now.String(), Among: 18}, true)
+		return l.AddCrash(now, idOf(1), Crash{Endpoint: now.String(), Among: 18}, true)
 	}
 	for n := 1; n <= fewestEnds; n++ {
 		if refused := end(); refused != (n == fewestEnds) {
@@ -43,7 +43,7 @@
 	if end() {
 		t.Error("a request of which nothing is known any more is refused by one end")
 	}
-	if sum := l.Refusals().Sum(now); sum != 0 {
+	if sum := l.Refusals().Checksum(now); sum != 0 {
 		t.Errorf("the sum of nothing is %d", sum)
 	}
 }
@@ -53,16 +53,16 @@
 	g := NewGuard(0)
 	for i := range fewestEnds {
 		var out Outcome
-		g.end(start, idOf(1), End{Endpoint: fmt.Sprint(i), Among: 18}, true, &out)
+		g.end(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true, &out)
 	}
 	if _, refused := g.Refused(start, idOf(1)); !refused {
 		t.Fatal("the request is not refused")
 	}
-	out := g.Served(start, idOf(1))
-	if _, refused := g.Refused(start, idOf(1)); refused || len(out.Pardoned) != 1 || len(out.Tell) != 1 || !out.Tell[0].Served {
+	out := g.RecordSuccess(start, idOf(1))
+	if _, refused := g.Refused(start, idOf(1)); refused || len(out.Pardoned) != 1 || len(out.Reports) != 1 || !out.Reports[0].Served {
 		t.Errorf("refused: %v, outcome %+v", refused, out)
 	}
-	if out := g.Served(start, idOf(2)); len(out.Tell) > 0 {
+	if out := g.RecordSuccess(start, idOf(2)); len(out.Reports) > 0 {
 		t.Error("owners are told of a request that nobody suspects")
 	}
 }
@@ -77,11 +77,11 @@
 	if r.Len() != mostRefusals {
 		t.Errorf("%d are remembered, want %d", r.Len(), mostRefusals)
 	}
-	if _, refused := r.Left(start.Add(time.Minute), idOf(2*mostRefusals-1)); !refused {
+	if _, refused := r.Remaining(start.Add(time.Minute), idOf(2*mostRefusals-1)); !refused {
 		t.Error("the last one is not remembered")
 	}
 	told := 0
-	for news := r.News(start, "n", 100); len(news) > 0; news = r.News(start, "n", 100) {
+	for news := r.NextUpdates(start, "n", 100); len(news) > 0; news = r.NextUpdates(start, "n", 100) {
 		told += len(news)
 	}
 	if told != mostRefusals {
@@ -101,12 +101,12 @@
 		}
 		now := start
 		tell := func(from, to int, lost bool) {
-			sum, news := nodes[from].Sum(now), nodes[from].News(now, fmt.Sprint(to), 2)
+			sum, news := nodes[from].Checksum(now), nodes[from].NextUpdates(now, fmt.Sprint(to), 2)
 			if lost {
 				return
 			}
-			nodes[to].Take(now.Add(10*time.Millisecond), news)
-			nodes[to].Compare(now, fmt.Sprint(from), sum)
+			nodes[to].Merge(now.Add(10*time.Millisecond), news)
+			nodes[to].NeedsUpdate(now, fmt.Sprint(from), sum)
 		}
 		node := rapid.IntRange(0, size-1)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -136,12 +136,12 @@
 			}
 		}
 		for i, n := range nodes {
-			if n.Sum(now) != nodes[0].Sum(now) {
-				t.Fatalf("node %d has the sum %x, node 0 %x", i, n.Sum(now), nodes[0].Sum(now))
+			if n.Checksum(now) != nodes[0].Checksum(now) {
+				t.Fatalf("node %d has the sum %x, node 0 %x", i, n.Checksum(now), nodes[0].Checksum(now))
 			}
 			for r := range 6 {
-				_, here := n.Left(now, idOf(r))
-				_, there := nodes[0].Left(now, idOf(r))
+				_, here := n.Remaining(now, idOf(r))
+				_, there := nodes[0].Remaining(now, idOf(r))
 				if here != there {
 					t.Fatalf("request %d is refused at node %d: %v, at node 0: %v", r, i, here, there)
 				}
@@ -153,7 +153,7 @@
 			}
 		}
 		for i, n := range nodes {
-			if n.Sum(now) != 0 {
+			if n.Checksum(now) != 0 {
 				t.Fatalf("node %d remembers something after %v", i, now.Sub(last))
 			}
 		}
@@ -165,16 +165,16 @@
 func TestTakeBack(t *testing.T) {
 	owner, other := NewLedger(), NewLedger()
 	for i := range mostEnds {
-		owner.End(start, idOf(1), End{Endpoint: fmt.Sprint(i), Among: 18}, true)
+		owner.AddCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true)
 	}
-	other.Refusals().Take(start, owner.Refusals().News(start, "other", mostRefusals))
-	other.End(start, idOf(1), End{Endpoint: "0", Among: 18}, false)
-	if other.TakeBack(start, idOf(1), "0") {
+	other.Refusals().Merge(start, owner.Refusals().NextUpdates(start, "other", mostRefusals))
+	other.AddCrash(start, idOf(1), Crash{Endpoint: "0", Among: 18}, false)
+	if other.RetractCrash(start, idOf(1), "0") {
 		t.Error("a node that knows one end pardons the request")
 	}
 	for i := range mostEnds - fewestEnds + 1 {
 		last := i == mostEnds-fewestEnds
-		if pardoned := owner.TakeBack(start, idOf(1), fmt.Sprint(i)); pardoned != last {
+		if pardoned := owner.RetractCrash(start, idOf(1), fmt.Sprint(i)); pardoned != last {
 			t.Errorf("after %d ends less, pardoned: %v", i+1, pardoned)
 		}
 	}
--- a/internal/core/poison/watch.go
+++ b/internal/core/poison/watch.go
@@ -30,18 +30,18 @@
 type Finding struct {
 	Endpoint catalog.Endpoint
 	Requests []ID
-	// Ended is true when the endpoint ended under them, and false when it was taken
+	// Crashed is true when the endpoint ended under them, and false when it was taken
 	// to have ended and lives on.
-	Ended bool
-	// Listed tells that it was found by the list of endpoints.
-	Listed bool
+	Crashed bool
+	// FromList tells that it was found by the list of endpoints.
+	FromList bool
 }
 
-// Watch tells whether endpoints at which runs broke off have ended. An endpoint has ended
+// Detector tells whether endpoints at which runs broke off have ended. An endpoint has ended
 // when nothing listens at its address any more, or when another life of it is listed soon
 // after; it lives on when it is still listed, and takes connections, after its entry would
 // have gone. It is not safe for concurrent use.
-type Watch struct {
+type Detector struct {
 	lapse   time.Duration
 	watched map[string]*watched
 }
@@ -60,48 +60,48 @@
 type broken struct {
 	at      time.Time
 	request ID
-	length  Length
+	length  RunLength
 }
 
-// Length tells how long a run had lasted when it broke off.
-type Length int
+// RunLength tells how long a run had lasted when it broke off.
+type RunLength int
 
 const (
-	// Lasting runs had begun at the endpoint.
-	Lasting Length = iota
-	// Brief runs may have been sent when the endpoint had ended already, to something
+	// LongRun runs had begun at the endpoint.
+	LongRun RunLength = iota
+	// ShortRun runs may have been sent when the endpoint had ended already, to something
 	// before it that takes its connections and breaks them off.
-	Brief
+	ShortRun
 )
 
 // briefRun is how long a run lasts at most that may not have begun: some times what a
 // connection takes to be made and broken off on a busy instance (1 to 5 ms).
 const briefRun = 25 * time.Millisecond
 
-// LengthOf returns the length of a run that took some time.
-func LengthOf(took time.Duration) Length {
+// RunLengthOf returns the length of a run that took some time.
+func RunLengthOf(took time.Duration) RunLength {
 	if took < briefRun {
-		return Brief
+		return ShortRun
 	}
-	return Lasting
+	return LongRun
 }
 
-// NewWatch returns a watch over endpoints that confirm their entries at an interval, or at
+// NewDetector returns a watch over endpoints that confirm their entries at an interval, or at
 // the usual one if that is 0.
-func NewWatch(heartbeat time.Duration) *Watch {
+func NewDetector(heartbeat time.Duration) *Detector {
 	if heartbeat <= 0 {
 		heartbeat = usualHeartbeat
 	}
-	return &Watch{lapse: lapseBeats * heartbeat, watched: make(map[string]*watched)}
+	return &Detector{lapse: lapseBeats * heartbeat, watched: make(map[string]*watched)}
 }
 
-// Watching reports whether anything is to be found out.
-func (w *Watch) Watching() bool { return len(w.watched) > 0 }
+// Active reports whether anything is to be found out.
+func (w *Detector) Active() bool { return len(w.watched) > 0 }
 
-// Broke takes in that runs broke off at an endpoint that is not leaving. It reports
+// RecordBrokenRuns takes in that runs broke off at an endpoint that is not leaving. It reports
 // whether the endpoint is to be asked now whether it takes connections; the answer goes
 // to Probed.
-func (w *Watch) Broke(now time.Time, e catalog.Endpoint, l Length, requests ...ID) bool {
+func (w *Detector) RecordBrokenRuns(now time.Time, e catalog.Endpoint, l RunLength, requests ...ID) bool {
 	known, ok := w.watched[e.ID]
 	if !ok {
 		w.makeRoom()
@@ -122,7 +122,7 @@
 }
 
 // makeRoom forgets the endpoint whose last break is longest ago, if there are too many.
-func (w *Watch) makeRoom() {
+func (w *Detector) makeRoom() {
 	if len(w.watched) < mostWatched {
 		return
 	}
@@ -139,7 +139,7 @@
 
 // finding is what was found of the runs that broke off after a moment.
 func (k *watched) finding(after time.Time, ended bool) Finding {
-	return Finding{Endpoint: k.endpoint, Requests: k.requests(after), Ended: ended}
+	return Finding{Endpoint: k.endpoint, Requests: k.requests(after), Crashed: ended}
 }
 
 // requests lists the requests whose runs broke off after a moment, each once.
@@ -153,10 +153,10 @@
 	return list
 }
 
-// Probed takes in whether an endpoint refused a connection. One that took it, or did not
+// RecordProbe takes in whether an endpoint refused a connection. One that took it, or did not
 // answer at all, may still have ended: something before it may take connections in its
 // place.
-func (w *Watch) Probed(now time.Time, id string, refuses bool) []Finding {
+func (w *Detector) RecordProbe(now time.Time, id string, refuses bool) []Finding {
 	known, ok := w.watched[id]
 	if !ok {
 		return nil
@@ -177,9 +177,9 @@
 	return nil
 }
 
-// Listed takes in a list of endpoints that was current at a moment. It returns what was
+// UpdateEndpoints takes in a list of endpoints that was current at a moment. It returns what was
 // found, and the endpoints that are to be asked whether they take connections.
-func (w *Watch) Listed(now, current time.Time, list []catalog.Endpoint) (found []Finding, ask []catalog.Endpoint) {
+func (w *Detector) UpdateEndpoints(now, current time.Time, list []catalog.Endpoint) (found []Finding, ask []catalog.Endpoint) {
 	if len(w.watched) == 0 {
 		return nil, nil
 	}
@@ -199,9 +199,9 @@
 		case l.replaced(known.endpoint):
 			delete(w.watched, id)
 			// By the list alone, runs that may never have begun are no suspects.
-			known.breaks = slices.DeleteFunc(known.breaks, func(b broken) bool { return b.length == Brief })
+			known.breaks = slices.DeleteFunc(known.breaks, func(b broken) bool { return b.length == ShortRun })
 			f := known.finding(time.Time{}, true)
-			f.Listed = true
+			f.FromList = true
 			found = append(found, f)
 		case now.Sub(known.last()) > replacedWithin:
 			delete(w.watched, id)
@@ -212,7 +212,7 @@
 
 // stays takes in that an endpoint is listed in its present life, and reports whether it is
 // to be asked if it lives on. Breaks that are long past did not end it.
-func (w *Watch) stays(known *watched, current time.Time) bool {
+func (w *Detector) stays(known *watched, current time.Time) bool {
 	past := func(b broken) bool { return current.Sub(b.at) >= w.lapse }
 	if known.ended {
 		ask := !known.asks && past(known.breaks[len(known.breaks)-1])
--- a/internal/core/poison/watch_test.go
+++ b/internal/core/poison/watch_test.go
@@ -20,12 +20,12 @@
 
 // watching breaks a run of one request off at an endpoint and tells whether its address
 // refuses connections then.
-func watching(refuses bool) (*Watch, []Finding) {
-	w := NewWatch(beat)
-	if !w.Broke(start, lifeOf(1), Lasting, idOf(1)) {
+func watching(refuses bool) (*Detector, []Finding) {
+	w := NewDetector(beat)
+	if !w.RecordBrokenRuns(start, lifeOf(1), LongRun, idOf(1)) {
 		panic("nobody asks the endpoint")
 	}
-	return w, w.Probed(start.Add(5*time.Millisecond), lifeOf(1).ID, refuses)
+	return w, w.RecordProbe(start.Add(5*time.Millisecond), lifeOf(1).ID, refuses)
 }
 
 // ended tells what was found of request 1.
@@ -33,7 +33,7 @@
 	if len(found) != 1 || !slices.Equal(found[0].Requests, []ID{idOf(1)}) {
 		return fmt.Sprint("found ", len(found))
 	}
-	return fmt.Sprintf("ended %v", found[0].Ended)
+	return fmt.Sprintf("ended %v", found[0].Crashed)
 }
 
 // TestWatch tells ends of endpoints from what only looks so.
@@ -70,10 +70,10 @@
 			}
 			if c.after > replacedWithin {
 				// Lists come all the time.
-				w.Listed(start.Add(lapsed), start.Add(lapsed), []catalog.Endpoint{lifeOf(1)})
+				w.UpdateEndpoints(start.Add(lapsed), start.Add(lapsed), []catalog.Endpoint{lifeOf(1)})
 			}
 			now := start.Add(c.after)
-			found, ask := w.Listed(now, now, c.list)
+			found, ask := w.UpdateEndpoints(now, now, c.list)
 			if got := ended(found); got != c.listed || len(ask) > 0 {
 				t.Errorf("by the list: %s, asks %d, want %s", got, len(ask), c.listed)
 			}
@@ -88,44 +88,44 @@
 		w, _ := watching(true)
 		list := []catalog.Endpoint{lifeOf(1)}
 		early := start.Add(lapsed / 2)
-		if found, ask := w.Listed(early, early, list); len(found)+len(ask) > 0 {
+		if found, ask := w.UpdateEndpoints(early, early, list); len(found)+len(ask) > 0 {
 			t.Error("the endpoint is asked before its entry would have gone")
 		}
 		late := start.Add(lapsed)
-		if _, ask := w.Listed(late, early, list); len(ask) > 0 {
+		if _, ask := w.UpdateEndpoints(late, early, list); len(ask) > 0 {
 			t.Error("the endpoint is asked by a list that is not current")
 		}
-		_, ask := w.Listed(late, late, list)
+		_, ask := w.UpdateEndpoints(late, late, list)
 		if len(ask) != 1 {
 			t.Fatalf("%d endpoints are asked", len(ask))
 		}
-		if _, again := w.Listed(late, late, list); len(again) > 0 {
+		if _, again := w.UpdateEndpoints(late, late, list); len(again) > 0 {
 			t.Error("it is asked again before it has answered")
 		}
-		found := w.Probed(late, ask[0].ID, !alive)
+		found := w.RecordProbe(late, ask[0].ID, !alive)
 		want := "found 0"
 		if alive {
 			want = "ended false"
 		}
-		if got := ended(found); got != want || w.Watching() {
-			t.Errorf("alive %v: %s, want %s; watching %v", alive, got, want, w.Watching())
+		if got := ended(found); got != want || w.Active() {
+			t.Errorf("alive %v: %s, want %s; watching %v", alive, got, want, w.Active())
 		}
 	}
 }
 
 // TestWatchIsBounded breaks runs off at more endpoints, and more at one, than are watched.
 func TestWatchIsBounded(t *testing.T) {
-	w := NewWatch(beat)
+	w := NewDetector(beat)
 	for i := range 2 * mostWatched {
 		e := catalog.Endpoint{ID: fmt.Sprint(i)}
-		w.Broke(start.Add(time.Duration(i)*time.Millisecond), e, Lasting, idOf(i))
+		w.RecordBrokenRuns(start.Add(time.Duration(i)*time.Millisecond), e, LongRun, idOf(i))
 	}
 	if len(w.watched) != mostWatched {
 		t.Errorf("%d endpoints are watched", len(w.watched))
 	}
 	e := catalog.Endpoint{ID: fmt.Sprint(2*mostWatched - 1)}
 	for i := range 3 * mostBreaks {
-		w.Broke(start.Add(time.Minute), e, Lasting, idOf(i))
+		w.RecordBrokenRuns(start.Add(time.Minute), e, LongRun, idOf(i))
 	}
 	if n := len(w.watched[e.ID].breaks); n != mostBreaks {
 		t.Errorf("%d breaks are remembered", n)
@@ -138,17 +138,17 @@
 func TestOneNodeAloneIsNotBelieved(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		one, owner := NewGuard(beat), NewGuard(beat)
-		one.SetAlone(false)
-		owner.SetAlone(false)
+		one.SetSingleNode(false)
+		owner.SetSingleNode(false)
 		refused := 0
 		for i := range mostEnds {
 			e := catalog.Endpoint{ID: fmt.Sprint(i), Service: "model", Address: fmt.Sprintf("10.0.0.%d:80", i)}
-			one.Broke(start, e, Lasting, idOf(1))
-			out := one.Probed(start, e.ID, true)
+			one.RecordBrokenRuns(start, e, LongRun, idOf(1))
+			out := one.RecordProbe(start, e.ID, true)
 			refused += len(out.Refused)
-			told := owner.Reported(start, out.Tell)
-			for _, asked := range told.Check {
-				refused += len(owner.Probed(start, asked.ID, !alive).Refused)
+			told := owner.HandleReports(start, out.Reports)
+			for _, asked := range told.Verify {
+				refused += len(owner.RecordProbe(start, asked.ID, !alive).Refused)
 			}
 		}
 		if alive && refused > 0 || !alive && refused != 1 {
--- a/internal/core/poison/world_endpoints_test.go
+++ b/internal/core/poison/world_endpoints_test.go
@@ -69,7 +69,7 @@
 		}
 		w.broken++
 		if w.works(r.node) {
-			w.learn(r.node, r.node.guard.Broke(w.now, r.life, poison.Lasting, r.id()))
+			w.learn(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.id()))
 		}
 		w.comeBack(r)
 	}
--- a/internal/core/poison/world_nodes_test.go
+++ b/internal/core/poison/world_nodes_test.go
@@ -74,7 +74,7 @@
 
 func (w *world) lag() time.Duration { return time.Duration(2+w.rand.IntN(40)) * time.Millisecond }
 
-func (w *world) post(from *node, sends []member.Send) {
+func (w *world) post(from *node, sends []member.Message) {
 	for _, s := range sends {
 		to := s.Address
 		if to == "" {
@@ -85,11 +85,11 @@
 }
 
 func (w *world) postGossip(from *node, to string, m wire.Gossip) {
-	sum, news := from.guard.News(w.now, to, mostTold)
+	sum, news := from.guard.NextUpdates(w.now, to, mostTold)
 	m.RefusedSum = sum
 	m.Refused = nil
 	for _, r := range news {
-		m.Refused = append(m.Refused, wire.Refusal{Request: r.Request[:], Version: r.Version, Left: r.Left.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Times, Pardoned: r.Pardoned})
+		m.Refused = append(m.Refused, wire.Refusal{Request: r.Request[:], Version: r.Version, Left: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Count, Pardoned: r.Pardoned})
 	}
 	w.mail = append(w.mail, letter{due: w.now.Add(w.lag()), from: from.name, to: to, gossip: &m})
 }
@@ -117,7 +117,7 @@
 			continue
 		}
 		if m.gossip == nil {
-			w.learn(to, to.guard.Reported(w.now, m.reports))
+			w.learn(to, to.guard.HandleReports(w.now, m.reports))
 			continue
 		}
 		w.hear(to, m)
@@ -127,15 +127,15 @@
 func (w *world) hear(n *node, m letter) {
 	told := make([]poison.Refusal, 0, len(m.gossip.Refused))
 	for _, r := range m.gossip.Refused {
-		id, err := poison.IDOf(r.Request)
+		id, err := poison.ParseID(r.Request)
 		if err != nil {
 			w.fault("%v", err)
 		}
-		told = append(told, poison.Refusal{Request: id, Version: r.Version, Left: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Times: r.Times, Pardoned: r.Pardoned})
+		told = append(told, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Times, Pardoned: r.Pardoned})
 	}
-	out := n.guard.Heard(w.now, m.from, m.gossip.RefusedSum, told)
+	out := n.guard.HandleGossip(w.now, m.from, m.gossip.RefusedSum, told)
 	w.learn(n, out)
-	if out.Answer {
+	if out.Reply {
 		self := n.member.Self()
 		w.postGossip(n, m.from, wire.Gossip{Node: self.Node, Incarnation: self.Incarnation, Members: []wire.Member{self}, Courtesy: true})
 	}
@@ -144,14 +144,14 @@
 
 // learn does what follows from what a node learned.
 func (w *world) learn(n *node, out poison.Outcome) {
-	for _, e := range slices.Concat(out.Ask, out.Check) {
+	for _, e := range slices.Concat(out.Probe, out.Verify) {
 		n.probes = append(n.probes, probe{due: w.now.Add(step), endpoint: e})
 	}
-	if out.Spread {
-		n.member.BeatSoon()
+	if out.GossipSoon {
+		n.member.RequestHeartbeat()
 	}
-	n.guard.SetAlone(len(w.nodes) < 2)
-	w.tell(n, out.Tell)
+	n.guard.SetSingleNode(len(w.nodes) < 2)
+	w.tell(n, out.Reports)
 	w.checkRefused(n, out)
 }
 
@@ -175,10 +175,10 @@
 
 // checkRefused holds that no other request is refused.
 func (w *world) checkRefused(n *node, out poison.Outcome) {
-	for _, id := range slices.Concat(out.Refused, out.Heard) {
+	for _, id := range slices.Concat(out.Refused, out.RefusedByPeers) {
 		if !slices.ContainsFunc(w.poisons, func(p *deadly) bool { return p.id == id }) {
 			if w.wronged = append(w.wronged, id); len(slices.Compact(slices.SortedFunc(slices.Values(w.wronged), compareIDs))) > w.script.number("wronged") {
-				w.fault("%s refuses another's request after the ends of %v", n.name, n.guard.Ends(w.now, id))
+				w.fault("%s refuses another's request after the ends of %v", n.name, n.guard.Crashes(w.now, id))
 			}
 		}
 	}
@@ -197,7 +197,7 @@
 	if w.now.Sub(n.listed) >= listEvery {
 		n.listed = w.now
 		n.list = w.list()
-		w.learn(n, n.guard.Listed(w.now, w.now, n.list))
+		w.learn(n, n.guard.UpdateEndpoints(w.now, w.now, n.list))
 	}
 	due := n.probes
 	n.probes = nil
@@ -206,7 +206,7 @@
 			n.probes = append(n.probes, p)
 			continue
 		}
-		w.learn(n, n.guard.Probed(w.now, p.endpoint.ID, w.refuses(n, p.endpoint)))
+		w.learn(n, n.guard.RecordProbe(w.now, p.endpoint.ID, w.refuses(n, p.endpoint)))
 	}
 }
 
--- a/internal/core/poison/world_requests_test.go
+++ b/internal/core/poison/world_requests_test.go
@@ -75,13 +75,13 @@
 		case r.lost:
 			// Its answer was lost on the way.
 			if w.works(r.node) {
-				w.learn(r.node, r.node.guard.Broke(w.now, r.life, poison.Lasting, r.client.id))
+				w.learn(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.client.id))
 			}
 			w.comeBack(r)
 		default:
 			w.served++
 			if w.works(r.node) {
-				w.learn(r.node, r.node.guard.Served(w.now, r.client.id))
+				w.learn(r.node, r.node.guard.RecordSuccess(w.now, r.client.id))
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 	}
 	if r.endpoint != nil && !r.endpoint.ended.IsZero() && w.script.number("proxies") > 0 {
 		// What stands before the endpoint takes the connection and breaks it off.
-		w.learn(n, n.guard.Broke(w.now, r.life, poison.Brief, r.id()))
+		w.learn(n, n.guard.RecordBrokenRuns(w.now, r.life, poison.ShortRun, r.id()))
 		w.comeBack(r)
 		return
 	}
--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -45,7 +45,7 @@
 		}
 		if at[e.Service]%cells == cell {
 			// A stage pool knows no reason why an endpoint gets no more calls.
-			e.Draining = !v.evacuations.Takes(e)
+			e.Draining = !v.evacuations.AcceptsWork(e)
 			list = append(list, e)
 		}
 		at[e.Service]++
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -15,7 +15,7 @@
 	n.noteEvacuationRows(r)
 	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		if !r.Whole {
-			return present.Change(now, r.Revision, r.Evacuations)
+			return present.ApplyChanges(now, r.Revision, r.Evacuations)
 		}
 		var domains []string
 		for _, e := range r.Evacuations {
@@ -45,14 +45,14 @@
 	old := n.view.Load()
 	next := *old
 	now := time.Now()
-	next.evacuations = change(now, old.evacuations).Settle(now)
-	if next.evacuations.Revision() == old.evacuations.Revision() && next.evacuations.Same(old.evacuations) {
+	next.evacuations = change(now, old.evacuations).Expire(now)
+	if next.evacuations.Revision() == old.evacuations.Revision() && next.evacuations.Equal(old.evacuations) {
 		n.viewMu.Unlock()
 		return
 	}
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	if old.evacuations.Known() && next.evacuations.Same(old.evacuations) {
+	if old.evacuations.Known() && next.evacuations.Equal(old.evacuations) {
 		return
 	}
 	n.logEvacuations(source, old, &next)
@@ -62,12 +62,12 @@
 // logEvacuations logs what changed from one view to the next.
 func (n *Node) logEvacuations(source string, old, next *view) {
 	for _, domain := range next.evacuations.Domains() {
-		if !old.evacuations.Has(domain) {
+		if !old.evacuations.Contains(domain) {
 			n.log.Info(eventEvacuationInForce, zap.String("failure_domain", domain), zap.Int("endpoints", next.endpointsIn(domain)), zap.Stringer("revision", next.evacuations.Revision()), zap.String("source", source))
 		}
 	}
 	for _, domain := range old.evacuations.Domains() {
-		if !next.evacuations.Has(domain) {
+		if !next.evacuations.Contains(domain) {
 			n.log.Info(eventEvacuationOver, zap.String("failure_domain", domain), zap.Int("endpoints", next.endpointsIn(domain)), zap.Stringer("revision", next.evacuations.Revision()), zap.String("source", source))
 		}
 	}
@@ -87,11 +87,11 @@
 
 // coldness is when an endpoint of a service is taken to be cold: as the list tells, and for
 // the time of a start after an evacuation, of which the list may tell too late.
-func (v *view) coldness(service catalog.Service, e catalog.Endpoint) discovery.Coldness {
+func (v *view) coldness(service catalog.Service, e catalog.Endpoint) discovery.ColdPeriod {
 	cold := v.cold[e.ID]
 	ended := v.evacuations.EndedAt(e.Domain)
 	if ended.IsZero() || cold.Until.After(ended) {
 		return cold
 	}
-	return discovery.Coldness{Since: ended, Until: ended.Add(service.ColdTime)}
+	return discovery.ColdPeriod{Since: ended, Until: ended.Add(service.ColdTime)}
 }
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -98,7 +98,7 @@
 func (l *leaders) evacuated(domain string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.view != nil && l.view.evacuations.Has(domain)
+	return l.view != nil && l.view.evacuations.Contains(domain)
 }
 
 func (l *leaders) get(cell int) *leader {
@@ -190,7 +190,7 @@
 		Deadline:  now.Add(time.Duration(m.Deadline) * time.Millisecond),
 	}
 	// Nodes of an earlier version do not tell the content.
-	t.Content, _ = poison.IDOf(m.Content)
+	t.Content, _ = poison.ParseID(m.Content)
 	for _, s := range m.Stages {
 		t.Stages = append(t.Stages, stagepool.Stage(s))
 	}
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -36,7 +36,7 @@
 	m.set.NewGauge("gradetiller_endpoints_kept", func() float64 { return float64(n.keptEndpoints.Load()) })
 	m.set.NewGauge("gradetiller_view_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.List).Seconds() })
 	m.set.NewGauge("gradetiller_config_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Config).Seconds() })
-	m.set.NewGauge("gradetiller_readers_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Readers).Seconds() })
+	m.set.NewGauge("gradetiller_readers_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Primaries).Seconds() })
 	m.set.NewGauge("gradetiller_reads_store", func() float64 { return number(n.readsStore.Load()) })
 	m.set.NewGauge("gradetiller_configurations_refused_total", func() float64 { return float64(n.configsRefused.Load()) })
 	m.set.NewGauge("gradetiller_members_live", func() float64 { return float64(n.liveNodes.Load()) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 	viewMu sync.Mutex
 	view   atomic.Pointer[view]
 	list   *discovery.List
-	own    discovery.FirstHand
+	own    discovery.DirectReads
 	// refused belongs to the goroutine that reads the list of endpoints.
 	refused refusedEntries
 	// badEvacuations are the faults of rows that evacuate failure domains, as logged; it
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -18,7 +18,7 @@
 type share struct{ rank, nodes int }
 
 // bound is what an endpoint of a service takes from all nodes together.
-func (n *Node) bound(service catalog.Service, endpoint string, cold discovery.Coldness) intake.Bound {
+func (n *Node) bound(service catalog.Service, endpoint string, cold discovery.ColdPeriod) intake.Bound {
 	bears := intake.Cold{PerSecond: service.ColdPerSecond, Excess: n.settings.ColdExcess, Slack: n.settings.ColdSlack}
 	limit, until := n.signals.bound(endpoint)
 	if cold.Until.After(until) {
@@ -31,7 +31,7 @@
 // endpoints of a service, since that looks at the whole list.
 func (n *Node) leaderPace(v *view, service catalog.Service) endpointPace {
 	part := n.leaderPart(v, service)
-	return func(endpoint string, cold discovery.Coldness) intake.Pace {
+	return func(endpoint string, cold discovery.ColdPeriod) intake.Pace {
 		return intake.NewPace(n.bound(service, endpoint, cold), part)
 	}
 }
@@ -50,7 +50,7 @@
 func (n *Node) ownPace(v *view, service catalog.Service) endpointPace {
 	s := n.share.Load()
 	placing := v.config.Placing(service.Name)
-	return func(endpoint string, cold discovery.Coldness) intake.Pace {
+	return func(endpoint string, cold discovery.ColdPeriod) intake.Pace {
 		part := intake.NodePart(placing, s.rank, s.nodes, endpoint)
 		return intake.NewPace(n.bound(service, endpoint, cold), part)
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -52,7 +52,7 @@
 	n.recomputeRates()
 	n.membersMu.Lock()
 	if spread {
-		n.members.BeatSoon()
+		n.members.RequestHeartbeat()
 	}
 	n.members.SetSeeds(n.strangers())
 	sends := n.members.Tick(now)
@@ -75,10 +75,10 @@
 // a view, or, when the view is old, a newer list of endpoints; the lock of the members is
 // held. While the readers answer, each node asks them for the list anyway.
 func (n *Node) aheadOf(now time.Time, v *view) string {
-	if node, version := n.members.HigherConfig(); version > v.version() {
+	if node, version := n.members.NewerConfig(); version > v.version() {
 		return n.members.Address(node)
 	}
-	if node, revision := n.members.HigherList(); catalog.Revision(revision) > v.revision && v.fresh.Stale(now) {
+	if node, revision := n.members.NewerList(); catalog.Revision(revision) > v.revision && v.fresh.Stale(now) {
 		return n.members.Address(node)
 	}
 	return ""
@@ -94,7 +94,7 @@
 // or if none were taken yet; the lock is held.
 func (n *Node) changedEntries(now time.Time) ([]wire.Entry, bool) {
 	first := n.liveNodes.Load() == 0 && n.joined()
-	if !n.members.Changed() && !first {
+	if !n.members.PollChanged() && !first {
 		return nil, false
 	}
 	n.listedAt = now
@@ -105,7 +105,7 @@
 func (n *Node) strangers() []member.Seed {
 	var list []member.Seed
 	for _, address := range n.settings.Seeds {
-		if address != n.peerAddress && !n.members.LiveAt(address) {
+		if address != n.peerAddress && !n.members.HasLiveAddress(address) {
 			list = append(list, member.Seed{Node: address, Address: address})
 		}
 	}
@@ -114,8 +114,8 @@
 
 // answerInPlace sends the messages without an address back the way the message
 // that they answer came, and returns the others.
-func (n *Node) answerInPlace(sends []member.Send, answer peer.Answer) []member.Send {
-	var others []member.Send
+func (n *Node) answerInPlace(sends []member.Message, answer peer.Answer) []member.Message {
+	var others []member.Message
 	for _, s := range sends {
 		if s.Address == "" {
 			_ = answer(n.withNews(s.Node, s.Gossip))
@@ -140,7 +140,7 @@
 	return n.appendSignals(to, n.withRefusals(to, m))
 }
 
-func (n *Node) sendGossip(sends []member.Send) {
+func (n *Node) sendGossip(sends []member.Message) {
 	for _, s := range sends {
 		n.links.Send(s.Address, n.withNews(s.Node, s.Gossip))
 	}
@@ -356,7 +356,7 @@
 		return true
 	}
 	n.membersMu.Lock()
-	_, newest := n.members.HigherConfig()
+	_, newest := n.members.NewerConfig()
 	n.membersMu.Unlock()
 	late := time.Since(n.started) > catchUpTime
 	if newest > n.view.Load().version() && !late {
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -50,7 +50,7 @@
 func (p *poisons) ends(id poison.ID) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.guard.Ends(time.Now(), id)
+	return p.guard.Crashes(time.Now(), id)
 }
 
 // sizes returns how many requests are suspects, and how many refusals are known.
@@ -64,7 +64,7 @@
 func (p *poisons) membersChanged(live []wire.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.guard.SetAlone(len(live) < 2)
+	p.guard.SetSingleNode(len(live) < 2)
 	p.guard.ForgetPeers(noneOf(live))
 }
 
@@ -75,15 +75,15 @@
 	p.mu.Lock()
 	out := event(p.guard, time.Now())
 	p.mu.Unlock()
-	for _, e := range out.Ask {
+	for _, e := range out.Probe {
 		go n.probe(e)
 	}
-	for _, e := range out.Check {
+	for _, e := range out.Verify {
 		go n.ask(e)
 	}
-	for _, f := range out.Found {
-		n.log.Info(eventEndpointEnded, zap.String("endpoint", f.Endpoint.ID), zap.Bool("listed", f.Listed), zap.Bool("ended", f.Ended), zap.Stringers("contents", f.Requests))
-		if f.Ended {
+	for _, f := range out.Findings {
+		n.log.Info(eventEndpointEnded, zap.String("endpoint", f.Endpoint.ID), zap.Bool("listed", f.FromList), zap.Bool("ended", f.Crashed), zap.Stringers("contents", f.Requests))
+		if f.Crashed {
 			n.meters.endpointEnded()
 		}
 	}
@@ -91,20 +91,20 @@
 		n.log.Warn(eventPoison, zap.Stringer("content", id), zap.Strings("ended", p.ends(id)))
 		n.dropPoison(id)
 	}
-	for _, id := range out.Heard {
+	for _, id := range out.RefusedByPeers {
 		n.log.Info(eventPoisonHeard, zap.Stringer("content", id))
 		n.dropPoison(id)
 	}
 	for _, id := range out.Pardoned {
 		n.log.Info(eventPoisonPardoned, zap.Stringer("content", id))
 	}
-	n.tellOwners(out.Tell)
-	if out.Spread {
+	n.tellOwners(out.Reports)
+	if out.GossipSoon {
 		n.membersMu.Lock()
-		n.members.BeatSoon()
+		n.members.RequestHeartbeat()
 		n.membersMu.Unlock()
 	}
-	return out.Answer
+	return out.Reply
 }
 
 // refusePoison answers a request that is refused since it crashes endpoints, and reports
@@ -134,7 +134,7 @@
 		return
 	}
 	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome {
-		return g.Broke(now, e, poison.LengthOf(took), requests...)
+		return g.RecordBrokenRuns(now, e, poison.RunLengthOf(took), requests...)
 	})
 }
 
@@ -169,20 +169,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
 	defer cancel()
 	refuses := socket.Refuses(ctx, e.Address)
-	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.Probed(now, e.ID, refuses) })
+	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.RecordProbe(now, e.ID, refuses) })
 	return refuses
 }
 
 // endpointsListed holds the list of endpoints, current as of a moment, against the runs
 // that broke off.
 func (n *Node) endpointsListed(current time.Time, list []catalog.Endpoint) {
-	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.Listed(now, current, list) })
+	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.UpdateEndpoints(now, current, list) })
 }
 
 // served takes in that a request was served well.
 func (n *Node) served(q *request) {
 	n.times.served(q, time.Now())
-	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.Served(now, q.content) })
+	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.RecordSuccess(now, q.content) })
 }
 
 // dropPoison has the stage pools led here give the work of a request up.
@@ -202,7 +202,7 @@
 	byOwner := make(map[string][]wire.RequestEnds)
 	for _, r := range reports {
 		told := wire.RequestEnds{Request: bytesOf(r.Request), Served: r.Served}
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			told.Ends = append(told.Ends, wire.EndpointEnd(e))
 		}
 		for _, owner := range poison.Owners(r.Request, names) {
@@ -222,18 +222,18 @@
 func (n *Node) takeEnds(from wire.Hello, m *wire.Ends) {
 	reports := make([]poison.Report, 0, len(m.Requests))
 	for _, r := range m.Requests {
-		id, err := poison.IDOf(r.Request)
+		id, err := poison.ParseID(r.Request)
 		if err != nil {
 			n.log.Warn(eventMessageNotExpected, zap.String("node", from.Node), zap.Error(err))
 			continue
 		}
 		report := poison.Report{Request: id, Served: r.Served}
 		for _, e := range r.Ends {
-			report.Ends = append(report.Ends, poison.End(e))
+			report.Crashes = append(report.Crashes, poison.Crash(e))
 		}
 		reports = append(reports, report)
 	}
-	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.Reported(now, reports) })
+	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.HandleReports(now, reports) })
 }
 
 // withRefusals adds to a message what its receiver may not know of refused requests.
@@ -241,10 +241,10 @@
 	p := n.poisons
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sum, news := p.guard.News(time.Now(), to, mostTold)
+	sum, news := p.guard.NextUpdates(time.Now(), to, mostTold)
 	m.RefusedSum = sum
 	for _, r := range news {
-		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Left: r.Left.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Times, Pardoned: r.Pardoned})
+		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Left: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Count, Pardoned: r.Pardoned})
 	}
 	return m
 }
@@ -254,12 +254,14 @@
 func (n *Node) takeRefusals(m *wire.Gossip) bool {
 	told := make([]poison.Refusal, 0, len(m.Refused))
 	for _, r := range m.Refused {
-		id, err := poison.IDOf(r.Request)
+		id, err := poison.ParseID(r.Request)
 		if err != nil {
 			n.log.Warn(eventMessageNotExpected, zap.String("node", m.Node), zap.Error(err))
 			continue
 		}
-		told = append(told, poison.Refusal{Request: id, Version: r.Version, Left: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Times: r.Times, Pardoned: r.Pardoned})
+		told = append(told, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Times, Pardoned: r.Pardoned})
 	}
-	return n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.Heard(now, m.Node, m.RefusedSum, told) })
+	return n.learn(func(g *poison.Guard, now time.Time) poison.Outcome {
+		return g.HandleGossip(now, m.Node, m.RefusedSum, told)
+	})
 }
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -40,7 +40,7 @@
 // time.
 type pacing func(v *view, service catalog.Service) endpointPace
 
-type endpointPace func(endpoint string, cold discovery.Coldness) intake.Pace
+type endpointPace func(endpoint string, cold discovery.ColdPeriod) intake.Pace
 
 func newPools(seed uint64, models string, pace pacing, off mechanism.Off) *pools {
 	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), sharing: make(map[string]*place.Sharing), promised: make(map[string]int)}
@@ -176,7 +176,7 @@
 	var list []catalog.Endpoint
 	for _, e := range v.endpoints {
 		s, ok := v.config.Services[e.Service]
-		if !ok || s.PromptCache.Tokens == 0 || !v.evacuations.Takes(e) {
+		if !ok || s.PromptCache.Tokens == 0 || !v.evacuations.AcceptsWork(e) {
 			continue
 		}
 		if paces[s.Name] == nil {
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -24,7 +24,7 @@
 	// endpoints is the list as of a revision.
 	endpoints []catalog.Endpoint
 	// cold are those of them that are taken to be cold, by id.
-	cold map[string]discovery.Coldness
+	cold map[string]discovery.ColdPeriod
 	// revision orders such lists.
 	revision catalog.Revision
 	// evacuations are the failure domains to which nothing further is sent.
@@ -93,20 +93,20 @@
 
 // readEndpoints takes a list in that was read from the store at a moment.
 func (n *Node) readEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
-	fresh := n.readItself(func(own *discovery.FirstHand) { own.ReadList(at) })
-	n.changeEndpoints(sourceStore, fresh, func() bool { return n.list.Read(at, list, revision) })
+	fresh := n.readItself(func(own *discovery.DirectReads) { own.RecordList(at) })
+	n.changeEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
 }
 
 // readConfig notes that the store told this node its newest configuration as of a
 // moment, whether it could be put in force or not.
 func (n *Node) readConfig(at time.Time) {
-	fresh := n.readItself(func(own *discovery.FirstHand) { own.ReadConfig(at) })
+	fresh := n.readItself(func(own *discovery.DirectReads) { own.RecordConfig(at) })
 	n.changeEndpoints(sourceStore, fresh, func() bool { return false })
 }
 
 // readItself notes a read of the store and returns what this node knows by its own
 // reads.
-func (n *Node) readItself(note func(*discovery.FirstHand)) discovery.Freshness {
+func (n *Node) readItself(note func(*discovery.DirectReads)) discovery.Freshness {
 	n.viewMu.Lock()
 	defer n.viewMu.Unlock()
 	note(&n.own)
@@ -124,22 +124,22 @@
 func (n *Node) changeEndpoints(source string, fresh discovery.Freshness, change func() bool) {
 	now := time.Now()
 	n.viewMu.Lock()
-	listAge := age(now, n.list.Current())
+	listAge := age(now, n.list.AsOf())
 	changed := change()
-	if kept := int64(n.list.Kept()); n.keptEndpoints.Swap(kept) != kept {
+	if kept := int64(n.list.Lapsed()); n.keptEndpoints.Swap(kept) != kept {
 		n.log.Info(eventEndpointsKept, zap.Int64("count", kept), zap.String("source", source), zap.Int64("list_age_ms", listAge))
 	}
 	old := n.view.Load()
-	doubted := n.list.Doubted()
+	doubted := n.list.Outdated()
 	next := *old
 	next.revision = n.list.Revision()
-	next.fresh = old.fresh.Later(fresh)
-	if next.fresh.Readers.IsZero() {
+	next.fresh = old.fresh.Merge(fresh)
+	if next.fresh.Primaries.IsZero() {
 		// The readers are given their time before others stand in for them.
-		next.fresh.Readers = next.fresh.List
+		next.fresh.Primaries = next.fresh.List
 	}
-	if next.fresh.StandIns.IsZero() {
-		next.fresh.StandIns = next.fresh.List
+	if next.fresh.Candidates.IsZero() {
+		next.fresh.Candidates = next.fresh.List
 	}
 	if changed {
 		next.endpoints, next.cold = n.list.Endpoints(), n.list.Cold()
@@ -208,13 +208,13 @@
 func (n *Node) answerView(m *wire.ViewRequest, answer func(wire.Message) error) {
 	n.viewMu.Lock()
 	v := n.view.Load()
-	delta := n.list.Above(catalog.Revision(m.EndpointsAbove))
+	delta := n.list.ChangesSince(catalog.Revision(m.EndpointsAbove))
 	n.viewMu.Unlock()
 	now := time.Now()
 	out := wire.View{
-		Revision: uint64(delta.Revision), Whole: delta.Whole, Gone: delta.Gone, Digest: delta.Digest,
-		Age: age(now, v.fresh.List), ConfigAge: age(now, v.fresh.Config), ReadersAge: age(now, v.fresh.Readers),
-		StandInsAge: age(now, v.fresh.StandIns),
+		Revision: uint64(delta.Revision), Whole: delta.Full, Gone: delta.Removed, Digest: delta.Digest,
+		Age: age(now, v.fresh.List), ConfigAge: age(now, v.fresh.Config), ReadersAge: age(now, v.fresh.Primaries),
+		StandInsAge: age(now, v.fresh.Candidates),
 		Evacuated:   v.evacuations.Listed(), EvacuatedRevision: uint64(v.evacuations.Revision()),
 	}
 	for _, e := range delta.Changed {
@@ -262,18 +262,18 @@
 	if m.Revision == 0 {
 		return
 	}
-	delta := discovery.Delta{Revision: catalog.Revision(m.Revision), Whole: m.Whole, Gone: m.Gone, Digest: m.Digest}
+	delta := discovery.Delta{Revision: catalog.Revision(m.Revision), Full: m.Whole, Removed: m.Gone, Digest: m.Digest}
 	for _, w := range m.Changed {
 		delta.Changed = append(delta.Changed, catalog.Endpoint(w))
 	}
 	now := time.Now()
-	fresh := discovery.Freshness{List: moment(now, m.Age), Readers: moment(now, m.ReadersAge), StandIns: moment(now, m.StandInsAge)}
+	fresh := discovery.Freshness{List: moment(now, m.Age), Primaries: moment(now, m.ReadersAge), Candidates: moment(now, m.StandInsAge)}
 	if m.ConfigVersion <= n.view.Load().version() && m.EvacuatedRevision > 0 {
 		// What the peer holds is in force here too. Of evacuations one of an earlier
 		// version knows nothing.
 		fresh.Config = moment(now, m.ConfigAge)
 	}
-	n.changeEndpoints(sourcePeer, fresh, func() bool { return n.list.Apply(fresh.List, delta) })
+	n.changeEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
 }
 
 // takePeerConfig takes a configuration that a peer sent.
@@ -300,7 +300,7 @@
 	paceOf := pace(v, service)
 	var specs []place.Spec
 	for _, e := range v.endpoints {
-		if e.Service != service.Name || !v.evacuations.Takes(e) {
+		if e.Service != service.Name || !v.evacuations.AcceptsWork(e) {
 			continue
 		}
 		specs = append(specs, place.Spec{
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -49,7 +49,7 @@
 				continue
 			}
 			failed++
-			pause(ctx, discovery.RetryPause(n.serves(), failed))
+			pause(ctx, discovery.RetryDelay(n.serves(), failed))
 			continue
 		}
 		failed = 0
@@ -79,7 +79,7 @@
 
 func (n *Node) nextConfig(ctx context.Context, after catalog.Revision, failed int, wait time.Duration) (platform.ConfigRevision, error) {
 	if after == 0 {
-		return n.store.ReadConfig(ctx, discovery.ReadLimit(n.serves(), failed))
+		return n.store.ReadConfig(ctx, discovery.ReadTimeout(n.serves(), failed))
 	}
 	return n.store.AwaitConfig(ctx, after, wait)
 }
@@ -91,11 +91,11 @@
 	for ctx.Err() == nil {
 		asked := time.Now()
 		if n.reads(asked) {
-			list, err := n.store.Endpoints(ctx, discovery.ReadLimit(n.serves(), inVain))
+			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.serves(), inVain))
 			n.storeState(callList, err)
 			if err != nil {
 				inVain++
-				pause(ctx, discovery.RetryPause(n.serves(), inVain))
+				pause(ctx, discovery.RetryDelay(n.serves(), inVain))
 				continue
 			}
 			inVain = 0
@@ -103,7 +103,7 @@
 			n.readEndpoints(list.Endpoints, list.Revision, asked)
 			silent++
 			n.askIfBack(silent)
-			pause(ctx, discovery.ReadEvery-time.Since(asked))
+			pause(ctx, discovery.ReadInterval-time.Since(asked))
 			continue
 		}
 		inVain = 0
@@ -116,8 +116,8 @@
 		if v.fresh.Stale(asked) {
 			silent++
 		}
-		n.askReader(n.readers.Load().Readers(asked.Sub(v.fresh.Readers)), silent)
-		pause(ctx, discovery.AskEvery)
+		n.askReader(n.readers.Load().Readers(asked.Sub(v.fresh.Primaries)), silent)
+		pause(ctx, discovery.PollInterval)
 	}
 }
 
@@ -125,7 +125,7 @@
 func (n *Node) reads(now time.Time) bool {
 	fresh := n.view.Load().fresh
 	if fresh.List.IsZero() || !n.view.Load().evacuations.Known() {
-		return len(n.settings.Seeds) == 0 || n.readers.Load().ReadsFirst(n.settings.Node, now.Sub(n.started))
+		return len(n.settings.Seeds) == 0 || n.readers.Load().ReadsAtStart(n.settings.Node, now.Sub(n.started))
 	}
 	return n.readers.Load().Reads(n.settings.Node, now, fresh)
 }
@@ -139,7 +139,7 @@
 	v := n.view.Load()
 	fields := []zap.Field{
 		zap.Int64("list_age_ms", age(now, v.fresh.List)), zap.Int64("config_age_ms", age(now, v.fresh.Config)),
-		zap.Int64("readers_age_ms", age(now, v.fresh.Readers)), zap.Uint64("config", v.version()),
+		zap.Int64("readers_age_ms", age(now, v.fresh.Primaries)), zap.Uint64("config", v.version()),
 	}
 	if reads {
 		n.log.Info(eventReadsStore, fields...)
@@ -186,11 +186,11 @@
 func (n *Node) askIfBack(turn int) {
 	readers := n.readers.Load()
 	switch {
-	case readers.Usual(n.settings.Node):
-	case readers.StandsIn(n.settings.Node):
+	case readers.IsPrimary(n.settings.Node):
+	case readers.IsCandidate(n.settings.Node):
 		n.askReader(readers.Readers(0), turn)
 	default:
-		n.askReader(readers.Readers(time.Since(n.view.Load().fresh.Readers)), turn)
+		n.askReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), turn)
 	}
 }
 
