--- a/internal/core/discovery/doc.go
+++ b/internal/core/discovery/doc.go
@@ -1,36 +1,38 @@
-// Package discovery keeps the list of endpoints that nodes pass on to each
-// other, so that a few of them read it from the platform's store for all.
+// Package discovery maintains the list of endpoints that nodes replicate from each other,
+// so that only a few of them read it from the platform's store.
 //
-// Every list belongs to a revision of the store, and each endpoint carries
-// the revision at which its change was first seen here. A node that holds all
-// changes up to a revision asks any other for those above it; it may get a
-// change twice, but misses none, whichever node it asks.
+// Every list has a store revision, and each endpoint carries the revision at which this
+// node first saw its latest change. A node that holds all changes up to a revision can ask
+// any other node for the later ones. It may receive a change twice, but misses none,
+// whichever node it asks.
 //
-// It also decides which nodes read, and whom the others ask, for the list and the
-// configuration alike. A Ranking has the usual readers first, then those that stand
-// in for them first, then all others. Freshness tells as of when a node knows what, and
-// goes with each answer to another node:
+// The package also decides which nodes read the store, and which nodes the others poll, for
+// the endpoint list and the configuration alike. A Ranking orders the nodes: the primary
+// readers first, then the backup readers that replace them, then all others. Freshness
+// records the time as of which the data of a node is known to match the store, and
+// accompanies every answer to another node:
 //
-//   - Readers and StandIns tell whether those who should read do: others read only
-//     when they don't, and until they do again.
-//   - List and Config tell whether the node hears of it: it asks another one when it
-//     does not.
+//   - Primaries and Candidates show whether the designated readers reach the store. Other nodes
+//     read only while they do not.
+//   - List and Config show whether the node receives updates. If it does not, it polls another
+//     node.
 //
-// Endpoints whose entries lapsed while the store was away serve on, and are used until
-// they had time to list themselves again. Whether the store was away each node judges by
-// the list alone, whoever read it; what it keeps is no part of what it tells others.
+// Endpoints whose entries lapsed while the store was unavailable keep serving, and remain
+// in use until they have had time to register again. Each node infers from the list alone
+// whether the store was unavailable, whoever read the list. Lapsed entries that a node
+// retains are not replicated to others.
 //
 // # Usage
 //
 //	list := discovery.NewList(discovery.WithHeartbeat(beat))
-//	list.Read(at, endpoints, revision)  // at a reader of the store
-//	delta := list.Above(revision)       // for a node that asks
-//	list.Apply(at, delta)               // at that node
+//	list.ApplySnapshot(at, endpoints, revision) // at a reader of the store
+//	delta := list.ChangesSince(revision)        // for a node that polls
+//	list.ApplyDelta(at, delta)                  // at that node
 //
 //	ranking := discovery.Rank(strong, weak)
-//	own.ReadList(at)                                  // after a read of the store
-//	fresh = fresh.Later(own.Freshness(ranking, node))
-//	fresh = fresh.Later(told)                         // after a peer's answer
+//	own.RecordList(at)                                // after a read of the store
+//	fresh = fresh.Merge(own.Freshness(ranking, node))
+//	fresh = fresh.Merge(received)                     // after a peer's answer
 //	if ranking.Reads(node, now, fresh) { ... }        // read the store, or
-//	discovery.ReaderFor(ranking.Readers(now.Sub(fresh.Readers)), node, tries)
+//	discovery.ReaderFor(ranking.Readers(now.Sub(fresh.Primaries)), node, tries)
 package discovery
--- a/internal/core/discovery/evacuation.go
+++ b/internal/core/discovery/evacuation.go
@@ -8,29 +8,28 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// Evacuations are the failure domains to whose endpoints nothing further is to be sent, as
-// of a revision of the store. The zero value knows nothing yet. A value is never changed
-// after it was made.
+// Evacuations is the set of failure domains to whose endpoints no more work is sent, as of
+// a store revision. The zero value is an unknown set. Values are immutable.
 type Evacuations struct {
 	revision catalog.Revision
 	domains  map[string]bool
-	// held are evacuations that the store had acknowledged before it came back from an older
-	// copy which lacks them, and until when they are taken to hold all the same.
+	// held maps evacuations that the store acknowledged, but lacks after a restore from an
+	// older copy, to the time until which they still apply.
 	held map[string]time.Time
-	// ended is when an evacuation was last found to be over, by failure domain.
+	// ended holds when the last evacuation of each failure domain was seen to end.
 	ended map[string]time.Time
 }
 
-// EvacuationChange tells that a failure domain is evacuated, or no more.
+// EvacuationChange reports the start or the end of a failure domain's evacuation.
 type EvacuationChange struct {
 	Domain string
 	Ended  bool
 }
 
-// Known reports whether it is known which failure domains are evacuated.
+// Known reports whether the set of evacuated failure domains is known.
 func (v Evacuations) Known() bool { return v.revision > 0 }
 
-// Revision is the store's count of changes up to which all evacuations are in.
+// Revision returns the store revision up to which all evacuations are included.
 func (v Evacuations) Revision() catalog.Revision { return v.revision }
 
 // Contains reports whether a failure domain is evacuated.
@@ -39,11 +38,11 @@
 	return held || v.domains[domain]
 }
 
-// Listed lists the failure domains that are evacuated by the store's word, as it goes to
+// Listed returns the evacuated failure domains that the store lists. Only these are sent to
 // other nodes.
 func (v Evacuations) Listed() []string { return slices.Sorted(maps.Keys(v.domains)) }
 
-// Domains lists the failure domains to whose endpoints nothing is to be sent.
+// Domains returns the failure domains to whose endpoints no work may be sent.
 func (v Evacuations) Domains() []string {
 	all := v.Listed()
 	for d := range v.held {
@@ -55,11 +54,12 @@
 	return all
 }
 
-// heldFor is how long an evacuation holds that a restored store lacks. The operator writes
-// it again as what else was lost; one that was taken back meanwhile costs this time.
-const heldFor = 10 * time.Second
+// restoreHoldPeriod is how long an evacuation stays in force that a restored store lacks.
+// The operator writes it again like any other lost change. An evacuation that was ended
+// meanwhile stays in force for this time.
+const restoreHoldPeriod = 10 * time.Second
 
-// Expire returns the evacuations without those whose time to be written again is over.
+// Expire returns the evacuations without the held ones whose hold period has ended.
 func (v Evacuations) Expire(now time.Time) Evacuations {
 	for d, until := range v.held {
 		if now.Before(until) {
@@ -69,34 +69,34 @@
 		next.held = maps.Clone(v.held)
 		delete(next.held, d)
 		if !v.domains[d] {
-			next.ended = marked(v.ended, d, now)
+			next.ended = withTime(v.ended, d, now)
 		}
 		v = next
 	}
 	return v
 }
 
-// marked returns a copy of moments with one more.
-func marked(all map[string]time.Time, domain string, at time.Time) map[string]time.Time {
+// withTime returns a copy of a map with one more time.
+func withTime(all map[string]time.Time, domain string, at time.Time) map[string]time.Time {
 	next := make(map[string]time.Time, len(all)+1)
 	maps.Copy(next, all)
 	next[domain] = at
 	return next
 }
 
-// EndedAt is when the last evacuation of a failure domain was found to be over, or zero.
-// Its endpoints may be cold from then on, before the list of endpoints tells so.
+// EndedAt returns when the last evacuation of a failure domain was seen to end, or the zero
+// time. Its endpoints may be cold from then on, before the list of endpoints shows it.
 func (v Evacuations) EndedAt(domain string) time.Time { return v.ended[domain] }
 
-// AcceptsWork reports whether an endpoint takes further work. It is the one decision by which
-// anything is sent to an endpoint: new requests, repeats, calls of a stage pool, questions
-// and results that are given up.
+// AcceptsWork reports whether an endpoint may be sent more work. It is the single check for
+// everything that is sent to an endpoint: new requests, retries, stage pool calls, probes
+// and released results.
 func (v Evacuations) AcceptsWork(e catalog.Endpoint) bool {
 	return !e.Draining && !v.Contains(e.Domain)
 }
 
-// Replace returns the evacuations as of a revision, which are all there are. What is not
-// ahead of the present ones changes nothing.
+// Replace returns the complete set of evacuations as of a revision. Revisions that are not
+// above the present one are ignored.
 func (v Evacuations) Replace(now time.Time, revision catalog.Revision, domains []string) Evacuations {
 	if revision <= v.revision {
 		return v
@@ -106,21 +106,22 @@
 	maps.Copy(held, v.held)
 	for _, d := range domains {
 		listed[d] = true
-		// It was written again.
+		// The evacuation was written again.
 		delete(held, d)
 	}
 	if v.Known() && revision.Era() > v.revision.Era() {
 		for _, d := range v.Domains() {
 			if !listed[d] {
-				held[d] = now.Add(heldFor)
+				held[d] = now.Add(restoreHoldPeriod)
 			}
 		}
 	}
-	return v.after(now, Evacuations{revision: revision, domains: listed, held: held})
+	return v.withEnded(now, Evacuations{revision: revision, domains: listed, held: held})
 }
 
-// ApplyChanges returns the evacuations as of a revision, given the last change of each failure
-// domain since one that is not after the present one and of its era.
+// ApplyChanges returns the evacuations as of a revision, given the last change of each
+// failure domain since an earlier revision. That one must not be above the present revision
+// and must be of its era.
 func (v Evacuations) ApplyChanges(now time.Time, revision catalog.Revision, changes []EvacuationChange) Evacuations {
 	if revision <= v.revision {
 		return v
@@ -137,19 +138,19 @@
 		}
 		listed[c.Domain] = true
 	}
-	return v.after(now, Evacuations{revision: revision, domains: listed, held: held})
+	return v.withEnded(now, Evacuations{revision: revision, domains: listed, held: held})
 }
 
-// after completes the evacuations that come after v with what is over.
-func (v Evacuations) after(now time.Time, next Evacuations) Evacuations {
+// withEnded sets, in the evacuations that follow v, the end times of those that are over.
+func (v Evacuations) withEnded(now time.Time, next Evacuations) Evacuations {
 	next.ended = v.ended
 	for _, d := range v.Domains() {
 		if !next.Contains(d) {
-			next.ended = marked(next.ended, d, now)
+			next.ended = withTime(next.ended, d, now)
 		}
 	}
 	return next
 }
 
-// Equal reports whether nothing is to be sent to the same failure domains.
+// Equal reports whether the same failure domains are evacuated.
 func (v Evacuations) Equal(o Evacuations) bool { return slices.Equal(v.Domains(), o.Domains()) }
--- a/internal/core/discovery/evacuation_test.go
+++ b/internal/core/discovery/evacuation_test.go
@@ -11,24 +11,24 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// rowOf is an operator's row of one failure domain.
-type rowOf struct {
+// evacuationRow is the stored row of one failure domain.
+type evacuationRow struct {
 	evacuated bool
 	changed   catalog.Revision
 }
 
-// operatorsRows is the store's table: all that was ever written, the last of it by domain.
-type operatorsRows struct {
+// evacuationTable models the store's table: the last write of each failure domain.
+type evacuationTable struct {
 	revision catalog.Revision
-	rows     map[string]rowOf
+	rows     map[string]evacuationRow
 }
 
-func (o *operatorsRows) write(domain string, evacuated bool) {
+func (o *evacuationTable) write(domain string, evacuated bool) {
 	o.revision++
-	o.rows[domain] = rowOf{evacuated: evacuated, changed: o.revision}
+	o.rows[domain] = evacuationRow{evacuated: evacuated, changed: o.revision}
 }
 
-func (o *operatorsRows) whole() []string {
+func (o *evacuationTable) all() []string {
 	var list []string
 	for d, r := range o.rows {
 		if r.evacuated {
@@ -39,7 +39,7 @@
 	return list
 }
 
-func (o *operatorsRows) since(revision catalog.Revision) []EvacuationChange {
+func (o *evacuationTable) since(revision catalog.Revision) []EvacuationChange {
 	var list []EvacuationChange
 	for d, r := range o.rows {
 		if r.changed > revision {
@@ -49,13 +49,14 @@
 	return list
 }
 
-// TestEvacuationsFollowTheStore has nodes learn of random evacuations by whole reads, by
-// changes since any revision that they had, and from each other, in any order and as old as
-// may be: what a node holds is always what the store held at its revision, which never falls.
+// TestEvacuationsFollowTheStore updates nodes by full reads, by changes since any earlier
+// revision and from each other, in any order and with answers of any age. It guards against
+// lost or resurrected evacuations: a node must always hold the store's set as of its
+// revision, and the revision must never decrease.
 func TestEvacuationsFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		store := operatorsRows{revision: 1, rows: make(map[string]rowOf)}
+		store := evacuationTable{revision: 1, rows: make(map[string]evacuationRow)}
 		history := map[catalog.Revision][]string{1: nil}
 		nodes := make([]Evacuations, 3)
 		domains := []string{"a", "b", "c"}
@@ -66,9 +67,9 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				store.write(rapid.SampledFrom(domains).Draw(t, "domain"), rapid.Bool().Draw(t, "evacuated"))
-				history[store.revision] = store.whole()
+				history[store.revision] = store.all()
 			case 1:
-				// An answer may be as old as the question.
+				// The answer may be as old as the request.
 				revision := rapid.SampledFrom(slices.Sorted(maps.Keys(history))).Draw(t, "revision")
 				nodes[at] = before.Replace(now, revision, history[revision])
 			case 2:
@@ -88,8 +89,8 @@
 	})
 }
 
-// TestTakes tells which endpoints take work, and since when an evacuation is over.
-func TestTakes(t *testing.T) {
+// TestAcceptsWork checks which endpoints accept work, and when an evacuation ended.
+func TestAcceptsWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	none := Evacuations{}.Replace(now, 1, nil)
 	during := none.Replace(now, 2, []string{"a"})
@@ -108,7 +109,7 @@
 	}
 	for _, c := range cases {
 		if got := c.in.AcceptsWork(c.of); got != c.want {
-			t.Errorf("%s: takes work: %v", c.name, got)
+			t.Errorf("%s: accepts work: %v", c.name, got)
 		}
 	}
 	if !during.EndedAt("a").IsZero() || !after.EndedAt("a").Equal(now.Add(time.Minute)) {
@@ -116,9 +117,10 @@
 	}
 }
 
-// TestColdness follows the entries of an endpoint that begins cold, tells what is left with
-// each heartbeat, and turns cold again.
-func TestColdness(t *testing.T) {
+// TestColdPeriod guards against a cold period that restarts with every heartbeat. An
+// endpoint starts cold, reports the remaining time with each heartbeat, and turns cold
+// again.
+func TestColdPeriod(t *testing.T) {
 	start := time.Unix(1000, 0)
 	l := NewList()
 	read := func(after time.Duration, revision catalog.Revision, cold time.Duration) (ColdPeriod, bool) {
--- a/internal/core/discovery/freshness.go
+++ b/internal/core/discovery/freshness.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// Freshness tells as of when what a node holds is known to be the store's. Each
-// moment may be zero for never.
+// Freshness holds the times as of which a node's data is known to match the store. A zero
+// time means never.
 type Freshness struct {
-	// List is that of the list of endpoints, Config that of the configuration.
-	// They are read by different calls, of which one may hang or fail for long
-	// while the other succeeds.
+	// List applies to the endpoint list, Config to the configuration. They are read by
+	// separate calls, of which one may hang or fail for long while the other succeeds.
 	List, Config time.Time
-	// Primaries is as of when one of the usual readers had both from the store
-	// itself. What others have read in the readers' place does not count: it is no
-	// sign that the readers are back.
+	// Primaries is when one of the primary readers last had both from the store itself.
+	// Reads by backup readers do not count, since they do not show that the primary readers
+	// have recovered.
 	Primaries time.Time
-	// Candidates is as of when one of the usual readers, or of those that stand in for
-	// them first, had both from the store itself.
+	// Candidates is when one of the primary or backup readers last had both from the store
+	// itself.
 	Candidates time.Time
-	// Own is as of when the node itself had both from the store.
+	// Own is when the node itself last had both from the store.
 	Own time.Time
 }
 
-// AsOf is as of when all that the node holds is known to be the store's.
+// AsOf returns the time as of which both the list and the configuration match the store.
 func (f Freshness) AsOf() time.Time {
 	if f.Config.Before(f.List) {
 		return f.Config
@@ -28,34 +27,36 @@
 	return f.List
 }
 
-// Stale reports whether another reader is to be asked than the last time.
-func (f Freshness) Stale(now time.Time) bool { return now.Sub(f.AsOf()) > askStale }
+// Stale reports whether the view is so old that the node should poll another reader than
+// the last time.
+func (f Freshness) Stale(now time.Time) bool { return now.Sub(f.AsOf()) > stalePollAge }
 
-// Merge joins what is known from two sources.
+// Merge returns the later of each time of two sources.
 func (f Freshness) Merge(o Freshness) Freshness {
 	return Freshness{
-		List: later(f.List, o.List), Config: later(f.Config, o.Config),
-		Primaries: later(f.Primaries, o.Primaries), Candidates: later(f.Candidates, o.Candidates), Own: later(f.Own, o.Own),
+		List: latest(f.List, o.List), Config: latest(f.Config, o.Config),
+		Primaries: latest(f.Primaries, o.Primaries), Candidates: latest(f.Candidates, o.Candidates), Own: latest(f.Own, o.Own),
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// DirectReads is what a node knows by its own reads of the store alone.
+// DirectReads records a node's own reads of the store.
 type DirectReads struct{ list, config time.Time }
 
-// RecordList notes a read of the list as of a moment.
-func (h *DirectReads) RecordList(at time.Time) { h.list = later(h.list, at) }
+// RecordList records that the list was read as of a time.
+func (h *DirectReads) RecordList(at time.Time) { h.list = latest(h.list, at) }
 
-// RecordConfig notes a read of the configuration as of a moment.
-func (h *DirectReads) RecordConfig(at time.Time) { h.config = later(h.config, at) }
+// RecordConfig records that the configuration was read as of a time.
+func (h *DirectReads) RecordConfig(at time.Time) { h.config = latest(h.config, at) }
 
-// Freshness is what a node knows by its own reads, by its place among the readers.
+// Freshness returns the freshness that results from the node's own reads, given its role in
+// the ranking.
 func (h *DirectReads) Freshness(r Ranking, node string) Freshness {
 	f := Freshness{List: h.list, Config: h.config}
 	f.Own = f.AsOf()
@@ -69,45 +70,45 @@
 }
 
 const (
-	// ReadInterval is how often a reader reads the list, AskEvery how often a node that is
-	// none asks a reader, and askStale the age of its view at which it asks another
-	// one. A reader's answer is 0.75 s old at most, and 0.35 s older when the next one
-	// is asked for.
+	// ReadInterval is how often a reader reads the list, PollInterval how often any other
+	// node polls a reader, and stalePollAge the age of its view at which it polls another
+	// reader. A reader's answer is at most 0.75 s old, and 0.35 s older when the next poll
+	// is due.
 	ReadInterval = 700 * time.Millisecond
 	PollInterval = 350 * time.Millisecond
-	askStale     = 1200 * time.Millisecond
-	// sharedWait and ownWait are how long the store holds a question for changes of
-	// the configuration, of a node that reads for others and of one that reads for
-	// itself. That the configuration is still the newest is known only when the
-	// question ends, so a reader's must end about as often as it reads the list; the
-	// shorter wait is 0.8 calls a second more at each reader.
-	sharedWait = ReadInterval
-	ownWait    = 1500 * time.Millisecond
-	// listOld is the age of the list from which on peers are asked for theirs.
-	listOld = 1300 * time.Millisecond
-	// waitSlack is how much older than the wait a configuration may be in ordinary
-	// times.
-	waitSlack = 600 * time.Millisecond
+	stalePollAge = 1200 * time.Millisecond
+	// sharedConfigWait and soloConfigWait are how long the store holds a long poll for
+	// configuration changes, from a node that reads for others and from one that reads only
+	// for itself. An unchanged configuration is confirmed only when the long poll ends, so
+	// a reader's must end about as often as it reads the list. The shorter wait costs 0.8
+	// more calls a second at each reader.
+	sharedConfigWait = ReadInterval
+	soloConfigWait   = 1500 * time.Millisecond
+	// overdueListAge is the age of the list above which any peer is polled.
+	overdueListAge = 1300 * time.Millisecond
+	// configWaitSlack is how much older than the wait a configuration gets in normal
+	// operation.
+	configWaitSlack = 600 * time.Millisecond
 )
 
-// ConfigWait is how long the store is to hold a reader's question for changes of the
-// configuration.
+// ConfigWait returns how long the store should hold a reader's long poll for configuration
+// changes.
 func (r Ranking) ConfigWait() time.Duration {
-	if r.usual < len(r.names) {
-		return sharedWait
+	if r.primaries < len(r.names) {
+		return sharedConfigWait
 	}
-	return ownWait
+	return soloConfigWait
 }
 
-// Overdue reports whether a view is older than readers leave it in ordinary times, so
-// that any peer may know more.
+// Overdue reports whether a view is older than the readers leave it in normal operation, so
+// that any peer may have a newer one.
 func (r Ranking) Overdue(now time.Time, f Freshness) bool {
-	return now.Sub(f.List) > listOld || now.Sub(f.Config) > r.ConfigWait()+waitSlack
+	return now.Sub(f.List) > overdueListAge || now.Sub(f.Config) > r.ConfigWait()+configWaitSlack
 }
 
-// AnswerAsOf is the moment as of which the answer to a question for changes tells the
-// newest configuration. One that names no change was given when its wait was over; one
-// that names a change was given at any time after it was asked.
+// AnswerAsOf returns the time as of which the answer to a long poll reflects the newest
+// configuration. An answer without a change was given at the end of the wait. One with a
+// change may have been given at any time after the request.
 func AnswerAsOf(asked, answered time.Time, wait time.Duration, changed bool) time.Time {
 	if waited := asked.Add(wait); !changed && !waited.After(answered) {
 		return waited
--- a/internal/core/discovery/lapse.go
+++ b/internal/core/discovery/lapse.go
@@ -8,46 +8,44 @@
 )
 
 const (
-	// DefaultHeartbeat is how often endpoints confirm their entries where the settings
-	// don't tell.
+	// DefaultHeartbeat is the interval at which endpoints confirm their entries if the
+	// settings specify none.
 	DefaultHeartbeat = 1200 * time.Millisecond
-	// silentBeats is how long, in heartbeats, the store must be away at least for an
-	// entry to lapse: entries go after three heartbeats of silence, of which up to one
-	// had passed when the store went away.
-	silentBeats = 2
-	// lapsedPart is the part of the listed entries, as a divisor, that must have
-	// lapsed between two lists for the store to be taken to have been away. An absence
-	// of 2.7 s takes a quarter of all entries, one of 3.6 s all of them; endpoints
-	// that leave by themselves are far fewer than that within the seconds that nobody
-	// reads the store.
-	lapsedPart = 4
-	// returnTime is how long endpoints take to list themselves again after the
-	// store's return.
-	returnTime = 2200 * time.Millisecond
+	// minLapseHeartbeats is the shortest outage of the store, in heartbeats, in which an
+	// entry can lapse. Entries lapse after three silent heartbeats, of which up to one had
+	// passed when the outage began.
+	minLapseHeartbeats = 2
+	// lapsedDivisor sets the fraction of listed entries, 1/lapsedDivisor, that must have
+	// lapsed between two lists for a store outage to be inferred. An outage of 2.7 s makes
+	// a quarter of all entries lapse, one of 3.6 s all of them. Far fewer endpoints leave
+	// by themselves within the seconds that nobody reads the store.
+	lapsedDivisor = 4
+	// reregisterPeriod is how long endpoints take to register again after the store has
+	// recovered.
+	reregisterPeriod = 2200 * time.Millisecond
 )
 
-// lapses holds endpoints whose entries lapsed while the store was away: they serve on,
-// and are used until they had time to list themselves again. They are this node's own
-// belief and no part of what it tells others, who judge for themselves by the same
-// list: what one node holds in doubt must not bring an endpoint back to another one that
-// knows that it left.
-type lapses struct {
+// lapsedEntries holds endpoints whose entries lapsed during a store outage. They keep
+// serving, and stay in use until they have had time to register again. They are local to
+// this node and are not replicated: other nodes decide by the same list, and an endpoint
+// that one node retains must not return to another node that knows that it has left.
+type lapsedEntries struct {
 	endpoints map[string]catalog.Endpoint
-	// until is when those that are still missing are gone.
+	// until is when the endpoints that have not registered again are dropped.
 	until time.Time
 }
 
-// keep goes on with an endpoint that the list lost, if its entry may have lapsed.
-func (p *lapses) keep(at time.Time, e catalog.Endpoint) {
+// add retains an endpoint that was removed from the list, if its entry may have lapsed.
+func (p *lapsedEntries) add(at time.Time, e catalog.Endpoint) {
 	if at.Before(p.until) {
 		p.endpoints[e.ID] = e
 	}
 }
 
-// expire drops the endpoints that a list lacks which was the store's when their time to
-// come back was over, and reports whether there were any. The time alone drops none:
-// without news, a node can't know whether they came back.
-func (p *lapses) expire(at time.Time) bool {
+// expire drops the retained endpoints if the list is as of a time after their deadline to
+// register again, and reports whether there were any. The passage of time alone drops none:
+// without a newer list the node cannot know whether they have registered.
+func (p *lapsedEntries) expire(at time.Time) bool {
 	if len(p.endpoints) == 0 || at.Before(p.until) {
 		return false
 	}
@@ -55,28 +53,28 @@
 	return true
 }
 
-// lapsedSince reports whether the entries of a list lapsed before another one was read:
-// nobody had a list for as long as that takes, and a large part of the entries are gone
-// or were put anew with nothing changed. Both are asked of the store alone. That this
-// node, or any other, did not read for a while is no sign that the store was away: its
-// readers may have been lost, and endpoints that left meanwhile must not be used.
-func (l *List) lapsedSince(at time.Time, listed func() map[string]catalog.Endpoint) bool {
-	if l.current.IsZero() || at.Sub(l.current) <= silentBeats*l.heartbeat {
+// entriesLapsed reports whether entries lapsed in a store outage before the given list was
+// read: no node had a list for as long as that takes, and a large fraction of the entries
+// were removed, or were written again unchanged. Both are judged by the store's data alone.
+// Missing reads by this or any other node do not indicate an outage, since the readers may
+// have failed, and endpoints that left meanwhile must not be used.
+func (l *List) entriesLapsed(at time.Time, listed func() map[string]catalog.Endpoint) bool {
+	if l.asOf.IsZero() || at.Sub(l.asOf) <= minLapseHeartbeats*l.heartbeat {
 		return false
 	}
 	lapsed, next := 0, listed()
 	for id, k := range l.endpoints {
 		now, ok := next[id]
-		if !ok || putAnew(k.endpoint, now) {
+		if !ok || reregistered(k.endpoint, now) {
 			lapsed++
 		}
 	}
-	return lapsed > 0 && lapsedPart*lapsed >= len(l.endpoints)
+	return lapsed > 0 && lapsedDivisor*lapsed >= len(l.endpoints)
 }
 
-// putAnew reports whether an entry went and came back in between: nothing but the
-// store's count of it differs.
-func putAnew(before, after catalog.Endpoint) bool {
+// reregistered reports whether an entry was removed and added again in between, so that
+// only its store revision differs.
+func reregistered(before, after catalog.Endpoint) bool {
 	if before.Listed == 0 || after.Listed == 0 || before.Listed == after.Listed {
 		return false
 	}
@@ -84,14 +82,14 @@
 	return after == before
 }
 
-// Outdated returns how many entries of a restored store are doubted.
-func (l *List) Outdated() int { return len(l.doubts.entries) }
+// Outdated returns the number of entries of a restored store that are considered outdated.
+func (l *List) Outdated() int { return len(l.outdated.entries) }
 
-// Lapsed returns how many endpoints are used although the store does not list them.
-func (l *List) Lapsed() int { return len(l.lapses.endpoints) }
+// Lapsed returns the number of endpoints in use that the store does not list.
+func (l *List) Lapsed() int { return len(l.lapsed.endpoints) }
 
-// listedAfter is the list that a delta leads to.
-func (l *List) listedAfter(d Delta) map[string]catalog.Endpoint {
+// listedAfterDelta returns the listed endpoints after a delta is applied.
+func (l *List) listedAfterDelta(d Delta) map[string]catalog.Endpoint {
 	next := make(map[string]catalog.Endpoint, len(l.endpoints))
 	for id, k := range l.endpoints {
 		next[id] = k.endpoint
--- a/internal/core/discovery/leaving_test.go
+++ b/internal/core/discovery/leaving_test.go
@@ -11,47 +11,45 @@
 	"gradetiller.example/internal/scripted"
 )
 
-// The incident that the scripts under testdata/leaving tell: on 295 nodes, requests
-// reached an endpoint 4.03 s after the store had acknowledged that it leaves; 4 s are
-// allowed. Six nodes read the store there and the others ask these.
+// The scripts under testdata/leaving guard against work being sent to an endpoint after the
+// store has acknowledged that it leaves. In a system of 295 nodes with six readers this
+// happened 4.03 s after the acknowledgement, with 4 s allowed.
 //
-// It came about when the readers were lost just after the endpoint had left. A node
-// that stood in for them read the store 1.4 to 1.8 s later, took its own list, which
-// nobody had renewed meanwhile, for a sign that the store had been away, and kept what
-// the store did not list any more for 2.2 s, as if its entry had lapsed. What a node
-// kept it passed on as listed, also to nodes that had dropped the endpoint already.
-// And the moment as of which a list was the store's stood still while nothing changed,
-// so a node that began to read nearly always took the store to have been away.
+// The primary readers failed just after the endpoint had left. A backup reader read the
+// store 1.4 to 1.8 s later. Since nobody had renewed its own list meanwhile, it inferred
+// that the store had been unavailable, and retained the endpoint for 2.2 s as if its entry
+// had lapsed. It also replicated the retained endpoint as listed, even to nodes that had
+// dropped it. The time as of which a list was valid did not advance while nothing changed,
+// so nodes that began to read nearly always inferred an outage.
 //
-// Proof: on a day on which seven tenths of 61 nodes are lost while a tenth of the
-// endpoints leaves, the store being sound, the lines "endpoints kept" stand at nodes
-// that were in touch, with a list_age_ms of 4.1 s on one that had been told of the
-// store's state 0.8 s before; two nodes drop the endpoint, keep it again, and send it
-// requests.
+// The logs showed it when 7 of 10 of 61 nodes failed while a tenth of the endpoints left
+// and the store was available: nodes in contact logged "endpoints kept", one with a
+// list_age_ms of 4.1 s although it had received the store's state 0.8 s earlier, and two
+// nodes dropped the endpoint, retained it again and sent it requests.
 
-// TestLeaving plays the scripts: systems of nodes in simulated time, which read the
-// store and ask each other as the product does.
+// TestLeaving runs the scripts: systems of nodes in simulated time that read the store and
+// poll each other as in production.
 func TestLeaving(t *testing.T) {
 	scripts, err := filepath.Glob(filepath.Join("testdata", "leaving", "*.txt"))
 	if err != nil || len(scripts) == 0 {
 		t.Fatalf("no scripts: %v", err)
 	}
 	for _, path := range scripts {
-		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) { playScript(t, path) })
+		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) { runScript(t, path) })
 	}
 }
 
-// script is one file: its settings, its steps, and the bounds.
+// script holds one file: its settings, steps and bounds.
 type script struct {
 	nodes, endpoints int
 	seeds            int
 	bound, contact   time.Duration
-	// missing is how long an endpoint that lives may be missing at a node in touch.
+	// missing is how long a live endpoint may be missing at a node in contact.
 	missing time.Duration
 	steps   []scriptStep
 }
 
-// scriptStep is one line that begins with a time.
+// scriptStep is a line that begins with a time.
 type scriptStep struct {
 	at   time.Duration
 	verb string
@@ -61,12 +59,12 @@
 func readScript(t *testing.T, path string) script {
 	t.Helper()
 	s := script{seeds: 1}
-	scripted.Read(t, path, s.take)
+	scripted.Read(t, path, s.parseLine)
 	return s
 }
 
-// take reads one line of a script.
-func (s *script) take(words []string) error {
+// parseLine parses one line of a script.
+func (s *script) parseLine(words []string) error {
 	if at, err := time.ParseDuration(words[0]); err == nil && len(words) > 1 {
 		s.steps = append(s.steps, scriptStep{at: at, verb: words[1], args: words[2:]})
 		return nil
@@ -95,11 +93,11 @@
 	return nil
 }
 
-func playScript(t *testing.T, path string) {
+func runScript(t *testing.T, path string) {
 	s := readScript(t, path)
 	for seed := range s.seeds {
-		w := newLeavingWorld(s, uint64(seed))
-		if found := w.play(); len(found) > 0 {
+		w := newSimulation(s, uint64(seed))
+		if found := w.run(); len(found) > 0 {
 			t.Errorf("seed %d: %d faults, the first: %s", seed, len(found), strings.Join(found[:min(len(found), 4)], "\n\t"))
 		}
 	}
--- a/internal/core/discovery/list.go
+++ b/internal/core/discovery/list.go
@@ -12,72 +12,73 @@
 	"gradetiller.example/internal/core/hash"
 )
 
-// mostGone bounds the endpoints that are remembered as gone. A node whose
-// revision lies before the oldest of them gets the whole list.
-const mostGone = 512
+// maxRemoved bounds the remembered removals. A node whose revision precedes the oldest of
+// them gets the full list.
+const maxRemoved = 512
 
-// List is the endpoints as of a revision, and those whose entries lapsed. It is not
-// safe for concurrent use.
+// List holds the endpoints as of a store revision, and those whose entries lapsed. It is
+// not safe for concurrent use.
 type List struct {
 	revision  catalog.Revision
-	endpoints map[string]known
-	gone      []departed
-	// floor is the revision from which on all departures are remembered.
-	floor catalog.Revision
-	// digest is the sum of the endpoints' hashes.
+	endpoints map[string]knownEndpoint
+	removed   []removedEndpoint
+	// deltaFloor is the revision since which all removals are remembered.
+	deltaFloor catalog.Revision
+	// digest is the sum of the hashes of all endpoints.
 	digest uint64
-	// differs tells that the list is not that of the node asked last, so that a whole
-	// one is asked for next. The revision still tells which of them are older.
-	differs bool
-	// current is as of when the list was last known to be the store's.
-	current   time.Time
+	// diverged is true if the list differs from that of the node polled last, so that the
+	// full list is requested next. The revision still orders the lists by age.
+	diverged bool
+	// asOf is the latest time as of which the list is known to match the store.
+	asOf      time.Time
 	heartbeat time.Duration
-	lapses    lapses
-	doubts    doubts
+	lapsed    lapsedEntries
+	outdated  outdatedEntries
 }
 
-// ListOption changes a new list.
+// ListOption configures a new List.
 type ListOption func(*List)
 
-// WithHeartbeat sets how often endpoints confirm their entries; 0 changes nothing.
+// WithHeartbeat sets the interval at which endpoints confirm their entries. A value of 0
+// leaves the default.
 func WithHeartbeat(d time.Duration) ListOption {
 	return func(l *List) { l.heartbeat = cmp.Or(d, l.heartbeat) }
 }
 
-type known struct {
+type knownEndpoint struct {
 	endpoint catalog.Endpoint
 	changed  catalog.Revision
 	cold     ColdPeriod
 }
 
-// ColdPeriod is from when to when an endpoint is taken to be cold.
+// ColdPeriod is the period in which an endpoint is considered cold.
 type ColdPeriod struct{ Since, Until time.Time }
 
-type departed struct {
+type removedEndpoint struct {
 	id      string
 	changed catalog.Revision
 }
 
-// Delta is what changed above a revision.
+// Delta holds the changes since a revision.
 type Delta struct {
-	// Revision is up to which the receiver then holds all changes.
+	// Revision is the revision of the receiver's list after the delta is applied.
 	Revision catalog.Revision
-	// Full is true when Changed is the whole list.
+	// Full is true if Changed is the full list.
 	Full    bool
 	Changed []catalog.Endpoint
 	Removed []string
-	// Digest is the sender's whole list in one number. An endpoint that came
-	// and went between two reads of the sender is in no delta; the digest then
-	// differs, and the receiver asks for the whole list.
+	// Digest is the digest of the sender's full list. An endpoint that was added and
+	// removed between two reads of the sender is in no delta. The digests differ then, and
+	// the receiver requests the full list.
 	Digest uint64
 }
 
-// NewList returns an empty list of revision 0.
+// NewList returns an empty list at revision 0.
 func NewList(options ...ListOption) *List {
 	l := &List{
-		endpoints: make(map[string]known), heartbeat: DefaultHeartbeat,
-		lapses: lapses{endpoints: make(map[string]catalog.Endpoint)},
-		doubts: doubts{entries: make(map[string]doubt)},
+		endpoints: make(map[string]knownEndpoint), heartbeat: DefaultHeartbeat,
+		lapsed:   lapsedEntries{endpoints: make(map[string]catalog.Endpoint)},
+		outdated: outdatedEntries{entries: make(map[string]outdatedEntry)},
 	}
 	for _, o := range options {
 		o(l)
@@ -85,32 +86,32 @@
 	return l
 }
 
-// Revision returns up to which revision of the store all changes are in, or 0 when the
-// whole list is wanted.
+// Revision returns the store revision up to which all changes are included, or 0 if the
+// full list is needed.
 func (l *List) Revision() catalog.Revision {
-	if l.differs {
+	if l.diverged {
 		return 0
 	}
 	return l.revision
 }
 
-// AsOf returns as of when the list was last known to be the store's.
-func (l *List) AsOf() time.Time { return l.current }
+// AsOf returns the latest time as of which the list is known to match the store.
+func (l *List) AsOf() time.Time { return l.asOf }
 
-// Endpoints returns the endpoints to use by id: those listed, and those whose entries
-// lapsed.
+// Endpoints returns the endpoints in use, sorted by id: the listed ones and those whose
+// entries lapsed.
 func (l *List) Endpoints() []catalog.Endpoint {
-	list := l.doubts.apply(l.listed())
-	for _, e := range l.lapses.endpoints {
+	list := l.outdated.applyTo(l.listed())
+	for _, e := range l.lapsed.endpoints {
 		list = append(list, e)
 	}
 	sortByID(list)
 	return list
 }
 
-// listed returns what the store lists.
+// listed returns the endpoints that the store lists.
 func (l *List) listed() []catalog.Endpoint {
-	list := make([]catalog.Endpoint, 0, len(l.endpoints)+len(l.lapses.endpoints))
+	list := make([]catalog.Endpoint, 0, len(l.endpoints)+len(l.lapsed.endpoints))
 	for _, k := range l.endpoints {
 		list = append(list, k.endpoint)
 	}
@@ -121,8 +122,8 @@
 	slices.SortFunc(list, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// ApplySnapshot takes the store's whole list as of a revision in, as read at a time, and
-// reports whether anything but the revision changed. An older list than the
+// ApplySnapshot replaces the list by the store's full list as of a revision, as read at a
+// time, and reports whether anything but the revision changed. A list older than the
 // present one is ignored.
 func (l *List) ApplySnapshot(at time.Time, endpoints []catalog.Endpoint, revision catalog.Revision) bool {
 	if revision < l.revision || revision == 0 {
@@ -131,7 +132,7 @@
 	return l.replace(at, maps.Collect(byID(endpoints)), revision)
 }
 
-// byID yields endpoints with their ids.
+// byID yields endpoints keyed by id.
 func byID(endpoints []catalog.Endpoint) iter.Seq2[string, catalog.Endpoint] {
 	return func(yield func(string, catalog.Endpoint) bool) {
 		for _, e := range endpoints {
@@ -142,20 +143,20 @@
 	}
 }
 
-// replace puts a whole list, as of a time, in the place of the present one.
+// replace replaces the present list by a full one as of a time.
 func (l *List) replace(at time.Time, listed map[string]catalog.Endpoint, revision catalog.Revision) bool {
 	restored := revision.Era() > l.revision.Era()
 	if l.revision == 0 || restored {
-		l.floor = revision
+		l.deltaFloor = revision
 	}
 	if restored && l.revision != 0 {
-		l.restored(at, listed)
+		l.handleRestore(at, listed)
 	}
-	l.begin(at, func() map[string]catalog.Endpoint { return listed })
-	l.revision, l.differs = revision, false
+	l.observe(at, func() map[string]catalog.Endpoint { return listed })
+	l.revision, l.diverged = revision, false
 	changed := false
 	for _, e := range listed {
-		changed = l.put(at, e) || changed
+		changed = l.upsert(at, e) || changed
 	}
 	for id := range l.endpoints {
 		if _, ok := listed[id]; !ok {
@@ -163,33 +164,35 @@
 			changed = true
 		}
 	}
-	return l.settle(at) || changed
+	return l.expire(at) || changed
 }
 
-// settle drops what was held in doubt for long enough, and reports whether there was any.
-func (l *List) settle(at time.Time) bool {
-	lapsed := l.lapses.expire(at)
-	return l.doubts.expire(at) || lapsed
+// expire drops lapsed and outdated entries whose period has ended, and reports whether
+// there were any.
+func (l *List) expire(at time.Time) bool {
+	lapsed := l.lapsed.expire(at)
+	return l.outdated.expire(at) || lapsed
 }
 
-// begin notes what the list as of a time tells of the store.
-func (l *List) begin(at time.Time, listed func() map[string]catalog.Endpoint) {
-	if l.lapsedSince(at, listed) {
-		l.lapses.until = at.Add(returnTime)
+// observe detects a store outage from a new list as of a time, and advances the list's
+// time.
+func (l *List) observe(at time.Time, listed func() map[string]catalog.Endpoint) {
+	if l.entriesLapsed(at, listed) {
+		l.lapsed.until = at.Add(reregisterPeriod)
 	}
 	l.advance(at)
 }
 
 func (l *List) advance(at time.Time) {
-	if at.After(l.current) {
-		l.current = at
+	if at.After(l.asOf) {
+		l.asOf = at
 	}
 }
 
-// put takes an entry in, as of a time, and reports whether it changed.
-func (l *List) put(at time.Time, e catalog.Endpoint) bool {
-	delete(l.lapses.endpoints, e.ID)
-	l.doubts.rewritten(e)
+// upsert adds or updates an entry as of a time, and reports whether it changed.
+func (l *List) upsert(at time.Time, e catalog.Endpoint) bool {
+	delete(l.lapsed.endpoints, e.ID)
+	l.outdated.dropRewritten(e)
 	old, ok := l.endpoints[e.ID]
 	if ok && old.endpoint == e {
 		return false
@@ -198,13 +201,13 @@
 		l.digest -= digestOf(old.endpoint)
 	}
 	l.digest += digestOf(e)
-	l.endpoints[e.ID] = known{endpoint: e, changed: l.revision, cold: old.coldAfter(at, e)}
+	l.endpoints[e.ID] = knownEndpoint{endpoint: e, changed: l.revision, cold: old.nextCold(at, e)}
 	return true
 }
 
-// coldAfter is the coldness of an endpoint whose entry is as given at a time. Its entry may
-// be older than that, so the time is counted rather too long.
-func (k known) coldAfter(at time.Time, e catalog.Endpoint) ColdPeriod {
+// nextCold returns the cold period of an endpoint after its entry is seen at a time. The
+// entry may have been written earlier, in which case the period is overestimated.
+func (k knownEndpoint) nextCold(at time.Time, e catalog.Endpoint) ColdPeriod {
 	switch {
 	case e.Cold <= 0:
 		return ColdPeriod{}
@@ -214,11 +217,11 @@
 	return ColdPeriod{Since: k.cold.Since, Until: at.Add(e.Cold)}
 }
 
-// Cold returns the endpoints that are taken to be cold, by id.
+// Cold returns the cold periods of all cold endpoints, by id.
 func (l *List) Cold() map[string]ColdPeriod {
 	cold := make(map[string]ColdPeriod)
 	for id, k := range l.endpoints {
-		if k.cold.Until.After(l.current) {
+		if k.cold.Until.After(l.asOf) {
 			cold[id] = k.cold
 		}
 	}
@@ -232,26 +235,26 @@
 
 func (l *List) remove(at time.Time, id string) {
 	e := l.endpoints[id].endpoint
-	if !l.doubts.has(id) {
-		l.lapses.keep(at, e)
+	if !l.outdated.contains(id) {
+		l.lapsed.add(at, e)
 	}
 	l.digest -= digestOf(e)
 	delete(l.endpoints, id)
-	l.gone = append(l.gone, departed{id: id, changed: l.revision})
-	if len(l.gone) > mostGone {
-		l.floor = l.gone[0].changed
-		l.gone = slices.Delete(l.gone, 0, 1)
+	l.removed = append(l.removed, removedEndpoint{id: id, changed: l.revision})
+	if len(l.removed) > maxRemoved {
+		l.deltaFloor = l.removed[0].changed
+		l.removed = slices.Delete(l.removed, 0, 1)
 	}
 }
 
-// ChangesSince returns what changed above a revision, or an empty answer from a list that is
+// ChangesSince returns the changes since a revision, or an empty Delta if this list is
 // known to differ from the store's.
 func (l *List) ChangesSince(revision catalog.Revision) Delta {
-	if l.differs {
+	if l.diverged {
 		return Delta{}
 	}
 	d := Delta{Revision: l.revision, Digest: l.digest}
-	if revision < l.floor || revision == 0 {
+	if revision < l.deltaFloor || revision == 0 {
 		d.Full = true
 		d.Changed = l.listed()
 		sortByID(d.Changed)
@@ -263,7 +266,7 @@
 		}
 	}
 	sortByID(d.Changed)
-	for _, g := range l.gone {
+	for _, g := range l.removed {
 		if _, back := l.endpoints[g.id]; g.changed > revision && !back {
 			d.Removed = append(d.Removed, g.id)
 		}
@@ -271,10 +274,10 @@
 	return d
 }
 
-// ApplyDelta takes another node's answer in, whose list was the store's as of a time, and
-// reports whether anything but the revision changed. An answer that is behind is
-// ignored, whatever was asked for: a list never goes back. One that is not ahead still
-// renews the list. When the lists differ all the same, the whole one is asked for next.
+// ApplyDelta applies another node's answer, whose list matched the store as of a time, and
+// reports whether anything but the revision changed. An answer with an older revision is
+// ignored, so that a list never moves back. One with the same revision still advances the
+// list's time. If the lists differ nevertheless, the full list is requested next.
 func (l *List) ApplyDelta(at time.Time, d Delta) bool {
 	switch {
 	case d.Revision == 0 || d.Revision < l.revision:
@@ -282,23 +285,23 @@
 	case d.Full:
 		return l.replace(at, maps.Collect(byID(d.Changed)), d.Revision)
 	case d.Revision == l.revision:
-		l.differs = l.digest != d.Digest
-		if l.differs {
+		l.diverged = l.digest != d.Digest
+		if l.diverged {
 			return false
 		}
 		l.advance(at)
-		return l.settle(at)
+		return l.expire(at)
 	}
-	return l.change(at, d)
+	return l.applyChanges(at, d)
 }
 
-// change takes in what changed above the present revision.
-func (l *List) change(at time.Time, d Delta) bool {
-	l.begin(at, func() map[string]catalog.Endpoint { return l.listedAfter(d) })
+// applyChanges applies the changes since the present revision.
+func (l *List) applyChanges(at time.Time, d Delta) bool {
+	l.observe(at, func() map[string]catalog.Endpoint { return l.listedAfterDelta(d) })
 	l.revision = d.Revision
 	changed := false
 	for _, e := range d.Changed {
-		changed = l.put(at, e) || changed
+		changed = l.upsert(at, e) || changed
 	}
 	for _, id := range d.Removed {
 		if _, ok := l.endpoints[id]; ok {
@@ -306,6 +309,6 @@
 			changed = true
 		}
 	}
-	l.differs = l.digest != d.Digest
-	return l.settle(at) || changed
+	l.diverged = l.digest != d.Digest
+	return l.expire(at) || changed
 }
--- a/internal/core/discovery/list_test.go
+++ b/internal/core/discovery/list_test.go
@@ -11,12 +11,12 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// testTime stands for a store that is never away.
+// testTime is the time of all reads in tests without a store outage.
 var testTime = time.Unix(1000, 0)
 
-// TestNoChangeIsMissed lets some nodes read a store that changes, and the
-// others ask any of them at any moment: a node that reaches a revision holds
-// exactly the store's list of that revision, whomever it asked before.
+// TestNoChangeIsMissed guards against deltas that skip a change. Some nodes read a changing
+// store, the others poll any node at any time: a node at a revision must hold exactly the
+// store's list of that revision, whomever it polled before.
 func TestNoChangeIsMissed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const nodes = 4
@@ -64,23 +64,23 @@
 	})
 }
 
-// TestOldListIsIgnored checks that a list never goes back.
-func TestOldListIsIgnored(t *testing.T) {
+// TestOlderListIsIgnored checks that a list never moves back to an older revision.
+func TestOlderListIsIgnored(t *testing.T) {
 	l := NewList()
 	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "a", Draining: true}}, 7)
 	if l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "a"}}, 6) {
-		t.Error("an older list was taken")
+		t.Error("an older list was applied")
 	}
 	if l.ApplyDelta(testTime, Delta{Revision: 7, Changed: []catalog.Endpoint{{ID: "a"}}}) {
-		t.Error("an answer that is not ahead was taken")
+		t.Error("an answer without a newer revision was applied")
 	}
 }
 
-// TestLapsedEntriesComeBack has the store away for a while, in which the entries
-// of two endpoints lapse: both stay in the list until they had time to list
-// themselves again, one does, and the other one is gone after that. Without an
-// absence of the store, a missing endpoint is gone at once.
-func TestLapsedEntriesComeBack(t *testing.T) {
+// TestLapsedEntriesAreRetained guards against dropping live endpoints after a store outage.
+// Two entries lapse in it: both endpoints stay in use until they have had time to register
+// again, one does, and the other is dropped. Without an outage a missing endpoint is
+// dropped at once.
+func TestLapsedEntriesAreRetained(t *testing.T) {
 	a, b := catalog.Endpoint{ID: "a"}, catalog.Endpoint{ID: "b"}
 	l := NewList()
 	l.ApplySnapshot(testTime, []catalog.Endpoint{a, b}, 1)
--- a/internal/core/discovery/readers.go
+++ b/internal/core/discovery/readers.go
@@ -8,106 +8,103 @@
 )
 
 const (
-	// fewestReaders is how many nodes read the store at least; systems up to
-	// allRead nodes read it on every one.
-	fewestReaders = 4
-	allRead       = 8
-	// nodesPerReader bounds how many nodes ask one reader.
+	// minReaders is the minimum number of nodes that read the store. In systems of up to
+	// maxNodesAllRead nodes, all of them read it.
+	minReaders      = 4
+	maxNodesAllRead = 8
+	// nodesPerReader bounds the number of nodes that poll one reader.
 	nodesPerReader = 48
 	readerSalt     = 0x5bd1e995
 )
 
-// The times after which others read in the readers' place.
+// The times after which backup readers read the store.
 const (
-	// readAge is how long ago the usual readers had the store's state from which on
-	// further nodes read the store: the readers are gone, cut off from it, some of
-	// their calls fail, or it is away. In ordinary times a node knows of them 1.1 s
-	// ago at most. The stand-ins and then all 61 nodes of a run of separate processes
-	// had a change 2.65 s after its readers were lost when this was 1.6 s, of 3 s
-	// that were allowed.
-	readAge = 1350 * time.Millisecond
-	// standInStep is how long each further doubling of the readers takes, and
-	// mostDoublings how often they double. When the readers alone are cut off,
-	// the stand-ins find the store within a step or two; when it is away from
-	// all, so many calls go out in vain and no more. With each of 295 nodes
-	// reading for itself then, 8 s without the store took 10,700 calls.
-	standInStep   = 300 * time.Millisecond
-	mostDoublings = 2
+	// primaryStaleAge is the age of the primary readers' last successful read from which on
+	// backup readers read the store: the primary readers have failed or are partitioned
+	// from the store, some of their calls fail, or the store is unavailable. In normal
+	// operation a node sees an age of at most 1.1 s. With 1.6 s, the backup readers and
+	// then all 61 nodes of a system of separate processes had a change 2.65 s after the
+	// loss of the readers, of the 3 s allowed.
+	primaryStaleAge = 1350 * time.Millisecond
+	// backupStep is the time between doublings of the number of readers, and maxDoublings
+	// the number of doublings. If only the readers are cut off, backup readers reach the
+	// store within a step or two. If the store is unavailable to all nodes, the bound
+	// limits the number of failing calls: with each of 295 nodes reading for itself, an
+	// outage of 8 s caused 10,700 calls.
+	backupStep   = 300 * time.Millisecond
+	maxDoublings = 2
 )
 
-// Ranking is the order in which nodes read the store for all. Nodes that know the
-// same others find the same order without messages.
+// Ranking is the order in which nodes read the store on behalf of all. Nodes that know the
+// same members compute the same order without communication.
 type Ranking struct {
-	names []string
-	usual int
+	names     []string
+	primaries int
 }
 
-// Rank orders the nodes. Weak instances read only where the strong ones are too
-// few.
+// Rank orders the nodes. Weak instances read only if there are too few strong ones.
 func Rank(strong, weak []string) Ranking {
 	names := append(hash.Rank(readerSalt, strong), hash.Rank(readerSalt, weak)...)
-	usual := len(names)
-	if len(names) > allRead {
-		usual = max(fewestReaders, len(names)/nodesPerReader)
+	primaries := len(names)
+	if len(names) > maxNodesAllRead {
+		primaries = max(minReaders, len(names)/nodesPerReader)
 	}
-	return Ranking{names: names, usual: usual}
+	return Ranking{names: names, primaries: primaries}
 }
 
-// Readers returns the nodes that read the store for a node which knows that the usual
-// readers had the store's state some time ago. As long as that is not long they are
-// few; then others stand in, twice as many with each step, up to a bound that does not
-// grow with the time.
-func (r Ranking) Readers(away time.Duration) []string {
-	count := r.usual
-	if away > readAge {
-		steps := min(1+int((away-readAge)/standInStep), mostDoublings)
+// Readers returns the nodes that read the store, given the time since the primary readers
+// last had the store's state. Once that exceeds a threshold, backup readers join and the
+// number of readers doubles with each step, up to a bound that does not grow with time.
+func (r Ranking) Readers(sinceRead time.Duration) []string {
+	count := r.primaries
+	if sinceRead > primaryStaleAge {
+		steps := min(1+int((sinceRead-primaryStaleAge)/backupStep), maxDoublings)
 		count <<= steps
 	}
 	return r.names[:min(count, len(r.names))]
 }
 
-// IsPrimary reports whether a node is one of the usual readers.
+// IsPrimary reports whether a node is a primary reader.
 func (r Ranking) IsPrimary(node string) bool { return slices.Contains(r.Readers(0), node) }
 
-// IsCandidate reports whether a node is a usual reader or one of those that stand in
-// first.
-func (r Ranking) IsCandidate(node string) bool { return slices.Contains(r.first(), node) }
+// IsCandidate reports whether a node is a primary or backup reader.
+func (r Ranking) IsCandidate(node string) bool { return slices.Contains(r.candidates(), node) }
 
-func (r Ranking) first() []string { return r.names[:min(r.usual<<mostDoublings, len(r.names))] }
+func (r Ranking) candidates() []string { return r.names[:min(r.primaries<<maxDoublings, len(r.names))] }
 
 const (
-	// greetTime is what a node that was just started leaves the others to make
-	// themselves known before it reads the store in its turn as a reader.
-	greetTime = 200 * time.Millisecond
-	// firstReadAfter is when others stand in for the readers after the start. A
-	// node that knows nobody reads the store itself then, firstReadSpread after
-	// the first such one at the latest.
-	firstReadAfter  = 1200 * time.Millisecond
-	firstReadSpread = 1800 * time.Millisecond
-	// anyReadAfter is when a node reads in its turn although others should.
-	anyReadAfter = 5 * time.Second
+	// greetingPeriod is how long a newly started node waits for other nodes to introduce
+	// themselves before it reads the store as a reader.
+	greetingPeriod = 200 * time.Millisecond
+	// startBackupDelay is the time after the start from which backup readers read the
+	// store. A node that knows no other reads it itself then, at a time spread over
+	// startReadSpread.
+	startBackupDelay = 1200 * time.Millisecond
+	startReadSpread  = 1800 * time.Millisecond
+	// startFallbackDelay is the time after the start from which every node reads, although
+	// designated readers exist.
+	startFallbackDelay = 5 * time.Second
 )
 
-// ReadsAtStart reports whether a node that knows no list yet reads the store, a
-// time after its start. After all nodes were killed, whole lists for each of them at
-// once would hold all up; and while the store is away too, calls of all of them
-// would be in vain.
+// ReadsAtStart reports whether a node that has no list yet reads the store, given the time
+// since its start. Reads are staggered: after all nodes were killed, full lists for all of
+// them at once would overload the store, and while the store is unavailable too, all of
+// these calls would fail.
 func (r Ranking) ReadsAtStart(node string, sinceStart time.Duration) bool {
-	turn := time.Duration(hash.Of(node) % uint64(firstReadSpread))
+	turn := time.Duration(hash.Of(node) % uint64(startReadSpread))
 	switch {
 	case len(r.names) < 2:
-		return sinceStart >= firstReadAfter+turn
-	case sinceStart >= anyReadAfter+turn:
+		return sinceStart >= startBackupDelay+turn
+	case sinceStart >= startFallbackDelay+turn:
 		return true
-	case sinceStart >= firstReadAfter:
-		return slices.Contains(r.Readers(readAge+sinceStart-firstReadAfter), node)
+	case sinceStart >= startBackupDelay:
+		return slices.Contains(r.Readers(primaryStaleAge+sinceStart-startBackupDelay), node)
 	}
-	return sinceStart >= greetTime && r.IsPrimary(node)
+	return sinceStart >= greetingPeriod && r.IsPrimary(node)
 }
 
-// ReaderFor returns the reader that a node asks, or "" if there is none. Each try
-// that failed moves on to the next one; the nodes are spread evenly over the
-// readers.
+// ReaderFor returns the reader that a node polls, or "" if there is none. Each failed try
+// moves on to the next reader. The nodes are spread evenly over the readers.
 func ReaderFor(readers []string, node string, failed int) string {
 	if len(readers) == 0 {
 		return ""
@@ -115,36 +112,37 @@
 	return readers[(hash.Of(node)+uint64(failed))%uint64(len(readers))]
 }
 
-// The limits of reads of the store, and the pauses after those that failed.
+// Timeouts of store reads, and delays after failed ones.
 const (
-	readLimit = 900 * time.Millisecond
-	// startLimit and startPause are those of a node that knows nothing yet and can
-	// do nothing: a call that went out while the store was away must not keep it
-	// from the next one. After startTries the store may be there, but slow.
-	startLimit = 450 * time.Millisecond
-	startPause = 150 * time.Millisecond
-	startTries = 4
-	// firstRetry and longestRetry bound the pause otherwise; it doubles with each
+	readTimeout = 900 * time.Millisecond
+	// startReadTimeout and startRetryDelay apply to a node without data, which cannot
+	// serve: a call that was sent while the store was unavailable must not delay the next
+	// one. After startTries failures the store may be available but slow, so the usual
+	// timeout applies.
+	startReadTimeout = 450 * time.Millisecond
+	startRetryDelay  = 150 * time.Millisecond
+	startTries       = 4
+	// minRetryDelay and maxRetryDelay bound the delay otherwise. It doubles with each
 	// further failure.
-	firstRetry   = 300 * time.Millisecond
-	longestRetry = 1200 * time.Millisecond
+	minRetryDelay = 300 * time.Millisecond
+	maxRetryDelay = 1200 * time.Millisecond
 )
 
-// ReadTimeout is how long a read of the store may take after some that failed in a
-// row, for a node that serves by what it knows or one that knows nothing yet.
+// ReadTimeout returns the timeout of a store read after some consecutive failures, for a
+// node that serves from the data it has or for one that has none yet.
 func ReadTimeout(serves bool, failed int) time.Duration {
 	if !serves && failed < startTries {
-		return startLimit
+		return startReadTimeout
 	}
-	return readLimit
+	return readTimeout
 }
 
-// RetryDelay is how long such a node waits after some calls to the store that failed
-// in a row. While the store is away every call is in vain, and a second more until it
-// is found again does not count beside the time it was away.
+// RetryDelay returns the delay of such a node after some consecutive failures. While the
+// store is unavailable every call fails, and finding it a second later adds little to the
+// outage.
 func RetryDelay(serves bool, failed int) time.Duration {
 	if !serves {
-		return startPause
+		return startRetryDelay
 	}
-	return min(firstRetry<<min(max(failed-1, 0), 8), longestRetry)
+	return min(minRetryDelay<<min(max(failed-1, 0), 8), maxRetryDelay)
 }
--- a/internal/core/discovery/readers_test.go
+++ b/internal/core/discovery/readers_test.go
@@ -15,15 +15,15 @@
 	return names
 }
 
-// readsAt reports whether a node reads the store when all that it knows has an age.
+// readsAt reports whether a node reads the store when all of its data has the given age.
 func readsAt(r Ranking, node string, age time.Duration) bool {
 	return r.Reads(node, testTime.Add(age), Freshness{List: testTime, Config: testTime, Primaries: testTime, Candidates: testTime})
 }
 
-// TestStoreAwayFromAll has the list of every node grow old, as when the store is
-// away: the nodes that call it in vain are few at any size and any age, and the
-// readers are always among them.
-func TestStoreAwayFromAll(t *testing.T) {
+// TestStoreUnavailableLimitsReaders lets the lists of all nodes age, as in a store outage.
+// It guards against all nodes calling the store at once: few may call it at any system size
+// and age, and the primary readers must always be among them.
+func TestStoreUnavailableLimitsReaders(t *testing.T) {
 	for _, size := range []int{7, 80, 295, 380} {
 		nodes := nodeNames(size)
 		r := Rank(nodes, nil)
@@ -46,39 +46,39 @@
 	}
 }
 
-// TestReadersAwayFromTheStore cuts all readers off: others stand in soon, and are
-// asked by those that do not read.
-func TestReadersAwayFromTheStore(t *testing.T) {
+// TestPartitionedReadersAreReplaced cuts all primary readers off from the store: backup
+// readers must soon read it, and be polled by the other nodes.
+func TestPartitionedReadersAreReplaced(t *testing.T) {
 	const soon = 2 * time.Second
 	for _, size := range []int{9, 80, 295, 380} {
 		nodes := nodeNames(size)
 		r := Rank(nodes, nil)
 		cut := r.Readers(0)
-		var standIns []string
+		var backups []string
 		for _, n := range r.Readers(soon) {
 			if !slices.Contains(cut, n) {
-				standIns = append(standIns, n)
+				backups = append(backups, n)
 			}
 		}
-		if len(standIns) < min(len(cut), size-len(cut)) {
-			t.Errorf("%d nodes: %d stand in for %d after %v", size, len(standIns), len(cut), soon)
+		if len(backups) < min(len(cut), size-len(cut)) {
+			t.Errorf("%d nodes: %d backup readers for %d readers after %v", size, len(backups), len(cut), soon)
 		}
 		for _, n := range nodes {
 			asked := false
 			for failed := range len(r.Readers(soon)) {
-				asked = asked || slices.Contains(standIns, ReaderFor(r.Readers(soon), n, failed))
+				asked = asked || slices.Contains(backups, ReaderFor(r.Readers(soon), n, failed))
 			}
 			if !asked {
-				t.Errorf("%d nodes: %s asks none that stands in", size, n)
+				t.Errorf("%d nodes: %s polls no backup reader", size, n)
 			}
 		}
 	}
 }
 
-// TestStartWithoutTheStore starts 295 nodes that know each other while the store is
-// away: its readers call it, some stand in, and the others leave it alone for as long
-// as a start takes; in the end all try.
-func TestStartWithoutTheStore(t *testing.T) {
+// TestStartWhileStoreUnavailable starts 295 nodes that know each other during a store
+// outage. It guards against a storm of calls: the primary and some backup readers call the
+// store, the others must not for as long as a start takes, and all try in the end.
+func TestStartWhileStoreUnavailable(t *testing.T) {
 	nodes := nodeNames(295)
 	r := Rank(nodes, nil)
 	for at := time.Duration(0); at <= 7*time.Second; at += 100 * time.Millisecond {
@@ -89,32 +89,31 @@
 			}
 		}
 		switch {
-		case at < greetTime && reading > 0, at < 5*time.Second && reading > 24, at == 7*time.Second && reading < len(nodes):
+		case at < greetingPeriod && reading > 0, at < 5*time.Second && reading > 24, at == 7*time.Second && reading < len(nodes):
 			t.Errorf("%d nodes read %v after their start", reading, at)
-		case at >= greetTime && reading < 6:
+		case at >= greetingPeriod && reading < 6:
 			t.Errorf("only %d nodes read %v after their start", reading, at)
 		}
 	}
 }
 
-// TestStartersTryAgainSoon checks that a node that knows nothing gives a call to the
-// store up sooner, and tries again sooner, than one that serves, but not for ever: the
+// TestStartingNodesRetrySooner checks that a node without data has shorter timeouts and
+// retry delays than one that serves. After some failures the timeouts are equal, since the
 // store may be slow.
-func TestStartersTryAgainSoon(t *testing.T) {
+func TestStartingNodesRetrySooner(t *testing.T) {
 	for failed := range 20 {
 		starts, serves := ReadTimeout(false, failed), ReadTimeout(true, failed)
 		if failed < 4 && starts >= serves || failed >= 4 && starts != serves {
 			t.Errorf("after %d failures a read may take %v at the start and %v later", failed, starts, serves)
 		}
 		if RetryDelay(false, failed) >= RetryDelay(true, failed) {
-			t.Errorf("after %d failures the pause is %v at the start and %v later", failed, RetryDelay(false, failed), RetryDelay(true, failed))
+			t.Errorf("after %d failures the delay is %v at the start and %v later", failed, RetryDelay(false, failed), RetryDelay(true, failed))
 		}
 	}
 }
 
-// TestRetryPauseIsBounded checks that calls in vain come less often, but not ever
-// less so.
-func TestRetryPauseIsBounded(t *testing.T) {
+// TestRetryDelayIsBounded checks that the delay grows with each failure up to a bound.
+func TestRetryDelayIsBounded(t *testing.T) {
 	before := time.Duration(0)
 	for failed := range 100 {
 		d := RetryDelay(true, failed)
@@ -125,8 +124,8 @@
 	}
 }
 
-// TestReadersAreFewAndEven checks that small systems read on every node, and
-// large ones on few, with the others spread evenly.
+// TestReadersAreFewAndEven checks that all nodes of a small system read, that few nodes of
+// a large one do, and that the others are spread evenly over these.
 func TestReadersAreFewAndEven(t *testing.T) {
 	for _, size := range []int{1, 7, 80, 380} {
 		var nodes []string
@@ -146,15 +145,15 @@
 		}
 		for r, n := range asked {
 			if n > 3*size/len(readers)+1 {
-				t.Errorf("%d nodes: reader %s is asked by %d", size, r, n)
+				t.Errorf("%d nodes: reader %s is polled by %d", size, r, n)
 			}
 		}
 	}
 }
 
-// TestStrongInstancesRead checks that weak instances read only where strong
-// ones are too few.
-func TestStrongInstancesRead(t *testing.T) {
+// TestStrongInstancesReadFirst checks that weak instances read only if there are too few
+// strong ones.
+func TestStrongInstancesReadFirst(t *testing.T) {
 	var strong, weak []string
 	for i := range 80 {
 		if i%10 == 0 {
@@ -164,16 +163,16 @@
 		weak = append(weak, fmt.Sprintf("node-%d", i))
 	}
 	if readers := Rank(strong, weak).Readers(0); len(readers) != 4 || slices.ContainsFunc(readers, func(r string) bool { return slices.Contains(weak, r) }) {
-		t.Errorf("eight strong nodes are there, %v read", readers)
+		t.Errorf("with eight strong nodes %v read", readers)
 	}
 	if readers := Rank(strong[:3], weak).Readers(0); len(readers) != 4 || !slices.Contains(readers, strong[0]) {
-		t.Errorf("three strong nodes are there, %v read", readers)
+		t.Errorf("with three strong nodes %v read", readers)
 	}
 }
 
-// TestFirstReadsAreSpread starts 300 nodes at once that each know a few others:
-// those that no reader answers read the store one after the other, and none
-// waits for ever.
+// TestFirstReadsAreSpread starts 300 nodes that no reader answers. It guards against
+// simultaneous full reads: they must read the store one after another, and all within a
+// bound.
 func TestFirstReadsAreSpread(t *testing.T) {
 	const nodes, step = 300, 100 * time.Millisecond
 	before := 0
@@ -194,6 +193,6 @@
 		t.Errorf("%d of %d nodes read in the end", before, nodes)
 	}
 	if pair := Rank([]string{"a", "b"}, nil); pair.ReadsAtStart("a", 0) || !pair.ReadsAtStart("a", 300*time.Millisecond) {
-		t.Error("a reader reads once the others had time to greet")
+		t.Error("a reader must read after the greeting period and not before")
 	}
 }
--- a/internal/core/discovery/restored_test.go
+++ b/internal/core/discovery/restored_test.go
@@ -13,9 +13,9 @@
 	_ "gradetiller.example/internal/fixedseed"
 )
 
-// TestListOfARestoredStore tells, for one endpoint each, what a node does that knows more of
-// it than the copy from which the store came back.
-func TestListOfARestoredStore(t *testing.T) {
+// TestRestoredStoreList guards against trusting a restored store blindly. It checks, with
+// one endpoint for each case, what a node does that knows more than the restored copy.
+func TestRestoredStoreList(t *testing.T) {
 	era := func(version uint64) catalog.Revision { return catalog.RevisionOf(1, version) }
 	entry := func(id string, listed catalog.Revision, draining bool) catalog.Endpoint {
 		return catalog.Endpoint{ID: id, Listed: listed, Draining: draining}
@@ -27,7 +27,7 @@
 	}
 	read(0, 10, entry("stays", 1, false), entry("left", 2, false), entry("drains", 3, false))
 	read(time.Second, 20, entry("stays", 1, false), entry("drains", 15, true), entry("new", 18, false))
-	// The copy is of version 12, and one write came since.
+	// The copy is of version 12, and one write followed.
 	copied := []catalog.Endpoint{entry("stays", era(1), false), entry("left", era(2), false), entry("drains", era(3), false)}
 	read(2*time.Second, era(13), copied...)
 	check := func(when string, want ...string) {
@@ -40,47 +40,48 @@
 			t.Errorf("%s: %v, want %v", when, got, want)
 		}
 	}
-	check("after the return", "drains draining=true", "new draining=false", "stays draining=false")
+	check("after the restore", "drains draining=true", "new draining=false", "stays draining=false")
 	if d := l.ChangesSince(20); !d.Full || len(d.Changed) != 3 {
-		t.Errorf("a node of the era before is told %+v, want the store's whole list", d)
+		t.Errorf("a node of the previous era receives %+v, want the store's full list", d)
 	}
 	if l.ApplySnapshot(at.Add(2100*time.Millisecond), nil, 999) {
-		t.Error("a list of the era before is taken")
+		t.Error("a list of the previous era is applied")
 	}
 	read(3*time.Second, era(15), entry("stays", era(1), false), entry("left", era(2), false), entry("drains", era(14), true), entry("new", era(15), false))
 	check("written again", "drains draining=true", "new draining=false", "stays draining=false")
 	read(4*time.Second, era(16), entry("stays", era(1), false), entry("left", era(16), false), entry("drains", era(14), true), entry("new", era(15), false))
-	check("the one that had left lists itself", "drains draining=true", "left draining=false", "new draining=false", "stays draining=false")
+	check("the endpoint that had left registers", "drains draining=true", "left draining=false", "new draining=false", "stays draining=false")
 }
 
-// TestEntryRewrittenUnseen has an endpoint write its entry anew, and leave, between two reads
-// of a node: the copy has the entry that the node never saw.
-func TestEntryRewrittenUnseen(t *testing.T) {
+// TestRestoreWithUnseenRewrite guards against using an endpoint that wrote its entry again
+// and left between two reads, where the copy has the entry that the node never saw.
+func TestRestoreWithUnseenRewrite(t *testing.T) {
 	l := NewList()
 	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", Listed: 2}}, 2)
 	l.ApplySnapshot(testTime.Add(time.Second), nil, 4)
 	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "left", Listed: catalog.RevisionOf(1, 3)}}, catalog.RevisionOf(1, 3))
 	if got := l.Endpoints(); len(got) != 0 {
-		t.Errorf("%v is used, which had left", got)
+		t.Errorf("%v is used although it had left", got)
 	}
 }
 
-// TestDoubtedEntryGoes has the entry of a copy go whose endpoint was known to leave: it has not
-// lapsed, although the store was away just before.
-func TestDoubtedEntryGoes(t *testing.T) {
+// TestOutdatedEntryRemoved guards against taking the removal of an outdated entry for a
+// lapse, although the store was restored just before: its endpoint was known to be leaving.
+func TestOutdatedEntryRemoved(t *testing.T) {
 	l := NewList()
 	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "leaves", Listed: 2}}, 2)
 	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "leaves", Listed: 3, Draining: true}}, 3)
 	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "leaves", Listed: catalog.RevisionOf(1, 2)}}, catalog.RevisionOf(1, 2))
 	l.ApplySnapshot(testTime.Add(3*time.Second), nil, catalog.RevisionOf(1, 3))
 	if got := l.Endpoints(); len(got) != 0 {
-		t.Errorf("%v is kept, which was known to leave", got)
+		t.Errorf("%v is retained although it was known to be leaving", got)
 	}
 }
 
-// TestDoubtsEnd has entries of a copy that nobody writes again: after a time the store's word
-// holds, and an endpoint that does not come back is used no longer than after any absence.
-func TestDoubtsEnd(t *testing.T) {
+// TestOutdatedPeriodEnds checks entries of a copy that nobody writes again: after the
+// period the store's data applies, and an endpoint that does not register is used no longer
+// than after an outage.
+func TestOutdatedPeriodEnds(t *testing.T) {
 	l := NewList()
 	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", Listed: 1}}, 2)
 	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "new", Listed: 4}}, 4)
@@ -98,9 +99,9 @@
 	}{
 		{2 * time.Second, []string{"new"}},
 		{4 * time.Second, []string{"new"}},
-		{2*time.Second + returnTime, nil},
-		{2*time.Second + doubtTime - time.Millisecond, nil},
-		{2*time.Second + doubtTime, []string{"left"}},
+		{2*time.Second + reregisterPeriod, nil},
+		{2*time.Second + outdatedPeriod - time.Millisecond, nil},
+		{2*time.Second + outdatedPeriod, []string{"left"}},
 	} {
 		if got := used(c.after); !slices.Equal(got, c.want) {
 			t.Errorf("after %v: %v, want %v", c.after, got, c.want)
@@ -108,26 +109,26 @@
 	}
 }
 
-// restorable is a model of the store: its rows, and copies of it.
-type restorable struct {
+// storeModel models the store: its rows, and copies of it.
+type storeModel struct {
 	era, version uint64
 	rows         map[string]catalog.Endpoint
 }
 
-func (s *restorable) revision() catalog.Revision { return catalog.RevisionOf(s.era, s.version) }
+func (s *storeModel) revision() catalog.Revision { return catalog.RevisionOf(s.era, s.version) }
 
-func (s *restorable) put(id string, draining bool) {
+func (s *storeModel) put(id string, draining bool) {
 	s.version++
 	s.rows[id] = catalog.Endpoint{ID: id, Draining: draining, Listed: s.revision()}
 }
 
-func (s *restorable) drop(id string) {
+func (s *storeModel) drop(id string) {
 	s.version++
 	delete(s.rows, id)
 }
 
-// list is what a read tells: the rows' counts in the present era.
-func (s *restorable) list() []catalog.Endpoint {
+// list returns what a read returns: the rows with their versions in the present era.
+func (s *storeModel) list() []catalog.Endpoint {
 	var list []catalog.Endpoint
 	for _, e := range s.rows {
 		e.Listed = catalog.RevisionOf(s.era, e.Listed.Version())
@@ -137,22 +138,23 @@
 	return list
 }
 
-func (s *restorable) copied() restorable {
-	return restorable{version: s.version, rows: maps.Clone(s.rows)}
+func (s *storeModel) backup() storeModel {
+	return storeModel{version: s.version, rows: maps.Clone(s.rows)}
 }
 
-// TestRestorations has a store come back from random copies among random writes, while nodes
-// read it, late and not at all, and tell each other. Whatever happens: what a node holds
-// never goes back; an endpoint that it knew to have left, or to be leaving, takes no work
-// again unless its entry was written anew since, or the time of doubt is over; and nodes that
-// have read the store last hold what it lists.
+// TestRestorations restores a store from random copies among random writes, while nodes
+// read it, late or not at all, and poll each other. A node's list must never move back. An
+// endpoint that a node knew to have left or to be draining must not be used again unless it
+// has written its entry since or the outdated period is over. Nodes that have just read the
+// store must hold what it lists.
 func TestRestorations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		store := &restorable{version: 1, rows: make(map[string]catalog.Endpoint)}
-		copies := []restorable{store.copied()}
+		store := &storeModel{version: 1, rows: make(map[string]catalog.Endpoint)}
+		copies := []storeModel{store.backup()}
 		nodes := []*List{NewList(), NewList(), NewList()}
-		// closed is, by node and endpoint, the life that the node knew to be over, and written
-		// how often an endpoint has begun anew. Each write of an entry that is ready is one.
+		// closed maps a node and an endpoint to the life that the node knew to be over, and
+		// written counts the lives of an endpoint. Each write of an entry that accepts work
+		// begins one.
 		type key struct {
 			node int
 			id   string
@@ -169,7 +171,7 @@
 				}
 				for id := range written {
 					k := key{n, id}
-					if life, ok := closed[k]; ok && takes[id] && life == written[id] && now.Sub(restored) < doubtTime {
+					if life, ok := closed[k]; ok && takes[id] && life == written[id] && now.Sub(restored) < outdatedPeriod {
 						rt.Fatalf("node %d uses %s again, whose life %d it knew to be over", n, id, life)
 					}
 				}
@@ -192,12 +194,12 @@
 			case 2:
 				store.drop(rapid.SampledFrom(ids).Draw(rt, "gone"))
 			case 3:
-				copies = append(copies, store.copied())
+				copies = append(copies, store.backup())
 			case 4:
-				from := copies[rapid.IntRange(0, len(copies)-1).Draw(rt, "copy")].copied()
+				from := copies[rapid.IntRange(0, len(copies)-1).Draw(rt, "copy")].backup()
 				from.era = store.era + 1
 				store = &from
-				copies = append(copies[:0], store.copied())
+				copies = append(copies[:0], store.backup())
 				restored = now
 			case 5:
 				n := rapid.IntRange(0, len(nodes)-1).Draw(rt, "reader")
@@ -210,7 +212,7 @@
 				sameEra := l.revision.Era() == store.era
 				l.ApplySnapshot(now, store.list(), store.revision())
 				if l.revision < before {
-					rt.Fatalf("node %d went back from %v to %v", n, before, l.revision)
+					rt.Fatalf("node %d moved back from %v to %v", n, before, l.revision)
 				}
 				for id, took := range knew {
 					e, listed := store.rows[id]
@@ -224,53 +226,53 @@
 				before := nodes[to].revision
 				nodes[to].ApplyDelta(now, from.ChangesSince(nodes[to].Revision()))
 				if nodes[to].revision < before {
-					rt.Fatalf("node %d went back from %v to %v", to, before, nodes[to].revision)
+					rt.Fatalf("node %d moved back from %v to %v", to, before, nodes[to].revision)
 				}
 			}
 			note()
 		}
 		for n, l := range nodes {
 			l.ApplySnapshot(now, store.list(), store.revision())
-			l.ApplySnapshot(now.Add(2*doubtTime), store.list(), store.revision())
+			l.ApplySnapshot(now.Add(2*outdatedPeriod), store.list(), store.revision())
 			if got := l.Endpoints(); !slices.Equal(got, store.list()) {
-				rt.Fatalf("node %d holds %v at last, the store lists %v", n, got, store.list())
+				rt.Fatalf("node %d holds %v in the end, the store lists %v", n, got, store.list())
 			}
 		}
 	})
 }
 
-// TestEvacuationsOfARestoredStore has the store lose the word of one evacuation and bring
-// another one back that was over.
-func TestEvacuationsOfARestoredStore(t *testing.T) {
+// TestRestoredStoreEvacuations restores a store that lacks one evacuation and has another
+// one that had ended.
+func TestRestoredStoreEvacuations(t *testing.T) {
 	now := testTime
 	v := Evacuations{}.Replace(now, 5, []string{"a", "b"})
 	v = v.ApplyChanges(now, 7, []EvacuationChange{{Domain: "b", Ended: true}})
 	v = v.Replace(now.Add(time.Second), catalog.RevisionOf(1, 5), []string{"b"})
 	if !v.Contains("a") || !v.Contains("b") || !slices.Equal(v.Listed(), []string{"b"}) {
-		t.Errorf("after the return: %v evacuated, %v listed", v.Domains(), v.Listed())
+		t.Errorf("after the restore: %v evacuated, %v listed", v.Domains(), v.Listed())
 	}
 	again := v.ApplyChanges(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a"}}).Expire(now.Add(time.Hour))
 	if !again.Contains("a") {
-		t.Error("an evacuation that was written again is over")
+		t.Error("an evacuation that was written again has ended")
 	}
 	if over := again.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Contains("a") || over.EndedAt("a").IsZero() {
-		t.Error("an evacuation that was written again and taken back holds on")
+		t.Error("an evacuation that was written again and ended is still in force")
 	}
 	listed := v.Replace(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []string{"a"})
 	if over := listed.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Contains("a") {
-		t.Error("the same as told by another node holds on")
+		t.Error("an evacuation that another node reported and that ended is still in force")
 	}
 	taken := v.ApplyChanges(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
 	if taken.Contains("a") || taken.EndedAt("a").IsZero() {
-		t.Error("an evacuation that was taken back holds on")
+		t.Error("an evacuation that was ended is still in force")
 	}
-	if held := v.Expire(now.Add(heldFor)); !held.Contains("a") {
-		t.Error("an evacuation ends before its time to be written again is over")
+	if held := v.Expire(now.Add(restoreHoldPeriod)); !held.Contains("a") {
+		t.Error("an evacuation ends before its hold period is over")
 	}
-	if over := v.Expire(now.Add(time.Second + heldFor)); over.Contains("a") || over.EndedAt("a").IsZero() {
-		t.Error("an evacuation that is not written again holds for ever")
+	if over := v.Expire(now.Add(time.Second + restoreHoldPeriod)); over.Contains("a") || over.EndedAt("a").IsZero() {
+		t.Error("an evacuation that is not written again stays in force forever")
 	}
 	if v.Replace(now, 999, nil).Revision() != v.Revision() {
-		t.Error("evacuations of the era before are taken")
+		t.Error("evacuations of the previous era are applied")
 	}
 }
