--- a/internal/core/member/bench_test.go
+++ b/internal/core/member/bench_test.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// BenchmarkMembers runs a whole membership for one second of its own time and
-// reports what one node sends (bytes of real frames, without TCP and TLS) and
-// the processor time that it takes.
+// BenchmarkMembers runs a membership for one second of simulated time and reports the bytes
+// of real frames, without TCP and TLS, that one node sends, and its processor time.
 func BenchmarkMembers(b *testing.B) {
 	for _, n := range []int{7, 40, 120, 380} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			w := newNetwork(b, n)
-			w.until(60*time.Second, "all members see each other", func() bool { return w.all(n) })
+			w.runUntil(60*time.Second, "all members see each other", func() bool { return w.allSee(n) })
 			w.run(10 * time.Second)
 			clear(w.bytes)
 			w.frames = 0
@@ -31,36 +30,36 @@
 	}
 }
 
-// BenchmarkStorm reports the worst second of a node after all of them start
-// at once, after a region that was cut off comes back, and after a failure
-// domain is lost.
+// BenchmarkStorm reports the largest number of bytes that a node sends in one second after
+// all nodes start at once, after a partitioned region recovers, and after a failure domain
+// is lost.
 func BenchmarkStorm(b *testing.B) {
 	for _, n := range []int{7, 40, 380} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				w := newNetwork(b, n)
-				took := w.until(60*time.Second, "all members see each other", func() bool { return w.all(n) })
+				took := w.runUntil(60*time.Second, "all members see each other", func() bool { return w.allSee(n) })
 				w.run(2 * time.Second)
 				b.ReportMetric(took.Seconds(), "start-s")
-				b.ReportMetric(float64(w.worst), "start-B/s")
+				b.ReportMetric(float64(w.maxSentPerSecond), "start-B/s")
 				region := func(name string) string { return w.nodes[name].Self().Region }
 				w.cut = func(x, y string) bool { return region(x) != region(y) }
-				w.until(60*time.Second, "the regions part", func() bool {
-					return w.all((n+1)/2) || w.all(n/2) || n%2 == 1 && w.now.Sub(time.Unix(1000, 0)) > 60*time.Second
+				w.runUntil(60*time.Second, "the regions part", func() bool {
+					return w.allSee((n+1)/2) || w.allSee(n/2) || n%2 == 1 && w.now.Sub(time.Unix(1000, 0)) > 60*time.Second
 				})
 				w.run(10 * time.Second)
-				w.worst = 0
+				w.maxSentPerSecond = 0
 				w.cut = func(string, string) bool { return false }
-				took = w.until(120*time.Second, "the regions see each other", func() bool { return w.all(n) })
+				took = w.runUntil(120*time.Second, "the regions see each other", func() bool { return w.allSee(n) })
 				w.run(2 * time.Second)
 				b.ReportMetric(took.Seconds(), "heal-s")
-				b.ReportMetric(float64(w.worst), "heal-B/s")
-				w.worst = 0
+				b.ReportMetric(float64(w.maxSentPerSecond), "heal-B/s")
+				w.maxSentPerSecond = 0
 				lost := w.killDomain("domain-0")
-				took = w.until(60*time.Second, "the lost domain is known", func() bool { return w.all(n - lost) })
+				took = w.runUntil(60*time.Second, "the lost domain is known", func() bool { return w.allSee(n - lost) })
 				w.run(2 * time.Second)
 				b.ReportMetric(took.Seconds(), "lost-s")
-				b.ReportMetric(float64(w.worst), "lost-B/s")
+				b.ReportMetric(float64(w.maxSentPerSecond), "lost-B/s")
 			}
 		})
 	}
--- a/internal/core/member/doc.go
+++ b/internal/core/member/doc.go
@@ -1,25 +1,24 @@
-// Package member keeps the view of the system's control processes and of the
-// entries that are linked to them.
+// Package member maintains the membership of the system's control processes, and of the
+// entries that are linked to them, by gossip.
 //
-// The members form a ring by a hash of their names. Each sends a heartbeat a
-// second to a few others at fixed distances on the ring, and watches those; so
-// the cost of a node does not grow with the number of members. News (records
-// of members, findings about endpoints, the version of the configuration)
-// travels with the heartbeats and sooner: every node passes each piece of
-// news on once. Nodes whose views differ compare listings and send each other
-// what is missing, so that lost news heals.
+// The members form a ring, ordered by a hash of their names. Each sends a heartbeat a
+// second to a few others at fixed distances on the ring, and monitors those, so the cost of
+// a node does not grow with the number of members. Updates (member records, findings about
+// endpoints, the version of the configuration) travel with the heartbeats and ahead of
+// them: every node forwards each update once. Nodes whose views differ exchange listings
+// and the missing records, so that lost updates are repaired.
 //
-// A watcher that hears nothing suspects the member; the suspicion travels, and
-// the member refutes it with a higher sequence number, or is dead a little
-// later. A member that finds itself dead in another's view comes back with a
-// higher incarnation, so a paused process is never taken for its earlier
-// self, and a region that was cut off is found again by probing the dead.
+// A monitor that hears nothing from a member suspects it. The suspicion spreads, and the
+// member either refutes it with a higher sequence number or is declared dead a little
+// later. A member that finds itself dead in another's view rejoins with a higher
+// incarnation, so a paused process is never taken for its earlier self. A partitioned
+// region is found again by probing dead members.
 //
 // The package does no input or output.
 //
 // # Usage
 //
 //	n := member.New(now, self, seed)
-//	sends := n.Tick(now)                 // every FlushInterval
-//	sends = n.Receive(now, gossip)       // for every message
+//	messages := n.Tick(now)                 // every FlushInterval
+//	messages = n.Receive(now, gossip)       // for every message
 package member
--- a/internal/core/member/network_test.go
+++ b/internal/core/member/network_test.go
@@ -8,20 +8,20 @@
 	"gradetiller.example/internal/wire"
 )
 
-// network runs members as values in one goroutine with a clock of its own. It
-// counts the bytes of real frames.
+// network runs members in one goroutine with a simulated clock. It counts the bytes of real
+// frames.
 type network struct {
-	t       testing.TB
-	now     time.Time
-	nodes   map[string]*Node
-	names   []string
-	paused  map[string]bool
-	inbox   map[string][]wire.Gossip // of paused processes
-	cut     func(from, to string) bool
-	bytes   map[string]int
-	frames  int
-	worst   int // most bytes that one node sent in one second
-	seconds map[string]int
+	t                testing.TB
+	now              time.Time
+	nodes            map[string]*Node
+	names            []string
+	paused           map[string]bool
+	inbox            map[string][]wire.Gossip // messages to paused processes
+	cut              func(from, to string) bool
+	bytes            map[string]int
+	frames           int
+	maxSentPerSecond int // most bytes that one node sent in one second
+	seconds          map[string]int
 }
 
 func newNetwork(t testing.TB, n int) *network {
@@ -76,13 +76,13 @@
 	}
 }
 
-// run lets time pass.
+// run advances the time.
 func (w *network) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(FlushInterval)
 		if w.now.UnixNano()%int64(time.Second) == 0 {
 			for name, n := range w.seconds {
-				w.worst = max(w.worst, n)
+				w.maxSentPerSecond = max(w.maxSentPerSecond, n)
 				w.seconds[name] = 0
 			}
 		}
@@ -94,23 +94,22 @@
 	}
 }
 
-// until lets time pass until the condition holds, and returns how long it
-// took.
-func (w *network) until(limit time.Duration, what string, condition func() bool) time.Duration {
+// runUntil advances the time until the condition holds, and returns how long that took.
+func (w *network) runUntil(limit time.Duration, what string, condition func() bool) time.Duration {
 	w.t.Helper()
 	start := w.now
 	for !condition() {
 		if w.now.Sub(start) > limit {
-			w.t.Fatalf("%s: not after %v", what, limit)
+			w.t.Fatalf("%s: not within %v", what, limit)
 		}
 		w.run(FlushInterval)
 	}
 	return w.now.Sub(start)
 }
 
-// all reports whether every running node sees the given number of live
-// members and of entries.
-func (w *network) all(live int) bool {
+// allSee reports whether every running node sees the given number of live members and of
+// entries.
+func (w *network) allSee(live int) bool {
 	for name, n := range w.nodes {
 		if w.paused[name] {
 			continue
@@ -124,7 +123,7 @@
 
 func (w *network) kill(name string) { delete(w.nodes, name) }
 
-// killDomain ends all members of a failure domain and returns their number.
+// killDomain kills all members of a failure domain and returns their number.
 func (w *network) killDomain(domain string) int {
 	lost := 0
 	for name, n := range w.nodes {
--- a/internal/core/member/node.go
+++ b/internal/core/member/node.go
@@ -11,59 +11,59 @@
 	"gradetiller.example/internal/wire"
 )
 
-// The times of the protocol. Silence, suspicion and one interval together
-// stay under 5 s.
+// Protocol timing. The suspect timeout, the dead timeout and one heartbeat interval
+// together stay below 5 s.
 const (
-	FlushInterval     = 100 * time.Millisecond
-	HeartbeatInterval = time.Second
-	silence           = 2200 * time.Millisecond
-	suspicion         = 1500 * time.Millisecond
-	courtesyPeriod    = 3 * time.Second
-	probeInterval     = time.Second
-	forgetAfter       = 2 * time.Hour
+	FlushInterval      = 100 * time.Millisecond
+	HeartbeatInterval  = time.Second
+	suspectTimeout     = 2200 * time.Millisecond
+	deadTimeout        = 1500 * time.Millisecond
+	inboundLinkTimeout = 3 * time.Second
+	probeInterval      = time.Second
+	tombstoneTTL       = 2 * time.Hour
 )
 
-// maxRecords bounds the member records of one message.
+// maxRecords bounds the member records in one message.
 const maxRecords = 32
 
-// pace is how fast a member tells what it knows.
-type pace struct {
-	// beat is the time between signs of life to a link.
-	beat time.Duration
-	// records and listings bound what is sent in one beat to all links.
+// pacing limits how fast a member sends its state.
+type pacing struct {
+	// heartbeat is the interval between heartbeats on a link.
+	heartbeat time.Duration
+	// records and listings bound what is sent in one heartbeat interval to all links.
 	records  int
 	listings int
-	// mismatches is after how many beats with another view the link is sent a
-	// listing, and listingGap how often at most.
-	mismatches int
-	listingGap time.Duration
+	// mismatches is the number of heartbeats with a different view after which the link is
+	// sent a listing, and listingInterval the shortest time between two listings.
+	mismatches      int
+	listingInterval time.Duration
 }
 
-// usualPace bounds the bytes of a storm. A member that was just started is at
-// startPace for startTime: after a loss of all power every member has to learn
-// of every other, and until then they don't agree on who leads what.
+// normalPacing bounds the bytes sent while many members change. A member uses startupPacing
+// for startupPeriod after its start: after a loss of all power every member has to learn of
+// every other, and until then they do not agree on the leaders.
 var (
-	usualPace = pace{beat: HeartbeatInterval, records: 192, listings: 2, mismatches: 3, listingGap: 5 * time.Second}
-	startPace = pace{beat: 200 * time.Millisecond, records: 1024, listings: 8, mismatches: 1, listingGap: 400 * time.Millisecond}
+	normalPacing  = pacing{heartbeat: HeartbeatInterval, records: 192, listings: 2, mismatches: 3, listingInterval: 5 * time.Second}
+	startupPacing = pacing{heartbeat: 200 * time.Millisecond, records: 1024, listings: 8, mismatches: 1, listingInterval: 400 * time.Millisecond}
 )
 
-const startTime = 4 * time.Second
+const startupPeriod = 4 * time.Second
 
-// Message asks the shell to send a message to a node. Without an address it
-// answers the message that was just received.
+// Message is a message that the caller has to send to a node. Without an address it is a
+// reply to the message that was just received.
 type Message struct {
 	Node    string
 	Address string
 	Gossip  wire.Gossip
 }
 
-// Seed is an instance of the platform's list.
+// Seed is an instance in the platform's list.
 type Seed struct {
 	Node    string
 	Address string
 }
 
-// Node is one member's view. It is not safe for concurrent use.
+// Node is one member's view of the membership. It is not safe for concurrent use.
 type Node struct {
 	self      wire.Member
 	config    uint64
@@ -74,70 +74,70 @@
 	seeds     []Seed
 	rand      *rand.Rand
 
-	ring      []string // names of the live members in ring order
-	ringStale bool
-	hash      uint64
-	started   time.Time // the first tick
-	nextBeat  time.Time
-	nextProbe time.Time
-	pace      pace
-	// mostCapacity is that of the largest member ever heard of.
-	mostCapacity int
-	allowance    int // records left in this beat
-	listings     int // listings left in this beat
-	// higher and higherList are the nodes that have told a higher version of the
-	// configuration, or revision of the list of endpoints, than this one's.
-	higher     map[string]uint64
-	higherList map[string]uint64
-	changed    bool
+	ring          []string // names of the live members in ring order
+	ringStale     bool
+	hash          uint64
+	started       time.Time // the first tick
+	nextHeartbeat time.Time
+	nextProbe     time.Time
+	pacing        pacing
+	// maxCapacity is the largest capacity of any member seen.
+	maxCapacity   int
+	recordBudget  int // records left in this heartbeat interval
+	listingBudget int // listings left in this heartbeat interval
+	// newerConfigs and newerLists hold the nodes that announced a higher configuration
+	// version, or endpoint list revision, than this node's.
+	newerConfigs map[string]uint64
+	newerLists   map[string]uint64
+	changed      bool
 }
 
 type record struct {
-	m       wire.Member
-	since   time.Time // when the state was taken
-	watched time.Time // when this node last heard from it, or began to watch
+	member    wire.Member
+	since     time.Time // when the present state was recorded
+	lastHeard time.Time // when this node last heard from it, or began to monitor it
 }
 
 type endpointKey struct{ pool, name string }
 
-// link is what this node owes a peer.
+// link holds the state of the messages to a peer.
 type link struct {
-	address    string
-	neighbor   bool
-	lastIn     time.Time
-	self       bool // the own record is owed; it is sent at once
-	members    owed
-	endpoints  []endpointKey
-	mismatches int
-	listed     time.Time
-	wantBeat   bool
+	address      string
+	neighbor     bool
+	lastReceived time.Time
+	sendSelf     bool // the own record is pending; it is sent at once
+	pending      recordQueue
+	endpoints    []endpointKey
+	mismatches   int
+	lastListing  time.Time
+	heartbeatDue bool
 }
 
 // New returns a view that holds only the node itself.
 func New(self wire.Member, seed uint64) *Node {
 	self.Seq = 1
 	n := &Node{
-		self:      self,
-		records:   make(map[string]*record),
-		endpoints: make(map[endpointKey]wire.Endpoint),
-		links:     make(map[string]*link),
-		rand:      rand.New(rand.NewPCG(seed, self.Incarnation)),
-		higher:    make(map[string]uint64), higherList: make(map[string]uint64),
-		ringStale: true,
-		allowance: startPace.records,
+		self:         self,
+		records:      make(map[string]*record),
+		endpoints:    make(map[endpointKey]wire.Endpoint),
+		links:        make(map[string]*link),
+		rand:         rand.New(rand.NewPCG(seed, self.Incarnation)),
+		newerConfigs: make(map[string]uint64), newerLists: make(map[string]uint64),
+		ringStale:    true,
+		recordBudget: startupPacing.records,
 	}
 	n.hash = recordHash(self)
-	n.mostCapacity = capacityOf(self)
+	n.maxCapacity = capacityOf(self)
 	return n
 }
 
 // Self returns the node's own record.
 func (n *Node) Self() wire.Member { return n.self }
 
-// SetSeeds gives the platform's list of instances.
+// SetSeeds sets the platform's list of instances.
 func (n *Node) SetSeeds(list []Seed) { n.seeds = list }
 
-// SetConfigVersion tells the version of the configuration in force here.
+// SetConfigVersion announces the configuration version in force at this node.
 func (n *Node) SetConfigVersion(v uint64) {
 	if v == n.config {
 		return
@@ -146,8 +146,8 @@
 	n.RequestHeartbeat()
 }
 
-// SetListRevision tells the revision of the list of endpoints in force here, with the
-// next beats, or at once when others may not hear of it soon.
+// SetListRevision announces the endpoint list revision in force at this node with the next
+// heartbeats, or at once if other nodes may otherwise learn of it late.
 func (n *Node) SetListRevision(v uint64, atOnce bool) {
 	n.list = v
 	if atOnce {
@@ -155,22 +155,23 @@
 	}
 }
 
-// RequestHeartbeat has the next tick send a beat on each link.
+// RequestHeartbeat makes the next tick send a heartbeat on each link.
 func (n *Node) RequestHeartbeat() {
 	for _, l := range n.links {
-		l.wantBeat = true
+		l.heartbeatDue = true
 	}
 }
 
-// NewerConfig returns a node that is known to have a configuration above
-// this one's, and its version.
-func (n *Node) NewerConfig() (node string, version uint64) { return highest(n.higher, n.config) }
+// NewerConfig returns a node that announced a configuration newer than this node's, and its
+// version.
+func (n *Node) NewerConfig() (node string, version uint64) { return highest(n.newerConfigs, n.config) }
 
-// NewerList returns a node that is known to have a list of endpoints of a revision
-// above this one's, and that revision.
-func (n *Node) NewerList() (node string, revision uint64) { return highest(n.higherList, n.list) }
+// NewerList returns a node that announced an endpoint list newer than this node's, and its
+// revision.
+func (n *Node) NewerList() (node string, revision uint64) { return highest(n.newerLists, n.list) }
 
-// highest returns the node that told the highest version, if it is above one's own.
+// highest returns the node with the highest announced version, if that is above the own
+// one.
 func highest(told map[string]uint64, own uint64) (node string, version uint64) {
 	for name, v := range told {
 		if v > version || v == version && name < node {
@@ -189,28 +190,28 @@
 		return
 	}
 	n.self.Entries = slices.Clone(entries)
-	n.mostCapacity = max(n.mostCapacity, capacityOf(n.self))
-	n.renewSelf()
+	n.maxCapacity = max(n.maxCapacity, capacityOf(n.self))
+	n.updateSelf()
 }
 
-// Leave marks this node as left; the shell sends what Tick returns and stops.
+// Leave marks this node as left. The caller sends the messages of the next Tick and stops.
 func (n *Node) Leave() {
 	n.self.State = wire.Left
-	n.renewSelf()
+	n.updateSelf()
 }
 
-// renewSelf raises the sequence number and spreads the own record.
-func (n *Node) renewSelf() {
+// updateSelf raises the sequence number and queues the own record on all links.
+func (n *Node) updateSelf() {
 	n.hash ^= recordHash(n.self)
 	n.self.Seq++
 	n.hash ^= recordHash(n.self)
 	n.changed = true
 	for _, l := range n.links {
-		l.self = true
+		l.sendSelf = true
 	}
 }
 
-// SetEndpoint tells what this node found out about an endpoint.
+// SetEndpoint records this node's finding about an endpoint.
 func (n *Node) SetEndpoint(e wire.Endpoint) {
 	key := endpointKey{e.Pool, e.Name}
 	known, ok := n.endpoints[key]
@@ -218,10 +219,10 @@
 		return
 	}
 	e.Seq = known.Seq + 1
-	n.takeEndpoint(e, "")
+	n.storeEndpoint(e, "")
 }
 
-func (n *Node) takeEndpoint(e wire.Endpoint, from string) {
+func (n *Node) storeEndpoint(e wire.Endpoint, from string) {
 	key := endpointKey{e.Pool, e.Name}
 	n.hash ^= endpointHash(n.endpoints[key]) ^ endpointHash(e)
 	n.endpoints[key] = e
@@ -233,33 +234,32 @@
 	}
 }
 
-// PollChanged reports whether members, entries or endpoints changed since the
-// last call.
+// PollChanged reports whether members, entries or endpoints changed since the last call.
 func (n *Node) PollChanged() bool {
 	c := n.changed
 	n.changed = false
 	return c
 }
 
-// Members returns all records, the node's own among them, by name.
+// Members returns all records, including the node's own, sorted by name.
 func (n *Node) Members() []wire.Member {
 	list := []wire.Member{n.self}
 	for _, r := range n.records {
-		list = append(list, r.m)
+		list = append(list, r.member)
 	}
 	slices.SortFunc(list, func(a, b wire.Member) int { return cmp.Compare(a.Node, b.Node) })
 	return list
 }
 
-// LiveCount returns the number of members that are alive or suspect, itself
-// included.
+// LiveCount returns the number of members that are alive or suspect, including the node
+// itself.
 func (n *Node) LiveCount() int {
 	n.rebuildRing()
 	return len(n.ring)
 }
 
-// Entries returns the entries of all live members. An entry that two members
-// claim counts with its latest incarnation, and as leaving if either says so.
+// Entries returns the entries of all live members. If two members claim an entry, its
+// latest incarnation counts, and it is leaving if either says so.
 func (n *Node) Entries() []wire.Entry {
 	best := make(map[string]wire.Entry)
 	for _, m := range n.Members() {
@@ -294,8 +294,8 @@
 	return list
 }
 
-// recordHash is a record's part of the view's hash; ended members have none,
-// because nodes forget them at different times.
+// recordHash returns a record's contribution to the view's hash. Dead members and those
+// that left contribute nothing, because nodes forget them at different times.
 func recordHash(m wire.Member) uint64 {
 	if m.State == wire.Dead || m.State == wire.Left {
 		return 0
@@ -317,20 +317,20 @@
 	return h * 0xbf58476d1ce4e5b9
 }
 
-func ended(s wire.State) bool { return s == wire.Dead || s == wire.Left }
+func isTerminal(s wire.State) bool { return s == wire.Dead || s == wire.Left }
 
-// rebuildRing orders the live members by the hash of their names.
+// rebuildRing sorts the live members by the hash of their names.
 func (n *Node) rebuildRing() {
 	if !n.ringStale {
 		return
 	}
 	n.ringStale = false
 	n.ring = n.ring[:0]
-	if !ended(n.self.State) {
+	if !isTerminal(n.self.State) {
 		n.ring = append(n.ring, n.self.Node)
 	}
 	for name, r := range n.records {
-		if !ended(r.m.State) {
+		if !isTerminal(r.member.State) {
 			n.ring = append(n.ring, name)
 		}
 	}
@@ -339,7 +339,7 @@
 	})
 }
 
-// neighbors returns the members at distances 1, 2, √n and n^¾ on both sides.
+// neighbors returns the members at distances 1, 2, √n and n^¾ in both directions.
 func (n *Node) neighbors() []string {
 	n.rebuildRing()
 	size := len(n.ring)
@@ -364,7 +364,7 @@
 // Address returns the address of a known member, or "".
 func (n *Node) Address(name string) string {
 	if r, ok := n.records[name]; ok {
-		return r.m.Address
+		return r.member.Address
 	}
 	return ""
 }
@@ -372,7 +372,7 @@
 // HasLiveAddress reports whether a member that is alive or suspect has the address.
 func (n *Node) HasLiveAddress(address string) bool {
 	for _, r := range n.records {
-		if r.m.Address == address && !ended(r.m.State) {
+		if r.member.Address == address && !isTerminal(r.member.State) {
 			return true
 		}
 	}
--- a/internal/core/member/queue.go
+++ b/internal/core/member/queue.go
@@ -2,54 +2,54 @@
 
 import "slices"
 
-// owed is the ordered set of names whose records a peer is still to be sent, the
-// urgent ones first.
-type owed struct {
+// recordQueue is the ordered set of names whose records have to be sent to a peer, urgent
+// ones first.
+type recordQueue struct {
 	urgent []string
-	others []string
-	in     map[string]bool
+	normal []string
+	queued map[string]bool
 }
 
-func (o *owed) add(name string, urgent bool) {
-	if o.in == nil {
-		o.in = make(map[string]bool)
+func (o *recordQueue) add(name string, urgent bool) {
+	if o.queued == nil {
+		o.queued = make(map[string]bool)
 	}
-	if o.in[name] {
+	if o.queued[name] {
 		return
 	}
-	o.in[name] = true
+	o.queued[name] = true
 	if urgent {
 		o.urgent = append(o.urgent, name)
 		return
 	}
-	o.others = append(o.others, name)
+	o.normal = append(o.normal, name)
 }
 
-func (o *owed) remove(name string) {
-	if !o.in[name] {
+func (o *recordQueue) remove(name string) {
+	if !o.queued[name] {
 		return
 	}
-	delete(o.in, name)
+	delete(o.queued, name)
 	is := func(n string) bool { return n == name }
 	o.urgent = slices.DeleteFunc(o.urgent, is)
-	o.others = slices.DeleteFunc(o.others, is)
+	o.normal = slices.DeleteFunc(o.normal, is)
 }
 
-func (o *owed) len() int { return len(o.in) }
+func (o *recordQueue) len() int { return len(o.queued) }
 
-// take removes and returns the first names, at most n of them.
-func (o *owed) take(n int) []string {
+// pop removes and returns at most n names from the front.
+func (o *recordQueue) pop(n int) []string {
 	n = min(n, o.len())
 	names := make([]string, 0, max(n, 0))
 	names, o.urgent = moveFirst(names, o.urgent, n)
-	names, o.others = moveFirst(names, o.others, n-len(names))
+	names, o.normal = moveFirst(names, o.normal, n-len(names))
 	for _, name := range names {
-		delete(o.in, name)
+		delete(o.queued, name)
 	}
 	return names
 }
 
-// moveFirst moves the first names of one list to the end of another.
+// moveFirst moves the first n names of one list to the end of another.
 func moveFirst(to, from []string, n int) ([]string, []string) {
 	n = max(min(n, len(from)), 0)
 	to = append(to, from[:n]...)
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -8,7 +8,7 @@
 	"gradetiller.example/internal/wire"
 )
 
-// Receive takes a message in and returns direct answers to its sender.
+// Receive merges a message and returns the replies to its sender.
 func (n *Node) Receive(now time.Time, g wire.Gossip) []Message {
 	if g.Node == n.self.Node {
 		return nil
@@ -19,32 +19,32 @@
 	for _, e := range g.Endpoints {
 		known := n.endpoints[endpointKey{e.Pool, e.Name}]
 		if newerEndpoint(e, known) {
-			n.takeEndpoint(e, g.Node)
+			n.storeEndpoint(e, g.Node)
 		}
 	}
 	r, ok := n.records[g.Node]
 	if !ok {
-		return n.answerStranger(g)
+		return n.replyToUnknown(g)
 	}
-	if ended(r.m.State) && g.Incarnation == r.m.Incarnation {
-		// The sender does not know that it was given up; told so, it comes
-		// back with a higher incarnation.
+	if isTerminal(r.member.State) && g.Incarnation == r.member.Incarnation {
+		// The sender does not know that it was declared dead. The reply makes it rejoin
+		// with a higher incarnation.
 		out := n.header()
 		out.Courtesy = true
-		out.Members = []wire.Member{r.m, n.self}
-		return []Message{{Node: g.Node, Address: r.m.Address, Gossip: out}}
+		out.Members = []wire.Member{r.member, n.self}
+		return []Message{{Node: g.Node, Address: r.member.Address, Gossip: out}}
 	}
-	n.heard(now, r, g)
-	note(n.higher, g.Node, g.ConfigVersion, n.config)
-	note(n.higherList, g.Node, g.ListRevision, n.list)
+	n.recordHeartbeat(now, r, g)
+	recordNewer(n.newerConfigs, g.Node, g.ConfigVersion, n.config)
+	recordNewer(n.newerLists, g.Node, g.ListRevision, n.list)
 	if len(g.Listing) == 0 {
 		return nil
 	}
-	return n.answerListing(r, g)
+	return n.replyToListing(r, g)
 }
 
-// note remembers a node that told a higher version than one's own.
-func note(higher map[string]uint64, node string, told, own uint64) {
+// recordNewer records a node that announced a version above the own one.
+func recordNewer(higher map[string]uint64, node string, told, own uint64) {
 	if told > own {
 		higher[node] = told
 		return
@@ -52,44 +52,43 @@
 	delete(higher, node)
 }
 
-// answerStranger makes this node known to a sender that it does not know. Such
-// a sender knew an earlier life of this node and would not hear of the present
-// one before it has given that up; the two could lead side by side until then.
-// The sender's address is not known, so the answer goes back the way the message
-// came.
-func (n *Node) answerStranger(g wire.Gossip) []Message {
-	if g.Courtesy || ended(n.self.State) || n.listings == 0 {
+// replyToUnknown introduces this node to a sender that it does not know. Such a sender knew
+// an earlier life of this node, and would not learn of the present one before declaring
+// that one dead; until then the two could lead side by side. The sender's address is
+// unknown, so the reply uses the connection on which the message arrived.
+func (n *Node) replyToUnknown(g wire.Gossip) []Message {
+	if g.Courtesy || isTerminal(n.self.State) || n.listingBudget == 0 {
 		return nil
 	}
-	n.listings--
+	n.listingBudget--
 	return []Message{n.greeting(Seed{Node: g.Node})}
 }
 
-// heard counts the message as a sign of life of the incarnation that sent it.
-func (n *Node) heard(now time.Time, r *record, g wire.Gossip) {
-	if g.Incarnation != r.m.Incarnation {
+// recordHeartbeat counts the message as a heartbeat of the incarnation that sent it.
+func (n *Node) recordHeartbeat(now time.Time, r *record, g wire.Gossip) {
+	if g.Incarnation != r.member.Incarnation {
 		return
 	}
-	r.watched = now
+	r.lastHeard = now
 	l, ok := n.links[g.Node]
 	if !ok {
-		if g.Courtesy || ended(r.m.State) {
+		if g.Courtesy || isTerminal(r.member.State) {
 			return
 		}
 		l = n.addLink(g.Node)
 	}
 	if !g.Courtesy {
-		l.lastIn = now
+		l.lastReceived = now
 	}
-	if g.ViewHash == n.hash || l.members.len() > 0 || len(g.Members) > 0 {
+	if g.ViewHash == n.hash || l.pending.len() > 0 || len(g.Members) > 0 {
 		l.mismatches = 0
 		return
 	}
 	l.mismatches++
 }
 
-// newerEndpoint reports whether finding a takes precedence over b; of two
-// watchers' findings with one number, "leaving" wins.
+// newerEndpoint reports whether finding a takes precedence over b. If two nodes' findings
+// have the same sequence number, "leaving" wins.
 func newerEndpoint(a, b wire.Endpoint) bool {
 	if a.Seq != b.Seq {
 		return a.Seq > b.Seq
@@ -97,32 +96,31 @@
 	return a.Leaving && !b.Leaving
 }
 
-// merge takes one record in if it is newer than the known one.
+// merge stores a record if it is newer than the known one.
 func (n *Node) merge(now time.Time, m wire.Member, from string) {
 	if m.Node == n.self.Node {
 		n.refute(m)
 		return
 	}
 	r, ok := n.records[m.Node]
-	if ok && !newer(m, r.m) {
-		if !newer(r.m, m) {
-			n.knows(from, m.Node)
+	if ok && !newer(m, r.member) {
+		if !newer(r.member, m) {
+			n.dequeue(from, m.Node)
 		}
 		return
 	}
 	n.store(now, m, from)
 }
 
-// newer reports whether a takes precedence over b. Only the owner raises
-// incarnation and sequence. An incarnation that ended stays ended, whatever
-// its process says later; else the higher sequence wins, and among equals the
-// worse state.
+// newer reports whether a takes precedence over b. Only the owner raises incarnation and
+// sequence number. An incarnation that is dead or has left stays so, whatever its process
+// says later. Otherwise the higher sequence number wins, and among equals the worse state.
 func newer(a, b wire.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	if ended(a.State) != ended(b.State) {
-		return ended(a.State)
+	if isTerminal(a.State) != isTerminal(b.State) {
+		return isTerminal(a.State)
 	}
 	if a.Seq != b.Seq {
 		return a.Seq > b.Seq
@@ -130,68 +128,68 @@
 	return a.State > b.State
 }
 
-// refute answers a record about this node that is not its own latest.
+// refute supersedes a record about this node that is newer than its own.
 func (n *Node) refute(m wire.Member) {
-	if ended(n.self.State) || !newer(m, n.self) {
+	if isTerminal(n.self.State) || !newer(m, n.self) {
 		return
 	}
 	n.hash ^= recordHash(n.self)
-	if m.Incarnation > n.self.Incarnation || m.Seq > n.self.Seq || ended(m.State) {
-		// An earlier life of this name, whose clock may have been ahead, or
-		// this life was given up for dead.
+	if m.Incarnation > n.self.Incarnation || m.Seq > n.self.Seq || isTerminal(m.State) {
+		// The record is of an earlier life of this name, whose clock may have been ahead,
+		// or this life was declared dead.
 		n.self.Incarnation = m.Incarnation + 1
 	}
 	n.self.Seq = max(n.self.Seq, m.Seq)
 	n.hash ^= recordHash(n.self)
-	n.renewSelf()
+	n.updateSelf()
 }
 
-// knows takes a record off what is owed to a peer that has just sent it.
-func (n *Node) knows(peer, name string) {
+// dequeue removes a record from the queue of a peer that has just sent it.
+func (n *Node) dequeue(peer, name string) {
 	if l, ok := n.links[peer]; ok {
-		l.members.remove(name)
+		l.pending.remove(name)
 	}
 }
 
 func (n *Node) store(now time.Time, m wire.Member, from string) {
 	r, ok := n.records[m.Node]
 	if !ok {
-		r = &record{watched: now}
+		r = &record{lastHeard: now}
 		n.records[m.Node] = r
 		n.ringStale = true
 	} else {
-		n.hash ^= recordHash(r.m)
+		n.hash ^= recordHash(r.member)
 	}
-	if r.m.State != m.State || r.m.Incarnation != m.Incarnation {
+	if r.member.State != m.State || r.member.Incarnation != m.Incarnation {
 		r.since = now
 		n.ringStale = true
 	}
-	if r.m.Incarnation != m.Incarnation {
-		r.watched = now
+	if r.member.Incarnation != m.Incarnation {
+		r.lastHeard = now
 	}
-	r.m = m
+	r.member = m
 	n.hash ^= recordHash(m)
 	n.changed = true
 	if l, ok := n.links[m.Node]; ok {
 		l.address = m.Address
 	}
-	n.spread(m.Node, from)
+	n.enqueue(m.Node, from)
 }
 
-// spread queues a record for all links but the one it came from. A member is
-// sent its own record too, since it must hear of a suspicion to refute it.
-func (n *Node) spread(name, from string) {
+// enqueue queues a record on all links but the one it came from. A member is sent its own
+// record too, since it must learn of a suspicion to refute it.
+func (n *Node) enqueue(name, from string) {
 	r := n.records[name]
-	n.mostCapacity = max(n.mostCapacity, capacityOf(r.m))
-	urgent := n.isStrong(r.m)
+	n.maxCapacity = max(n.maxCapacity, capacityOf(r.member))
+	urgent := n.isStrong(r.member)
 	for to, l := range n.links {
 		if to != from {
-			l.members.add(name, urgent)
+			l.pending.add(name, urgent)
 		}
 	}
 }
 
-// capacityOf is the processor share of the largest instance of a member.
+// capacityOf returns the processor share of the largest instance of a member.
 func capacityOf(m wire.Member) int {
 	most := 0
 	for _, e := range m.Entries {
@@ -200,16 +198,16 @@
 	return most
 }
 
-// isStrong reports whether a member is one of those that lead and read for all. A
-// node that starts needs to know these before it can have any work done, so their
-// records go ahead of the others.
+// isStrong reports whether a member is one of those that lead, and read on behalf of all. A
+// starting node needs to know these before it can get any work done, so their records are
+// sent first.
 func (n *Node) isStrong(m wire.Member) bool {
-	return !ended(m.State) && lead.Strong(capacityOf(m), n.mostCapacity)
+	return !isTerminal(m.State) && lead.Strong(capacityOf(m), n.maxCapacity)
 }
 
-// answerListing sends what the listing lacks, and this node's own listing if
-// it holds something newer.
-func (n *Node) answerListing(r *record, g wire.Gossip) []Message {
+// replyToListing sends the records that the listing lacks, and this node's own listing if
+// the sender has something newer.
+func (n *Node) replyToListing(r *record, g wire.Gossip) []Message {
 	theirs := make(map[string]wire.RecordVersion, len(g.Listing))
 	behind := false
 	for _, v := range g.Listing {
@@ -226,7 +224,7 @@
 	for _, m := range n.Members() {
 		v, ok := theirs[m.Node]
 		switch {
-		case !ok && ended(m.State) || ok && !newer(m, memberOf(v)):
+		case !ok && isTerminal(m.State) || ok && !newer(m, memberOf(v)):
 		case n.isStrong(m):
 			missing = append(missing, m.Node)
 		default:
@@ -239,12 +237,12 @@
 	out.Courtesy = true
 	out.Answer = true
 	out.Endpoints = n.Endpoints()
-	count := max(min(len(missing), maxRecords, n.allowance), 0)
+	count := max(min(len(missing), maxRecords, n.recordBudget), 0)
 	if len(weak) > 0 && strong <= maxRecords {
-		// The few strong ones are told in any case.
+		// The few strong members are sent in any case.
 		count = max(count, strong)
 	}
-	n.allowance -= count
+	n.recordBudget -= count
 	for _, name := range missing[:count] {
 		m, _ := n.lookup(name)
 		out.Members = append(out.Members, m)
@@ -252,11 +250,11 @@
 	if !slices.Contains(missing, n.self.Node) {
 		out.Members = append(out.Members, n.self)
 	}
-	if behind && !g.Answer && n.listings > 0 {
-		n.listings--
+	if behind && !g.Answer && n.listingBudget > 0 {
+		n.listingBudget--
 		out.Listing = n.listing()
 	}
-	return []Message{{Node: g.Node, Address: r.m.Address, Gossip: out}}
+	return []Message{{Node: g.Node, Address: r.member.Address, Gossip: out}}
 }
 
 func memberOf(v wire.RecordVersion) wire.Member {
--- a/internal/core/member/slow_test.go
+++ b/internal/core/member/slow_test.go
@@ -10,56 +10,55 @@
 	"gradetiller.example/internal/wire"
 )
 
-// slowNetwork runs members as values in one goroutine, on links of limited
-// bandwidth and processors of limited speed, both of which hold messages up in
-// turn. Messages are lost now and then.
+// slowNetwork runs members in one goroutine, on links of limited bandwidth and processors
+// of limited speed, both of which queue messages. Some messages are lost.
 type slowNetwork struct {
-	t     testing.TB
-	now   time.Time
-	rand  *rand.Rand
-	nodes []*slowNode
-	byAt  map[string]*slowNode
-	queue arrivals
-	lost  float64
+	t        testing.TB
+	now      time.Time
+	rand     *rand.Rand
+	nodes    []*slowNode
+	byName   map[string]*slowNode
+	queue    eventQueue
+	lossRate float64
 }
 
 type slowNode struct {
 	*Node
 	name     string
 	capacity int
-	// up is when the process starts, in, out and free when its link and its
-	// processor are done with what came before.
-	up   time.Time
-	in   time.Time
-	out  time.Time
-	free time.Time
+	// startsAt is when the process starts. inFreeAt, outFreeAt and cpuFreeAt are when its
+	// link, in each direction, and its processor finish their queued work.
+	startsAt  time.Time
+	inFreeAt  time.Time
+	outFreeAt time.Time
+	cpuFreeAt time.Time
 }
 
 // Costs of one message on an instance of one whole core, from benchmarks: decoding and
-// taking 32 records took 62 µs, a listing of 295 members 267 µs. A link carries
-// bytesPerCore for the same share of a core. The small instances of today have 0.192
-// cores and 2.5 MB/s.
+// merging 32 records took 62 µs, a listing of 295 members 267 µs. A link carries
+// bytesPerCore for the same share of a core. The present small instances have 0.192 cores
+// and 2.5 MB/s.
 const (
-	perMessage   = 60 * time.Microsecond
-	perRecord    = 2 * time.Microsecond
-	perListed    = time.Microsecond
-	bytesPerCore = 13_000_000
-	overhead     = 100
-	latency      = 900 * time.Microsecond
+	messageCost   = 60 * time.Microsecond
+	recordCost    = 2 * time.Microsecond
+	listedCost    = time.Microsecond
+	bytesPerCore  = 13_000_000
+	frameOverhead = 100
+	latency       = 900 * time.Microsecond
 )
 
-type arrival struct {
+type event struct {
 	at time.Time
 	do func()
 }
 
-type arrivals []arrival
+type eventQueue []event
 
-func (a arrivals) Len() int           { return len(a) }
-func (a arrivals) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(x any)        { *a = append(*a, x.(arrival)) }
-func (a *arrivals) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
@@ -70,10 +69,10 @@
 	largeCapacity = 800
 )
 
-// newSlowNetwork starts nodes within 0.3 s in any order, every largeEvery-th of them
+// newSlowNetwork starts nodes within 0.3 s in random order, every largeEvery-th of them
 // large. They know three small ones as seeds.
 func newSlowNetwork(t testing.TB, seed uint64, size, largeEvery int) *slowNetwork {
-	w := &slowNetwork{t: t, now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 7)), byAt: make(map[string]*slowNode), lost: 0.005}
+	w := &slowNetwork{t: t, now: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 7)), byName: make(map[string]*slowNode), lossRate: 0.005}
 	var seeds []Seed
 	for i := range 3 {
 		seeds = append(seeds, Seed{Node: nodeName(i), Address: address(i)})
@@ -87,60 +86,61 @@
 		n.Node = New(m, seed+uint64(i))
 		n.SetSeeds(seeds)
 		n.SetEntries([]wire.Entry{{Node: n.name, Incarnation: 1, Address: address(i), PeerAddress: address(i), Domain: m.Domain, Region: m.Region, Capacity: n.capacity}})
-		n.up = w.now.Add(time.Duration(w.rand.Int64N(int64(300 * time.Millisecond))))
-		n.free = n.up
+		n.startsAt = w.now.Add(time.Duration(w.rand.Int64N(int64(300 * time.Millisecond))))
+		n.cpuFreeAt = n.startsAt
 		w.nodes = append(w.nodes, n)
-		w.byAt[n.name] = n
-		w.at(n.up, func() { w.beat(n) })
+		w.byName[n.name] = n
+		w.schedule(n.startsAt, func() { w.tick(n) })
 	}
 	return w
 }
 
-func (w *slowNetwork) at(at time.Time, do func()) { heap.Push(&w.queue, arrival{at, do}) }
+func (w *slowNetwork) schedule(at time.Time, do func()) { heap.Push(&w.queue, event{at, do}) }
 
-// beat ticks a node as the shell does, and greets the seeds while it knows nobody.
-func (w *slowNetwork) beat(n *slowNode) {
-	w.work(n, perMessage)
+// tick runs a node's Tick as the production caller does, and greets the seeds while it
+// knows no other node.
+func (w *slowNetwork) tick(n *slowNode) {
+	w.compute(n, messageCost)
 	sends := n.Tick(w.now)
 	if n.LiveCount() < 2 {
 		sends = append(sends, n.Join()...)
 	}
 	w.send(n, sends)
-	w.at(w.now.Add(FlushInterval), func() { w.beat(n) })
+	w.schedule(w.now.Add(FlushInterval), func() { w.tick(n) })
 }
 
-// work keeps a node's processor busy and returns when it is done.
-func (w *slowNetwork) work(n *slowNode, whole time.Duration) time.Time {
-	if n.free.Before(w.now) {
-		n.free = w.now
+// compute occupies a node's processor and returns when it is done.
+func (w *slowNetwork) compute(n *slowNode, whole time.Duration) time.Time {
+	if n.cpuFreeAt.Before(w.now) {
+		n.cpuFreeAt = w.now
 	}
-	n.free = n.free.Add(time.Duration(float64(whole) * 1000 / float64(n.capacity)))
-	return n.free
+	n.cpuFreeAt = n.cpuFreeAt.Add(time.Duration(float64(whole) * 1000 / float64(n.capacity)))
+	return n.cpuFreeAt
 }
 
 func (w *slowNetwork) send(from *slowNode, sends []Message) {
 	for _, s := range sends {
-		to := w.byAt[s.Node]
+		to := w.byName[s.Node]
 		frame, err := wire.Append(nil, s.Gossip)
 		if err != nil {
 			w.t.Fatal(err)
 		}
-		lost := to == nil || w.rand.Float64() < w.lost
-		bytes := len(frame) + overhead
-		w.at(w.work(from, perMessage), func() {
-			sent := w.transmit(from, &from.out, bytes)
+		lost := to == nil || w.rand.Float64() < w.lossRate
+		bytes := len(frame) + frameOverhead
+		w.schedule(w.compute(from, messageCost), func() {
+			sent := w.transmit(from, &from.outFreeAt, bytes)
 			if lost {
 				return
 			}
-			w.at(sent.Add(latency), func() {
-				w.at(w.transmit(to, &to.in, bytes), func() { w.take(to, s.Gossip) })
+			w.schedule(sent.Add(latency), func() {
+				w.schedule(w.transmit(to, &to.inFreeAt, bytes), func() { w.receive(to, s.Gossip) })
 			})
 		})
 	}
 }
 
-// transmit has one direction of a node's link carry some bytes, and returns when it
-// is done. busy is until when it carries others.
+// transmit sends some bytes in one direction of a node's link, and returns when it is done.
+// busy is when the link has finished its earlier transfers.
 func (w *slowNetwork) transmit(n *slowNode, busy *time.Time, bytes int) time.Time {
 	if busy.Before(w.now) {
 		*busy = w.now
@@ -149,28 +149,28 @@
 	return *busy
 }
 
-func (w *slowNetwork) take(n *slowNode, g wire.Gossip) {
-	if w.now.Before(n.up) {
+func (w *slowNetwork) receive(n *slowNode, g wire.Gossip) {
+	if w.now.Before(n.startsAt) {
 		return
 	}
-	cost := perMessage + time.Duration(len(g.Members))*perRecord + time.Duration(len(g.Listing))*perListed
-	w.at(w.work(n, cost), func() {
+	cost := messageCost + time.Duration(len(g.Members))*recordCost + time.Duration(len(g.Listing))*listedCost
+	w.schedule(w.compute(n, cost), func() {
 		w.send(n, n.Receive(w.now, g))
 	})
 }
 
-// until plays events until the condition holds and returns how long it took.
-func (w *slowNetwork) until(limit time.Duration, condition func() bool) (time.Duration, bool) {
+// runUntil processes events until the condition holds, and returns how long that took.
+func (w *slowNetwork) runUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	start := w.now
-	looked := w.now
+	checked := w.now
 	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(arrival)
+		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		e.do()
-		if w.now.Sub(looked) < 10*time.Millisecond {
+		if w.now.Sub(checked) < 10*time.Millisecond {
 			continue
 		}
-		looked = w.now
+		checked = w.now
 		if condition() {
 			return w.now.Sub(start), true
 		}
@@ -181,8 +181,8 @@
 	return w.now.Sub(start), false
 }
 
-// knowLarge reports whether every node knows all large ones, which lead and read.
-func (w *slowNetwork) knowLarge() bool {
+// allKnowLarge reports whether every node knows all large ones, which lead and read.
+func (w *slowNetwork) allKnowLarge() bool {
 	want := 0
 	for _, n := range w.nodes {
 		if n.capacity == largeCapacity {
@@ -203,9 +203,10 @@
 	return true
 }
 
-// TestAllStartOnSmallLinks starts nodes at once, most of them with small processors
-// and links, the seeds among these: all of them know those that lead and read soon,
-// hundreds of nodes not much later than some dozens.
+// TestAllStartOnSmallLinks starts nodes at once, most of them with small processors and
+// links, including the seeds. It guards against starts that slow down with the system's
+// size: all nodes must soon know those that lead and read, and hundreds of nodes not much
+// later than dozens.
 func TestAllStartOnSmallLinks(t *testing.T) {
 	for _, c := range []struct {
 		nodes int
@@ -213,7 +214,7 @@
 	}{{32, 700 * time.Millisecond}, {100, 900 * time.Millisecond}, {295, 1700 * time.Millisecond}} {
 		for seed := range uint64(3) {
 			w := newSlowNetwork(t, seed, c.nodes, 16)
-			took, ok := w.until(10*time.Second, w.knowLarge)
+			took, ok := w.runUntil(10*time.Second, w.allKnowLarge)
 			if !ok || took > c.limit {
 				t.Errorf("%d nodes, seed %d: not all know the large ones after %v", c.nodes, seed, took)
 			}
--- a/internal/core/member/start_test.go
+++ b/internal/core/member/start_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// startTogether starts members that know three seeds only, as after a loss of
-// all power, and lets them greet as the shell does: at once, and every 200 ms
-// while they know nobody.
+// startTogether starts members that know only three seeds, as after a loss of all power,
+// and sends their greetings.
 func startTogether(t *testing.T, n int) *network {
 	w := newNetwork(t, 0)
 	var seeds []Seed
@@ -23,8 +22,8 @@
 	return w
 }
 
-// TestAllStartTogether measures how long members that all start at once take
-// to know all others. Until then they don't agree on who leads what.
+// TestAllStartTogether bounds the time that members which all start at once need to know
+// each other. Until then they do not agree on the leaders.
 func TestAllStartTogether(t *testing.T) {
 	for _, c := range []struct {
 		members int
@@ -35,19 +34,19 @@
 		{301, 3200 * time.Millisecond},
 	} {
 		w := startTogether(t, c.members)
-		took := w.until(c.limit, "all know all", func() bool { return w.all(c.members) })
-		t.Logf("%d members: %v, at most %d bytes from one in a second", c.members, took, w.worst)
+		took := w.runUntil(c.limit, "all know all", func() bool { return w.allSee(c.members) })
+		t.Logf("%d members: %v, at most %d bytes from one in a second", c.members, took, w.maxSentPerSecond)
 	}
 }
 
-// TestRestartedAmongSurvivors kills four of seven members, all seeds among
-// them, and starts them again before the others have given them up: the two
-// groups become one with the survivors' next beats, not only when the earlier
-// lives are found to be dead.
+// TestRestartedAmongSurvivors kills four of seven members, including all seeds, and
+// restarts them before the others have declared them dead. It guards against two groups
+// that lead side by side: they must merge with the survivors' next heartbeats, and not only
+// when the earlier lives are declared dead.
 func TestRestartedAmongSurvivors(t *testing.T) {
 	w := startTogether(t, 7)
-	w.until(time.Second, "all know all", func() bool { return w.all(7) })
-	w.run(startTime + time.Second)
+	w.runUntil(time.Second, "all know all", func() bool { return w.allSee(7) })
+	w.run(startupPeriod + time.Second)
 	killed := []int{0, 1, 2, 3}
 	for _, i := range killed {
 		w.kill(nodeName(i))
@@ -63,10 +62,10 @@
 	for _, i := range killed {
 		w.deliver(nodeName(i), w.nodes[nodeName(i)].Join())
 	}
-	w.until(HeartbeatInterval+2*FlushInterval, "the groups become one", func() bool { return w.all(7) && w.onlyIncarnation(killed, 2) })
+	w.runUntil(HeartbeatInterval+2*FlushInterval, "the groups become one", func() bool { return w.allSee(7) && w.onlyIncarnation(killed, 2) })
 }
 
-// onlyIncarnation reports whether all nodes know members by an incarnation.
+// onlyIncarnation reports whether all nodes know the members by the given incarnation.
 func (w *network) onlyIncarnation(members []int, incarnation uint64) bool {
 	for _, n := range w.nodes {
 		for _, i := range members {
--- a/internal/core/member/tick.go
+++ b/internal/core/member/tick.go
@@ -7,22 +7,22 @@
 	"gradetiller.example/internal/wire"
 )
 
-// Tick watches neighbors, ends suspicions and returns the messages that are
-// due. The shell calls it every FlushInterval.
+// Tick monitors the neighbors, ends suspicions and returns the messages that are due. The
+// caller invokes it every FlushInterval.
 func (n *Node) Tick(now time.Time) []Message {
 	n.updateLinks(now)
-	n.watch(now)
-	beat := !now.Before(n.nextBeat)
+	n.detectFailures(now)
+	beat := !now.Before(n.nextHeartbeat)
 	if beat {
-		n.pace = n.paceAt(now)
-		n.nextBeat = now.Add(n.pace.beat)
-		n.allowance = n.pace.records
-		n.listings = n.pace.listings
+		n.pacing = n.pacingAt(now)
+		n.nextHeartbeat = now.Add(n.pacing.heartbeat)
+		n.recordBudget = n.pacing.records
+		n.listingBudget = n.pacing.listings
 	}
 	var sends []Message
 	for _, name := range n.linkNames() {
 		l := n.links[name]
-		if beat || l.wantBeat || l.self || l.members.len() > 0 && n.allowance > 0 || len(l.endpoints) > 0 {
+		if beat || l.heartbeatDue || l.sendSelf || l.pending.len() > 0 && n.recordBudget > 0 || len(l.endpoints) > 0 {
 			sends = append(sends, n.message(now, name, l, beat))
 		}
 	}
@@ -33,14 +33,14 @@
 	return sends
 }
 
-func (n *Node) paceAt(now time.Time) pace {
+func (n *Node) pacingAt(now time.Time) pacing {
 	if n.started.IsZero() {
 		n.started = now
 	}
-	if now.Sub(n.started) < startTime {
-		return startPace
+	if now.Sub(n.started) < startupPeriod {
+		return startupPacing
 	}
-	return usualPace
+	return normalPacing
 }
 
 func (n *Node) linkNames() []string {
@@ -52,8 +52,8 @@
 	return names
 }
 
-// updateLinks opens links to the ring's neighbors and to those who lately
-// sent something as neighbors, and drops the others.
+// updateLinks opens links to the ring neighbors, keeps those to members that recently sent
+// messages as neighbors, and drops all others.
 func (n *Node) updateLinks(now time.Time) {
 	wanted := n.neighbors()
 	for _, name := range wanted {
@@ -63,7 +63,7 @@
 		}
 		if !l.neighbor {
 			l.neighbor = true
-			n.records[name].watched = now
+			n.records[name].lastHeard = now
 		}
 	}
 	for name, l := range n.links {
@@ -72,70 +72,70 @@
 		}
 		l.neighbor = false
 		r, ok := n.records[name]
-		if !ok || ended(r.m.State) || now.Sub(l.lastIn) > courtesyPeriod {
+		if !ok || isTerminal(r.member.State) || now.Sub(l.lastReceived) > inboundLinkTimeout {
 			delete(n.links, name)
 		}
 	}
 }
 
 func (n *Node) addLink(name string) *link {
-	l := &link{address: n.records[name].m.Address, self: true}
+	l := &link{address: n.records[name].member.Address, sendSelf: true}
 	n.links[name] = l
 	return l
 }
 
-// watch suspects neighbors that are silent, and ends suspicions that were not
-// refuted.
-func (n *Node) watch(now time.Time) {
+// detectFailures suspects silent neighbors, and declares suspects dead that did not refute
+// the suspicion in time.
+func (n *Node) detectFailures(now time.Time) {
 	for name, l := range n.links {
 		r := n.records[name]
-		if l.neighbor && r.m.State == wire.Alive && now.Sub(r.watched) > silence {
+		if l.neighbor && r.member.State == wire.Alive && now.Sub(r.lastHeard) > suspectTimeout {
 			n.setState(now, r, wire.Suspect, "")
 		}
 	}
 	for name, r := range n.records {
 		switch {
-		case r.m.State == wire.Suspect && now.Sub(r.since) > suspicion:
+		case r.member.State == wire.Suspect && now.Sub(r.since) > deadTimeout:
 			n.setState(now, r, wire.Dead, "")
-		case ended(r.m.State) && now.Sub(r.since) > forgetAfter:
+		case isTerminal(r.member.State) && now.Sub(r.since) > tombstoneTTL:
 			delete(n.records, name)
-			delete(n.higher, name)
-			delete(n.higherList, name)
+			delete(n.newerConfigs, name)
+			delete(n.newerLists, name)
 		}
 	}
 }
 
-// setState changes a record's state without its owner; from is the node that
-// told, which need not be told again.
+// setState changes a record's state on behalf of its owner. The record is not sent back to
+// from, the node that reported the state.
 func (n *Node) setState(now time.Time, r *record, s wire.State, from string) {
-	m := r.m
+	m := r.member
 	m.State = s
 	n.store(now, m, from)
 }
 
-// message builds the next message for a link.
+// message returns the next message for a link.
 func (n *Node) message(now time.Time, name string, l *link, beat bool) Message {
-	l.wantBeat = false
+	l.heartbeatDue = false
 	g := n.header()
 	g.Courtesy = !l.neighbor
-	if l.self {
-		l.self = false
+	if l.sendSelf {
+		l.sendSelf = false
 		g.Members = append(g.Members, n.self)
 	}
-	for _, member := range l.members.take(min(maxRecords, max(n.allowance, 0))) {
-		n.allowance--
+	for _, member := range l.pending.pop(min(maxRecords, max(n.recordBudget, 0))) {
+		n.recordBudget--
 		if r, ok := n.records[member]; ok {
-			g.Members = append(g.Members, r.m)
+			g.Members = append(g.Members, r.member)
 		}
 	}
 	for _, key := range l.endpoints {
 		g.Endpoints = append(g.Endpoints, n.endpoints[key])
 	}
 	l.endpoints = nil
-	if beat && n.listings > 0 && l.mismatches >= n.pace.mismatches && now.Sub(l.listed) > n.pace.listingGap {
-		l.listed = now
+	if beat && n.listingBudget > 0 && l.mismatches >= n.pacing.mismatches && now.Sub(l.lastListing) > n.pacing.listingInterval {
+		l.lastListing = now
 		l.mismatches = 0
-		n.listings--
+		n.listingBudget--
 		g.Listing = n.listing()
 	}
 	return Message{Node: name, Address: l.address, Gossip: g}
@@ -153,11 +153,11 @@
 	if !ok {
 		return wire.Member{}, false
 	}
-	return r.m, true
+	return r.member, true
 }
 
-// Join greets all seeds at once; the shell calls it at its start, so that the
-// node knows the others before its first beats have found them.
+// Join returns greetings to all seeds. The caller sends them at its start, so that the node
+// knows the others before its first heartbeats.
 func (n *Node) Join() []Message {
 	sends := make([]Message, 0, len(n.seeds))
 	for _, s := range n.seeds {
@@ -168,8 +168,8 @@
 	return sends
 }
 
-// greeting tells an instance of the platform's list about this node, and asks
-// for what it knows.
+// greeting introduces this node to an instance of the platform's list, and requests what
+// that one knows.
 func (n *Node) greeting(s Seed) Message {
 	g := n.header()
 	g.Courtesy = true
@@ -178,34 +178,34 @@
 	return Message{Node: s.Node, Address: s.Address, Gossip: g}
 }
 
-// probe greets one instance of the platform's list that is unknown or ended,
-// or one ended member, so that new and cut-off nodes are found.
+// probe greets one instance of the platform's list that is unknown, dead or has left, or
+// one dead member, so that new and partitioned nodes are found.
 func (n *Node) probe(sends []Message) []Message {
-	if ended(n.self.State) || n.listings == 0 {
+	if isTerminal(n.self.State) || n.listingBudget == 0 {
 		return sends
 	}
 	var candidates []Seed
 	for _, s := range n.seeds {
 		r, ok := n.records[s.Node]
-		if s.Node != n.self.Node && (!ok || ended(r.m.State)) {
+		if s.Node != n.self.Node && (!ok || isTerminal(r.member.State)) {
 			candidates = append(candidates, s)
 		}
 	}
 	for name, r := range n.records {
-		if r.m.State == wire.Dead && !slices.ContainsFunc(candidates, func(s Seed) bool { return s.Node == name }) {
-			candidates = append(candidates, Seed{Node: name, Address: r.m.Address})
+		if r.member.State == wire.Dead && !slices.ContainsFunc(candidates, func(s Seed) bool { return s.Node == name }) {
+			candidates = append(candidates, Seed{Node: name, Address: r.member.Address})
 		}
 	}
-	slices.SortFunc(candidates, func(a, b Seed) int { return cmpNames(a, b) })
+	slices.SortFunc(candidates, func(a, b Seed) int { return compareSeeds(a, b) })
 	if len(candidates) == 0 {
 		return sends
 	}
 	s := candidates[n.rand.IntN(len(candidates))]
-	n.listings--
+	n.listingBudget--
 	return append(sends, n.greeting(s))
 }
 
-func cmpNames(a, b Seed) int {
+func compareSeeds(a, b Seed) int {
 	if a.Node < b.Node {
 		return -1
 	}
@@ -215,7 +215,7 @@
 func (n *Node) listing() []wire.RecordVersion {
 	list := []wire.RecordVersion{versionOf(n.self)}
 	for _, r := range n.records {
-		list = append(list, versionOf(r.m))
+		list = append(list, versionOf(r.member))
 	}
 	return list
 }
