--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -8,141 +8,143 @@
 )
 
 const (
-	// replacedWithin is how long after a run broke off another life of its endpoint
-	// tells that the one before ended under the run. Endpoints that end are back after
-	// some seconds.
-	replacedWithin = 15 * time.Second
-	// noticedWithin is how long a busy node may take to notice that a run broke off. What
-	// broke off longer before its endpoint was found ended did so for another reason.
-	noticedWithin = time.Second
-	// mostWatched bounds the endpoints that are watched, and mostBreaks the breaks of
-	// each; the oldest ones are forgotten.
-	mostWatched = 512
-	mostBreaks  = 64
-	// usualHeartbeat is taken for that of endpoints where the platform does not tell it.
-	usualHeartbeat = 1200 * time.Millisecond
-	// lapseBeats is after how many heartbeats the entry of an ended endpoint has surely
-	// gone: three of silence, and what the list lags.
-	lapseBeats = 6
+	// replacementWindow is how long after a run broke the appearance of another life of its
+	// endpoint shows that the endpoint crashed under the run. Crashed endpoints are back
+	// after some seconds.
+	replacementWindow = 15 * time.Second
+	// noticeDelay is how long a busy node may take to notice that a run broke. Runs that
+	// broke earlier than this before their endpoint was found crashed broke for another
+	// reason.
+	noticeDelay = time.Second
+	// maxWatched bounds the watched endpoints, and maxBreaks the broken runs kept for each.
+	// The oldest ones are evicted.
+	maxWatched = 512
+	maxBreaks  = 64
+	// defaultHeartbeat is the heartbeat interval of endpoints if the platform specifies
+	// none.
+	defaultHeartbeat = 1200 * time.Millisecond
+	// lapseHeartbeats is the number of heartbeats after which the entry of a crashed
+	// endpoint has certainly lapsed: three of silence, and the delay of the list.
+	lapseHeartbeats = 6
 )
 
-// Finding is what became known of the runs that broke off at an endpoint.
+// Finding is a conclusion about the runs that broke at an endpoint.
 type Finding struct {
 	Endpoint catalog.Endpoint
 	Requests []ID
-	// Crashed is true when the endpoint ended under them, and false when it was taken
-	// to have ended and lives on.
+	// Crashed is true if the endpoint crashed under the runs, and false if it was reported
+	// as crashed and is alive.
 	Crashed bool
-	// FromList tells that it was found by the list of endpoints.
+	// FromList is true if the list of endpoints shows the crash.
 	FromList bool
 }
 
-// Detector tells whether endpoints at which runs broke off have ended. An endpoint has ended
-// when nothing listens at its address any more, or when another life of it is listed soon
-// after; it lives on when it is still listed, and takes connections, after its entry would
-// have gone. It is not safe for concurrent use.
+// Detector determines whether endpoints at which runs broke have crashed. An endpoint has
+// crashed if nothing listens at its address any more, or if another life of it is listed
+// soon after. It is alive if it is still listed, and accepts connections, after its entry
+// would have lapsed. Detector is not safe for concurrent use.
 type Detector struct {
 	lapse   time.Duration
 	watched map[string]*watched
 }
 
-// watched is an endpoint at which runs broke off.
+// watched is an endpoint at which runs broke.
 type watched struct {
 	endpoint catalog.Endpoint
-	breaks   []broken
-	// ended is true when its end was found, asks when it is being asked whether it
-	// lives on.
-	ended bool
-	asks  bool
+	breaks   []brokenRun
+	// crashed is true if the endpoint was found to have crashed, probing while it is being
+	// probed.
+	crashed bool
+	probing bool
 }
 
-// broken is a run that broke off.
-type broken struct {
+// brokenRun is a run that broke.
+type brokenRun struct {
 	at      time.Time
 	request ID
 	length  RunLength
 }
 
-// RunLength tells how long a run had lasted when it broke off.
+// RunLength classifies the time that a run had lasted when it broke.
 type RunLength int
 
 const (
-	// LongRun runs had begun at the endpoint.
+	// LongRun is a run that had begun at the endpoint.
 	LongRun RunLength = iota
-	// ShortRun runs may have been sent when the endpoint had ended already, to something
-	// before it that takes its connections and breaks them off.
+	// ShortRun is a run that may have been sent after the endpoint had crashed, to a proxy
+	// in front of it that accepts its connections and closes them.
 	ShortRun
 )
 
-// briefRun is how long a run lasts at most that may not have begun: some times what a
-// connection takes to be made and broken off on a busy instance (1 to 5 ms).
-const briefRun = 25 * time.Millisecond
+// maxShortRun bounds the duration of a run that may not have begun: several times what it
+// takes to open a connection and have it closed on a busy instance (1 to 5 ms).
+const maxShortRun = 25 * time.Millisecond
 
-// RunLengthOf returns the length of a run that took some time.
+// RunLengthOf returns the length class of a run.
 func RunLengthOf(took time.Duration) RunLength {
-	if took < briefRun {
+	if took < maxShortRun {
 		return ShortRun
 	}
 	return LongRun
 }
 
-// NewDetector returns a watch over endpoints that confirm their entries at an interval, or at
-// the usual one if that is 0.
+// NewDetector returns a detector for endpoints that confirm their entries at the given
+// heartbeat interval, or at the default one if it is 0.
 func NewDetector(heartbeat time.Duration) *Detector {
 	if heartbeat <= 0 {
-		heartbeat = usualHeartbeat
+		heartbeat = defaultHeartbeat
 	}
-	return &Detector{lapse: lapseBeats * heartbeat, watched: make(map[string]*watched)}
+	return &Detector{lapse: lapseHeartbeats * heartbeat, watched: make(map[string]*watched)}
 }
 
-// Active reports whether anything is to be found out.
-func (w *Detector) Active() bool { return len(w.watched) > 0 }
+// Active reports whether any endpoint is being watched.
+func (d *Detector) Active() bool { return len(d.watched) > 0 }
 
-// RecordBrokenRuns takes in that runs broke off at an endpoint that is not leaving. It reports
-// whether the endpoint is to be asked now whether it takes connections; the answer goes
-// to Probed.
-func (w *Detector) RecordBrokenRuns(now time.Time, e catalog.Endpoint, l RunLength, requests ...ID) bool {
-	known, ok := w.watched[e.ID]
+// RecordBrokenRuns records that runs broke at an endpoint that is not draining. It reports
+// whether the endpoint's connections must be probed now; the result goes to RecordProbe.
+func (d *Detector) RecordBrokenRuns(now time.Time, e catalog.Endpoint, l RunLength, requests ...ID) bool {
+	known, ok := d.watched[e.ID]
 	if !ok {
-		w.makeRoom()
+		d.evictOldest()
 		known = &watched{endpoint: e}
-		w.watched[e.ID] = known
+		d.watched[e.ID] = known
 	}
 	for _, id := range requests {
-		known.breaks = append(known.breaks, broken{at: now, request: id, length: l})
+		known.breaks = append(known.breaks, brokenRun{at: now, request: id, length: l})
 	}
-	if over := len(known.breaks) - mostBreaks; over > 0 {
+	if over := len(known.breaks) - maxBreaks; over > 0 {
 		known.breaks = slices.Clone(known.breaks[over:])
 	}
-	if known.asks {
+	if known.probing {
 		return false
 	}
-	known.asks = true
+	known.probing = true
 	return true
 }
 
-// makeRoom forgets the endpoint whose last break is longest ago, if there are too many.
-func (w *Detector) makeRoom() {
-	if len(w.watched) < mostWatched {
+// evictOldest drops the endpoint whose last broken run is the oldest, if the limit is
+// reached.
+func (d *Detector) evictOldest() {
+	if len(d.watched) < maxWatched {
 		return
 	}
 	oldest := ""
-	for id, known := range w.watched {
-		if oldest == "" || known.last().Before(w.watched[oldest].last()) {
+	for id, known := range d.watched {
+		if oldest == "" || known.lastBreak().Before(d.watched[oldest].lastBreak()) {
 			oldest = id
 		}
 	}
-	delete(w.watched, oldest)
+	delete(d.watched, oldest)
 }
 
-func (k *watched) last() time.Time { return k.breaks[len(k.breaks)-1].at }
+func (k *watched) lastBreak() time.Time { return k.breaks[len(k.breaks)-1].at }
 
-// finding is what was found of the runs that broke off after a moment.
-func (k *watched) finding(after time.Time, ended bool) Finding {
-	return Finding{Endpoint: k.endpoint, Requests: k.requests(after), Crashed: ended}
+// finding returns a conclusion about the runs that broke after the given time.
+func (k *watched) finding(after time.Time, crashed bool) Finding {
+	return Finding{Endpoint: k.endpoint, Requests: k.requests(after), Crashed: crashed}
 }
 
-// requests lists the requests whose runs broke off after a moment, each once.
+// requests returns the distinct requests whose runs broke after the given time.
 func (k *watched) requests(after time.Time) []ID {
 	var list []ID
 	for _, b := range k.breaks {
@@ -153,101 +155,102 @@
 	return list
 }
 
-// RecordProbe takes in whether an endpoint refused a connection. One that took it, or did not
-// answer at all, may still have ended: something before it may take connections in its
-// place.
-func (w *Detector) RecordProbe(now time.Time, id string, refuses bool) []Finding {
-	known, ok := w.watched[id]
+// RecordProbe records whether an endpoint refused a connection. An endpoint that accepted
+// it, or did not answer at all, may still have crashed, since a proxy may accept
+// connections in its place.
+func (d *Detector) RecordProbe(now time.Time, id string, refuses bool) []Finding {
+	known, ok := d.watched[id]
 	if !ok {
 		return nil
 	}
-	known.asks = false
-	again := known.ended && now.Sub(known.last()) >= w.lapse
+	known.probing = false
+	again := known.crashed && now.Sub(known.lastBreak()) >= d.lapse
 	switch {
 	case again && refuses:
-		// Its entry is kept although it has ended.
-		delete(w.watched, id)
+		// Its entry is retained although it has crashed.
+		delete(d.watched, id)
 	case again:
-		delete(w.watched, id)
+		delete(d.watched, id)
 		return []Finding{known.finding(time.Time{}, false)}
 	case refuses:
-		known.ended = true
-		return []Finding{known.finding(now.Add(-noticedWithin), true)}
+		known.crashed = true
+		return []Finding{known.finding(now.Add(-noticeDelay), true)}
 	}
 	return nil
 }
 
-// UpdateEndpoints takes in a list of endpoints that was current at a moment. It returns what was
-// found, and the endpoints that are to be asked whether they take connections.
-func (w *Detector) UpdateEndpoints(now, current time.Time, list []catalog.Endpoint) (found []Finding, ask []catalog.Endpoint) {
-	if len(w.watched) == 0 {
+// UpdateEndpoints applies a list of endpoints that was current at the given time. It
+// returns the conclusions, and the endpoints whose connections must be probed.
+func (d *Detector) UpdateEndpoints(now, current time.Time, list []catalog.Endpoint) (findings []Finding, probe []catalog.Endpoint) {
+	if len(d.watched) == 0 {
 		return nil, nil
 	}
-	l := newLives(list)
-	for id, known := range w.watched {
+	l := newEndpointIndex(list)
+	for id, known := range d.watched {
 		e, listed := l.byID[id]
 		switch {
 		case listed && e.Draining:
-			// It ends as planned.
-			delete(w.watched, id)
+			// The endpoint drains as planned.
+			delete(d.watched, id)
 		case listed:
-			if w.stays(known, current) {
-				ask = append(ask, known.endpoint)
+			if d.stillListed(known, current) {
+				probe = append(probe, known.endpoint)
 			}
-		case known.ended:
-			delete(w.watched, id)
+		case known.crashed:
+			delete(d.watched, id)
 		case l.replaced(known.endpoint):
-			delete(w.watched, id)
-			// By the list alone, runs that may never have begun are no suspects.
-			known.breaks = slices.DeleteFunc(known.breaks, func(b broken) bool { return b.length == ShortRun })
+			delete(d.watched, id)
+			// The list does not show whether short runs had begun, so these are no
+			// suspects.
+			known.breaks = slices.DeleteFunc(known.breaks, func(b brokenRun) bool { return b.length == ShortRun })
 			f := known.finding(time.Time{}, true)
 			f.FromList = true
-			found = append(found, f)
-		case now.Sub(known.last()) > replacedWithin:
-			delete(w.watched, id)
+			findings = append(findings, f)
+		case now.Sub(known.lastBreak()) > replacementWindow:
+			delete(d.watched, id)
 		}
 	}
-	return found, ask
+	return findings, probe
 }
 
-// stays takes in that an endpoint is listed in its present life, and reports whether it is
-// to be asked if it lives on. Breaks that are long past did not end it.
-func (w *Detector) stays(known *watched, current time.Time) bool {
-	past := func(b broken) bool { return current.Sub(b.at) >= w.lapse }
-	if known.ended {
-		ask := !known.asks && past(known.breaks[len(known.breaks)-1])
-		known.asks = known.asks || ask
-		return ask
+// stillListed handles an endpoint that is listed in the same life, and reports whether it
+// must be probed. Runs that broke longer ago than the lapse period did not crash it.
+func (d *Detector) stillListed(known *watched, current time.Time) bool {
+	past := func(b brokenRun) bool { return current.Sub(b.at) >= d.lapse }
+	if known.crashed {
+		probe := !known.probing && past(known.breaks[len(known.breaks)-1])
+		known.probing = known.probing || probe
+		return probe
 	}
-	if known.asks {
+	if known.probing {
 		return false
 	}
 	known.breaks = slices.DeleteFunc(known.breaks, past)
 	if len(known.breaks) == 0 {
-		delete(w.watched, known.endpoint.ID)
+		delete(d.watched, known.endpoint.ID)
 	}
 	return false
 }
 
-// lives are the endpoints of a list.
-type lives struct {
-	byID     map[string]catalog.Endpoint
-	byWorker map[string]bool
-	byPlace  map[string]bool
+// endpointIndex indexes the endpoints of a list.
+type endpointIndex struct {
+	byID             map[string]catalog.Endpoint
+	byWorker         map[string]bool
+	byServiceAddress map[string]bool
 }
 
-func newLives(list []catalog.Endpoint) lives {
-	l := lives{byID: make(map[string]catalog.Endpoint, len(list)), byWorker: make(map[string]bool, len(list)), byPlace: make(map[string]bool, len(list))}
+func newEndpointIndex(list []catalog.Endpoint) endpointIndex {
+	l := endpointIndex{byID: make(map[string]catalog.Endpoint, len(list)), byWorker: make(map[string]bool, len(list)), byServiceAddress: make(map[string]bool, len(list))}
 	for _, e := range list {
 		l.byID[e.ID] = e
 		l.byWorker[catalog.WorkerOf(e.ID)] = true
-		l.byPlace[e.Service+" "+e.Address] = true
+		l.byServiceAddress[e.Service+" "+e.Address] = true
 	}
 	return l
 }
 
-// replaced reports whether another life of an endpoint is listed: under the name that the
-// worker has in all its lives, or at its address.
-func (l *lives) replaced(e catalog.Endpoint) bool {
-	return l.byWorker[catalog.WorkerOf(e.ID)] || l.byPlace[e.Service+" "+e.Address]
+// replaced reports whether another life of an endpoint is listed, either under the worker
+// name that all its lives share or at its address.
+func (l *endpointIndex) replaced(e catalog.Endpoint) bool {
+	return l.byWorker[catalog.WorkerOf(e.ID)] || l.byServiceAddress[e.Service+" "+e.Address]
 }
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -9,146 +9,149 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-const beat = time.Second
+const heartbeatInterval = time.Second
 
-// lapsed is a time after which the entry of an ended endpoint has gone.
-const lapsed = lapseBeats * beat
+// lapsePeriod is the time after which the entry of a crashed endpoint has lapsed.
+const lapsePeriod = lapseHeartbeats * heartbeatInterval
 
-func lifeOf(born int64) catalog.Endpoint {
+func endpointLife(born int64) catalog.Endpoint {
 	return catalog.Endpoint{ID: catalog.LifeID("e1", born), Service: "model", Address: "10.0.0.1:80"}
 }
 
-// watching breaks a run of one request off at an endpoint and tells whether its address
-// refuses connections then.
-func watching(refuses bool) (*Detector, []Finding) {
-	w := NewDetector(beat)
-	if !w.RecordBrokenRuns(start, lifeOf(1), LongRun, idOf(1)) {
-		panic("nobody asks the endpoint")
+// newDetectorWithBreak records a broken run of one request, and whether the endpoint's
+// address refuses connections afterwards.
+func newDetectorWithBreak(refuses bool) (*Detector, []Finding) {
+	d := NewDetector(heartbeatInterval)
+	if !d.RecordBrokenRuns(start, endpointLife(1), LongRun, idOf(1)) {
+		panic("the endpoint is not probed")
 	}
-	return w, w.RecordProbe(start.Add(5*time.Millisecond), lifeOf(1).ID, refuses)
+	return d, d.RecordProbe(start.Add(5*time.Millisecond), endpointLife(1).ID, refuses)
 }
 
-// ended tells what was found of request 1.
-func ended(found []Finding) string {
+// findingString describes the findings about request 1.
+func findingString(found []Finding) string {
 	if len(found) != 1 || !slices.Equal(found[0].Requests, []ID{idOf(1)}) {
 		return fmt.Sprint("found ", len(found))
 	}
-	return fmt.Sprintf("ended %v", found[0].Crashed)
+	return fmt.Sprintf("crashed %v", found[0].Crashed)
 }
 
-// TestWatch tells ends of endpoints from what only looks so.
-func TestWatch(t *testing.T) {
-	draining := lifeOf(1)
+// TestDetector checks that crashes of endpoints are distinguished from events that resemble
+// them.
+func TestDetector(t *testing.T) {
+	draining := endpointLife(1)
 	draining.Draining = true
-	elsewhere := lifeOf(2)
+	elsewhere := endpointLife(2)
 	elsewhere.Address = "10.0.0.9:80"
 	successor := catalog.Endpoint{ID: "e7/3", Service: "model", Address: "10.0.0.1:80"}
 	other := catalog.Endpoint{ID: "e7/3", Service: "desk", Address: "10.0.0.1:80"}
 	cases := map[string]struct {
 		refuses bool
-		// list is the list after some time.
+		// list is the list of endpoints at the time after.
 		list  []catalog.Endpoint
 		after time.Duration
-		// probed and listed are what is found by the address and by the list.
+		// probed and listed are the findings by the address and by the list.
 		probed, listed string
 	}{
-		"its address refuses connections":                 {refuses: true, probed: "ended true", listed: "found 0", after: beat},
-		"its connection was reset":                        {list: []catalog.Endpoint{lifeOf(1)}, after: lapsed, probed: "found 0", listed: "found 0"},
-		"another life of it is listed":                    {list: []catalog.Endpoint{lifeOf(2)}, after: 2 * beat, probed: "found 0", listed: "ended true"},
-		"another life of it is listed elsewhere":          {list: []catalog.Endpoint{elsewhere}, after: 2 * beat, probed: "found 0", listed: "ended true"},
-		"a successor has its address":                     {list: []catalog.Endpoint{successor}, after: 2 * beat, probed: "found 0", listed: "ended true"},
-		"an endpoint of another service has its address":  {list: []catalog.Endpoint{other}, after: 2 * beat, probed: "found 0", listed: "found 0"},
-		"its entry has gone, and nothing has its address": {after: 2 * beat, probed: "found 0", listed: "found 0"},
-		"another life of it is listed much later":         {list: []catalog.Endpoint{lifeOf(2)}, after: replacedWithin + 40*time.Second, probed: "found 0", listed: "found 0"},
-		"it leaves": {list: []catalog.Endpoint{draining}, after: beat, probed: "found 0", listed: "found 0"},
+		"address refuses connections":                 {refuses: true, probed: "crashed true", listed: "found 0", after: heartbeatInterval},
+		"connection was reset":                        {list: []catalog.Endpoint{endpointLife(1)}, after: lapsePeriod, probed: "found 0", listed: "found 0"},
+		"another life is listed":                      {list: []catalog.Endpoint{endpointLife(2)}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
+		"another life is listed elsewhere":            {list: []catalog.Endpoint{elsewhere}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
+		"successor has the address":                   {list: []catalog.Endpoint{successor}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
+		"endpoint of another service has the address": {list: []catalog.Endpoint{other}, after: 2 * heartbeatInterval, probed: "found 0", listed: "found 0"},
+		"entry lapsed and the address is unused":      {after: 2 * heartbeatInterval, probed: "found 0", listed: "found 0"},
+		"another life is listed much later":           {list: []catalog.Endpoint{endpointLife(2)}, after: replacementWindow + 40*time.Second, probed: "found 0", listed: "found 0"},
+		"endpoint drains":                             {list: []catalog.Endpoint{draining}, after: heartbeatInterval, probed: "found 0", listed: "found 0"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w, found := watching(c.refuses)
-			if got := ended(found); got != c.probed {
+			d, found := newDetectorWithBreak(c.refuses)
+			if got := findingString(found); got != c.probed {
 				t.Errorf("by its address: %s, want %s", got, c.probed)
 			}
-			if c.after > replacedWithin {
-				// Lists come all the time.
-				w.UpdateEndpoints(start.Add(lapsed), start.Add(lapsed), []catalog.Endpoint{lifeOf(1)})
+			if c.after > replacementWindow {
+				// Lists arrive regularly.
+				d.UpdateEndpoints(start.Add(lapsePeriod), start.Add(lapsePeriod), []catalog.Endpoint{endpointLife(1)})
 			}
 			now := start.Add(c.after)
-			found, ask := w.UpdateEndpoints(now, now, c.list)
-			if got := ended(found); got != c.listed || len(ask) > 0 {
-				t.Errorf("by the list: %s, asks %d, want %s", got, len(ask), c.listed)
+			found, probe := d.UpdateEndpoints(now, now, c.list)
+			if got := findingString(found); got != c.listed || len(probe) > 0 {
+				t.Errorf("by the list: %s, probes %d, want %s", got, len(probe), c.listed)
 			}
 		})
 	}
 }
 
-// TestEndTakenBack refuses connections for a while: the endpoint is still listed after its
-// entry would have gone, and takes connections then, so its end was none.
-func TestEndTakenBack(t *testing.T) {
+// TestCrashRetracted guards against counting an endpoint as crashed that refused
+// connections only for a while: it is still listed after its entry would have lapsed, and
+// accepts connections then.
+func TestCrashRetracted(t *testing.T) {
 	for _, alive := range []bool{true, false} {
-		w, _ := watching(true)
-		list := []catalog.Endpoint{lifeOf(1)}
-		early := start.Add(lapsed / 2)
-		if found, ask := w.UpdateEndpoints(early, early, list); len(found)+len(ask) > 0 {
-			t.Error("the endpoint is asked before its entry would have gone")
+		d, _ := newDetectorWithBreak(true)
+		list := []catalog.Endpoint{endpointLife(1)}
+		early := start.Add(lapsePeriod / 2)
+		if found, probe := d.UpdateEndpoints(early, early, list); len(found)+len(probe) > 0 {
+			t.Error("the endpoint is probed before its entry would have lapsed")
 		}
-		late := start.Add(lapsed)
-		if _, ask := w.UpdateEndpoints(late, early, list); len(ask) > 0 {
-			t.Error("the endpoint is asked by a list that is not current")
+		late := start.Add(lapsePeriod)
+		if _, probe := d.UpdateEndpoints(late, early, list); len(probe) > 0 {
+			t.Error("the endpoint is probed because of a list that is not current")
 		}
-		_, ask := w.UpdateEndpoints(late, late, list)
-		if len(ask) != 1 {
-			t.Fatalf("%d endpoints are asked", len(ask))
+		_, probe := d.UpdateEndpoints(late, late, list)
+		if len(probe) != 1 {
+			t.Fatalf("%d endpoints are probed", len(probe))
 		}
-		if _, again := w.UpdateEndpoints(late, late, list); len(again) > 0 {
-			t.Error("it is asked again before it has answered")
+		if _, again := d.UpdateEndpoints(late, late, list); len(again) > 0 {
+			t.Error("the endpoint is probed again before the first probe has ended")
 		}
-		found := w.RecordProbe(late, ask[0].ID, !alive)
+		found := d.RecordProbe(late, probe[0].ID, !alive)
 		want := "found 0"
 		if alive {
-			want = "ended false"
+			want = "crashed false"
 		}
-		if got := ended(found); got != want || w.Active() {
-			t.Errorf("alive %v: %s, want %s; watching %v", alive, got, want, w.Active())
+		if got := findingString(found); got != want || d.Active() {
+			t.Errorf("alive %v: %s, want %s; watching %v", alive, got, want, d.Active())
 		}
 	}
 }
 
-// TestWatchIsBounded breaks runs off at more endpoints, and more at one, than are watched.
-func TestWatchIsBounded(t *testing.T) {
-	w := NewDetector(beat)
-	for i := range 2 * mostWatched {
+// TestDetectorIsBounded breaks runs at more endpoints, and more runs at one, than are kept.
+func TestDetectorIsBounded(t *testing.T) {
+	d := NewDetector(heartbeatInterval)
+	for i := range 2 * maxWatched {
 		e := catalog.Endpoint{ID: fmt.Sprint(i)}
-		w.RecordBrokenRuns(start.Add(time.Duration(i)*time.Millisecond), e, LongRun, idOf(i))
+		d.RecordBrokenRuns(start.Add(time.Duration(i)*time.Millisecond), e, LongRun, idOf(i))
 	}
-	if len(w.watched) != mostWatched {
-		t.Errorf("%d endpoints are watched", len(w.watched))
+	if len(d.watched) != maxWatched {
+		t.Errorf("%d endpoints are watched", len(d.watched))
 	}
-	e := catalog.Endpoint{ID: fmt.Sprint(2*mostWatched - 1)}
-	for i := range 3 * mostBreaks {
-		w.RecordBrokenRuns(start.Add(time.Minute), e, LongRun, idOf(i))
+	e := catalog.Endpoint{ID: fmt.Sprint(2*maxWatched - 1)}
+	for i := range 3 * maxBreaks {
+		d.RecordBrokenRuns(start.Add(time.Minute), e, LongRun, idOf(i))
 	}
-	if n := len(w.watched[e.ID].breaks); n != mostBreaks {
-		t.Errorf("%d breaks are remembered", n)
+	if n := len(d.watched[e.ID].breaks); n != maxBreaks {
+		t.Errorf("%d broken runs are kept", n)
 	}
 }
 
-// TestOneNodeAloneIsNotBelieved has one node find addresses that refuse its connections,
-// of endpoints that live: no owner agrees, and the request is refused nowhere. An owner
-// that finds the same agrees.
-func TestOneNodeAloneIsNotBelieved(t *testing.T) {
+// TestSingleNodeFindingIsNotConfirmed guards against refusals caused by a network
+// partition. One node finds that the addresses of live endpoints refuse its connections: no
+// owner confirms it, and no node may refuse the request. An owner with the same finding
+// confirms it.
+func TestSingleNodeFindingIsNotConfirmed(t *testing.T) {
 	for _, alive := range []bool{true, false} {
-		one, owner := NewGuard(beat), NewGuard(beat)
-		one.SetSingleNode(false)
+		partitioned, owner := NewGuard(heartbeatInterval), NewGuard(heartbeatInterval)
+		partitioned.SetSingleNode(false)
 		owner.SetSingleNode(false)
 		refused := 0
-		for i := range mostEnds {
+		for i := range maxCrashes {
 			e := catalog.Endpoint{ID: fmt.Sprint(i), Service: "model", Address: fmt.Sprintf("10.0.0.%d:80", i)}
-			one.RecordBrokenRuns(start, e, LongRun, idOf(1))
-			out := one.RecordProbe(start, e.ID, true)
+			partitioned.RecordBrokenRuns(start, e, LongRun, idOf(1))
+			out := partitioned.RecordProbe(start, e.ID, true)
 			refused += len(out.Refused)
-			told := owner.HandleReports(start, out.Reports)
-			for _, asked := range told.Verify {
-				refused += len(owner.RecordProbe(start, asked.ID, !alive).Refused)
+			confirmation := owner.HandleReports(start, out.Reports)
+			for _, probed := range confirmation.Verify {
+				refused += len(owner.RecordProbe(start, probed.ID, !alive).Refused)
 			}
 		}
 		if alive && refused > 0 || !alive && refused != 1 {
--- a/internal/core/poison/guard.go
+++ b/internal/core/poison/guard.go
@@ -9,131 +9,134 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// Report is what one node tells the owners of a request.
+// Report is one node's message about a request to the request's owners.
 type Report struct {
 	Request ID
-	// Crashes are all that it knows under the request.
+	// Crashes are all crashes under the request that the node knows.
 	Crashes []Crash
-	// Served tells that the request was served well, so that no end counts against it.
+	// Served is true if the request was served successfully, so that no crash counts
+	// against it.
 	Served bool
 }
 
-// Outcome is what follows from what a node learned.
+// Outcome holds the actions that follow from an event.
 type Outcome struct {
-	// Probe are endpoints to be asked whether they take connections, since runs of this node
-	// broke off there, and Verify those that other nodes said have ended. The answers go to
-	// Guard.Probed.
+	// Probe lists endpoints whose connections must be probed because runs of this node
+	// broke there, and Verify those that other nodes reported as crashed. The results go to
+	// Guard.RecordProbe.
 	Probe, Verify []catalog.Endpoint
-	// Findings is what became known of broken runs.
+	// Findings are the conclusions about broken runs.
 	Findings []Finding
-	// Reports goes to the owners of each request.
+	// Reports are to be sent to the owners of their requests.
 	Reports []Report
-	// Refused requests are refused from now on, RefusedByPeers ones too, by another node's word;
-	// Pardoned ones are not any more.
+	// Refused lists requests that this node refuses from now on, RefusedByPeers those that
+	// another node refuses, and Pardoned those that are no longer refused.
 	Refused, RefusedByPeers, Pardoned []ID
-	// GossipSoon has all neighbors told what is new soon.
+	// GossipSoon is true if the neighbors should soon be sent the changes.
 	GossipSoon bool
-	// Reply has the node whose word it was told what it does not know.
+	// Reply is true if the sender should be sent the changes that it lacks.
 	Reply bool
 }
 
-// Guard is one node's part in finding and refusing the requests that crash endpoints. It is
-// not safe for concurrent use.
+// Guard is one node's part in detecting and refusing the requests that crash endpoints. It
+// is not safe for concurrent use.
 //
-// An address that refuses one node's connections may be cut off from that node alone. So an
-// end counts when two nodes have found the address to refuse, the one that saw the run
-// break off and an owner of the request that it told; or when the list of endpoints tells
-// it.
+// An address that refuses one node's connections may be unreachable from that node alone. A
+// crash therefore counts if two nodes found the address to refuse connections, the one that
+// saw the run break and an owner of the request that received its report, or if the list of
+// endpoints shows it.
 type Guard struct {
-	watch  *Detector
-	ledger *Ledger
-	// list is the last list of endpoints.
+	detector *Detector
+	ledger   *Ledger
+	// list is the latest list of endpoints.
 	list []catalog.Endpoint
-	// alone tells that there is no other node to agree.
-	alone bool
-	// doubts are the ends that others told and that this node is finding out about, and
-	// checked what it found out.
-	doubts  map[string][]doubt
-	checked *simplelru.LRU[string, check]
-	// served tells when requests were last served well by this node.
+	// singleNode is true if no other node exists to confirm a crash.
+	singleNode bool
+	// unconfirmed holds crashes reported by other nodes that this node is verifying, by
+	// endpoint, and verified the results.
+	unconfirmed map[string][]unconfirmedCrash
+	verified    *simplelru.LRU[string, verification]
+	// served holds when requests were last served successfully by this node.
 	served *simplelru.LRU[ID, time.Time]
 }
 
-// doubt is a reported end that is not agreed yet.
-type doubt struct {
+// unconfirmedCrash is a reported crash that this node has not verified yet.
+type unconfirmedCrash struct {
 	request ID
-	end     Crash
+	crash   Crash
 }
 
-// check is what this node found out about an endpoint that another one said has ended.
-type check struct {
-	at    time.Time
-	ended bool
+// verification is this node's own finding about an endpoint that another node reported as
+// crashed.
+type verification struct {
+	at      time.Time
+	crashed bool
 }
 
-// holds reports whether a check tells the present.
-func (c check) holds(now time.Time) bool {
-	if c.ended {
-		return now.Sub(c.at) < endedFor
+// valid reports whether the result is recent enough to be used.
+func (c verification) valid(now time.Time) bool {
+	if c.crashed {
+		return now.Sub(c.at) < crashedTTL
 	}
-	return now.Sub(c.at) < aliveFor
+	return now.Sub(c.at) < aliveTTL
 }
 
 const (
-	// mostChecked bounds the endpoints of which it is remembered what was found out.
-	mostChecked = 512
-	// mostDoubts bounds the reports that wait for what is found out about one endpoint.
-	mostDoubts = 256
-	// aliveFor is how long an endpoint that took a connection is not asked again, and
-	// endedFor how long one that refused it: it may have been cut off for a while.
-	aliveFor = 500 * time.Millisecond
-	endedFor = 10 * time.Second
-	// mostServed bounds the requests of which it is remembered when they were served.
-	mostServed = 8192
-	// servedFor is how long a request that was served well is no suspect. One that many
-	// clients send runs at nearly every endpoint that ends: of eight systems in which one
-	// request in ten is the same, seven refused it without this, none with it
-	// (TestIncidents, popular).
-	servedFor = 30 * time.Second
+	// maxVerified bounds the number of endpoints whose verification results are kept.
+	maxVerified = 512
+	// maxUnconfirmed bounds the number of reports that wait for one endpoint's
+	// verification.
+	maxUnconfirmed = 256
+	// aliveTTL is how long an endpoint that accepted a connection is not probed again, and
+	// crashedTTL how long one that refused it: it may have been unreachable for a while.
+	aliveTTL   = 500 * time.Millisecond
+	crashedTTL = 10 * time.Second
+	// maxServed bounds the number of requests whose last success is kept.
+	maxServed = 8192
+	// servedTTL is how long a request that was served successfully is not a suspect. A
+	// request that many clients send runs at nearly every endpoint that crashes: of eight
+	// systems in which one request in ten is the same, seven refused it without this rule,
+	// and none with it (TestIncidents, popular).
+	servedTTL = 30 * time.Second
 )
 
-// NewGuard returns a guard that knows nothing yet. Endpoints confirm their entries at the
-// interval of the heartbeat, or the usual one if it is 0.
+// NewGuard returns a guard without state. Endpoints confirm their entries at the given
+// heartbeat interval, or at the default one if it is 0.
 func NewGuard(heartbeat time.Duration) *Guard {
 	return &Guard{
-		watch: NewDetector(heartbeat), ledger: NewLedger(), alone: true,
-		doubts: make(map[string][]doubt), checked: newLRU[string, check](mostChecked), served: newLRU[ID, time.Time](mostServed),
+		detector: NewDetector(heartbeat), ledger: NewLedger(), singleNode: true,
+		unconfirmed: make(map[string][]unconfirmedCrash), verified: newLRU[string, verification](maxVerified), served: newLRU[ID, time.Time](maxServed),
 	}
 }
 
-// newLRU returns a set that forgets what was used longest ago.
+// newLRU returns a map that evicts the least recently used entry.
 func newLRU[K comparable, V any](size int) *simplelru.LRU[K, V] {
 	lru, err := simplelru.NewLRU[K, V](size, nil)
 	if err != nil {
-		// The sizes are constants of this package.
+		// The sizes are positive constants of this package.
 		panic(err)
 	}
 	return lru
 }
 
-// SetSingleNode tells whether there are no other nodes.
-func (g *Guard) SetSingleNode(alone bool) { g.alone = alone }
+// SetSingleNode sets whether this is the only node.
+func (g *Guard) SetSingleNode(single bool) { g.singleNode = single }
 
-// Refused reports whether a request is refused, and for how long still.
+// Refused reports whether a request is refused, and for how much longer.
 func (g *Guard) Refused(now time.Time, id ID) (time.Duration, bool) { return g.ledger.Refused(now, id) }
 
-// Suspected reports whether so many endpoints ended under a request, as far as this node
-// knows, that it is to be kept apart from others.
+// Suspected reports whether so many endpoints crashed under a request, as far as this node
+// knows, that it must run apart from other requests.
 func (g *Guard) Suspected(now time.Time, id ID) bool {
-	return len(g.ledger.Crashes(now, id)) >= endsToPart
+	return len(g.ledger.Crashes(now, id)) >= isolationCrashes
 }
 
-// Sizes returns how many requests are suspects, and how many refusals are known.
+// Sizes returns the numbers of suspect requests and of known refusals.
 func (g *Guard) Sizes() (suspects, refusals int) {
 	return g.ledger.Suspects(), g.ledger.Refusals().Len()
 }
 
-// Crashes lists the endpoints that ended under a request, as far as this node knows.
+// Crashes returns the endpoints that crashed under a request, as far as this node knows.
 func (g *Guard) Crashes(now time.Time, id ID) []string {
 	var list []string
 	for _, e := range g.ledger.Crashes(now, id) {
@@ -142,54 +145,54 @@
 	return list
 }
 
-// RecordBrokenRuns takes in that runs broke off at an endpoint that is not leaving.
+// RecordBrokenRuns records that runs broke at an endpoint that is not draining.
 func (g *Guard) RecordBrokenRuns(now time.Time, e catalog.Endpoint, l RunLength, requests ...ID) Outcome {
-	if !g.watch.RecordBrokenRuns(now, e, l, requests...) {
+	if !g.detector.RecordBrokenRuns(now, e, l, requests...) {
 		return Outcome{}
 	}
 	return Outcome{Probe: []catalog.Endpoint{e}}
 }
 
-// RecordProbe takes in whether an endpoint refused a connection.
+// RecordProbe records whether an endpoint refused a connection.
 func (g *Guard) RecordProbe(now time.Time, endpoint string, refuses bool) Outcome {
-	out := Outcome{Findings: g.watch.RecordProbe(now, endpoint, refuses)}
-	g.checked.Add(endpoint, check{at: now, ended: refuses})
-	waiting := g.doubts[endpoint]
-	delete(g.doubts, endpoint)
+	out := Outcome{Findings: g.detector.RecordProbe(now, endpoint, refuses)}
+	g.verified.Add(endpoint, verification{at: now, crashed: refuses})
+	waiting := g.unconfirmed[endpoint]
+	delete(g.unconfirmed, endpoint)
 	for _, d := range waiting {
 		if refuses {
-			g.end(now, d.request, d.end, true, &out)
+			g.recordCrash(now, d.request, d.crash, true, &out)
 		}
 	}
-	g.count(now, &out)
+	g.recordFindings(now, &out)
 	return out
 }
 
-// UpdateEndpoints takes in a list of endpoints that was current at a moment.
+// UpdateEndpoints applies a list of endpoints that was current at the given time.
 func (g *Guard) UpdateEndpoints(now, current time.Time, list []catalog.Endpoint) Outcome {
 	var out Outcome
 	g.list = list
-	out.Findings, out.Probe = g.watch.UpdateEndpoints(now, current, list)
-	g.count(now, &out)
+	out.Findings, out.Probe = g.detector.UpdateEndpoints(now, current, list)
+	g.recordFindings(now, &out)
 	return out
 }
 
-// count counts what was found here, and has the owners told of it and of all that is known
-// here: one that came to own a request lately learns the earlier ends too.
-func (g *Guard) count(now time.Time, out *Outcome) {
+// recordFindings records this node's findings, and adds reports to the owners with all
+// crashes known here, so that a new owner of a request learns of the earlier ones too.
+func (g *Guard) recordFindings(now time.Time, out *Outcome) {
 	for _, f := range out.Findings {
-		f.Requests = slices.DeleteFunc(slices.Clone(f.Requests), func(id ID) bool { return g.servedLately(now, id) })
-		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, Among: g.among(f.Endpoint.Service), Sure: f.FromList, Alive: !f.Crashed}
+		f.Requests = slices.DeleteFunc(slices.Clone(f.Requests), func(id ID) bool { return g.recentlyServed(now, id) })
+		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, Among: g.serviceSize(f.Endpoint.Service), Sure: f.FromList, Alive: !f.Crashed}
 		for _, id := range f.Requests {
 			r := Report{Request: id, Crashes: append(g.ledger.Crashes(now, id), e)}
-			g.end(now, id, e, e.Sure || g.alone, out)
+			g.recordCrash(now, id, e, e.Sure || g.singleNode, out)
 			out.Reports = append(out.Reports, r)
 		}
 	}
 }
 
-// end takes in an end under a request.
-func (g *Guard) end(now time.Time, id ID, e Crash, agreed bool, out *Outcome) {
+// recordCrash records a crash, or the retraction of one, under a request.
+func (g *Guard) recordCrash(now time.Time, id ID, e Crash, confirmed bool, out *Outcome) {
 	if e.Alive {
 		if g.ledger.RetractCrash(now, id, e.Endpoint) {
 			out.Pardoned = append(out.Pardoned, id)
@@ -197,14 +200,14 @@
 		}
 		return
 	}
-	if !g.servedLately(now, id) && g.ledger.AddCrash(now, id, e, agreed) {
+	if !g.recentlyServed(now, id) && g.ledger.AddCrash(now, id, e, confirmed) {
 		out.Refused = append(out.Refused, id)
 		out.GossipSoon = true
 	}
 }
 
-// among counts the endpoints of a service.
-func (g *Guard) among(service string) int {
+// serviceSize returns the number of endpoints of a service.
+func (g *Guard) serviceSize(service string) int {
 	n := 0
 	for _, e := range g.list {
 		if e.Service == service {
@@ -214,13 +217,14 @@
 	return n
 }
 
-// servedLately reports whether a request was served well by this node not long ago.
-func (g *Guard) servedLately(now time.Time, id ID) bool {
+// recentlyServed reports whether this node recently served a request successfully.
+func (g *Guard) recentlyServed(now time.Time, id ID) bool {
 	at, ok := g.served.Peek(id)
-	return ok && now.Sub(at) < servedFor
+	return ok && now.Sub(at) < servedTTL
 }
 
-// RecordSuccess takes in that a request was served well: it crashes nothing.
+// RecordSuccess records that a request was served successfully and therefore crashes
+// nothing.
 func (g *Guard) RecordSuccess(now time.Time, id ID) Outcome {
 	var out Outcome
 	g.served.Add(id, now)
@@ -232,7 +236,7 @@
 	return out
 }
 
-// pardon forgets the ends under a request that was served well.
+// pardon drops the crashes under a request that was served successfully.
 func (g *Guard) pardon(now time.Time, id ID, out *Outcome) {
 	if g.ledger.RecordSuccess(now, id) {
 		out.Pardoned = append(out.Pardoned, id)
@@ -240,12 +244,12 @@
 	}
 }
 
-// HandleReports takes in what other nodes tell the owners of requests.
+// HandleReports applies reports that other nodes sent to the owners of requests.
 func (g *Guard) HandleReports(now time.Time, reports []Report) Outcome {
 	var out Outcome
 	for _, r := range reports {
 		for _, e := range r.Crashes {
-			g.doubt(now, r.Request, e, &out)
+			g.verify(now, r.Request, e, &out)
 		}
 		if r.Served {
 			g.pardon(now, r.Request, &out)
@@ -254,40 +258,40 @@
 	return out
 }
 
-// doubt finds out whether a reported end is one for this node too.
-func (g *Guard) doubt(now time.Time, id ID, e Crash, out *Outcome) {
+// verify accepts a reported crash, or starts to verify it.
+func (g *Guard) verify(now time.Time, id ID, e Crash, out *Outcome) {
 	if e.Sure || e.Alive {
-		g.end(now, id, e, true, out)
+		g.recordCrash(now, id, e, true, out)
 		return
 	}
-	if c, ok := g.checked.Get(e.Endpoint); ok && c.holds(now) {
-		if c.ended {
-			g.end(now, id, e, true, out)
+	if c, ok := g.verified.Get(e.Endpoint); ok && c.valid(now) {
+		if c.crashed {
+			g.recordCrash(now, id, e, true, out)
 		}
 		return
 	}
-	waiting := g.doubts[e.Endpoint]
+	waiting := g.unconfirmed[e.Endpoint]
 	if len(waiting) == 0 {
 		out.Verify = append(out.Verify, catalog.Endpoint{ID: e.Endpoint, Address: e.Address})
 	}
-	if len(waiting) < mostDoubts {
-		g.doubts[e.Endpoint] = append(waiting, doubt{request: id, end: e})
+	if len(waiting) < maxUnconfirmed {
+		g.unconfirmed[e.Endpoint] = append(waiting, unconfirmedCrash{request: id, crash: e})
 	}
 }
 
-// HandleGossip takes in what another node tells with a heartbeat: the sum over the refusals that
-// it knows, and those that may be new here.
-func (g *Guard) HandleGossip(now time.Time, from string, sum uint64, told []Refusal) Outcome {
+// HandleGossip applies the refusal data of another node's heartbeat: the checksum over the
+// refusals that it knows, and those that may be new here.
+func (g *Guard) HandleGossip(now time.Time, from string, sum uint64, received []Refusal) Outcome {
 	refusals := g.ledger.Refusals()
-	out := Outcome{RefusedByPeers: refusals.Merge(now, told), GossipSoon: len(told) > 0}
-	out.RefusedByPeers = slices.DeleteFunc(out.RefusedByPeers, func(id ID) bool { return g.objects(now, id, &out) })
+	out := Outcome{RefusedByPeers: refusals.Merge(now, received), GossipSoon: len(received) > 0}
+	out.RefusedByPeers = slices.DeleteFunc(out.RefusedByPeers, func(id ID) bool { return g.contradicts(now, id, &out) })
 	out.Reply = refusals.NeedsUpdate(now, from, sum)
 	return out
 }
 
-// objects pardons a request that another node refuses and that this one served well since
-// the first end that counts against it.
-func (g *Guard) objects(now time.Time, id ID, out *Outcome) bool {
+// contradicts pardons a request that another node refuses, if this node has served it
+// successfully since the first crash that counts against it.
+func (g *Guard) contradicts(now time.Time, id ID, out *Outcome) bool {
 	at, ok := g.served.Peek(id)
 	if !ok || !at.After(g.ledger.Refusals().FirstCrash(id)) {
 		return false
@@ -297,13 +301,13 @@
 	return true
 }
 
-// NextUpdates returns what a node is told with a heartbeat: the sum over the refusals known here,
-// and most of those that it was not told yet.
-func (g *Guard) NextUpdates(now time.Time, to string, most int) (sum uint64, news []Refusal) {
+// NextUpdates returns the refusal data of a heartbeat to a node: the checksum over the
+// refusals known here, and up to most refusals that were not sent to it yet.
+func (g *Guard) NextUpdates(now time.Time, to string, most int) (sum uint64, updates []Refusal) {
 	refusals := g.ledger.Refusals()
 	return refusals.Checksum(now), refusals.NextUpdates(now, to, most)
 }
 
-// ForgetPeers drops what the nodes were told that are gone: one that comes back is told all
-// anew.
+// ForgetPeers drops the state of nodes that are gone. A node that returns is sent
+// everything again.
 func (g *Guard) ForgetPeers(gone func(node string) bool) { g.ledger.Refusals().ForgetPeers(gone) }
--- a/internal/core/poison/identity.go
+++ b/internal/core/poison/identity.go
@@ -7,31 +7,31 @@
 	"fmt"
 )
 
-// idSize is the length of an ID in bytes. 128 bits of SHA-256 are enough that no client
-// finds a request with the ID of another's.
+// idSize is the length of an ID in bytes. With 128 bits of SHA-256 no client can construct
+// a request with the ID of another one's.
 const idSize = 16
 
-// shownBytes of an ID are written in log lines.
-const shownBytes = 6
+// loggedBytes is the number of bytes of an ID in log lines.
+const loggedBytes = 6
 
-// ID stands for the content of a request: tries of the same request have the same ID.
-// It decides whose requests are refused, so it is a hash that clients can't steer, and
-// the caller is part of it.
+// ID identifies a request by its content: retries of a request have the same ID. Since it
+// decides whose requests are refused, it is a hash that clients cannot steer, and it covers
+// the caller.
 type ID [idSize]byte
 
-// Content is what makes two tries the same request.
+// Content holds the parts that are equal in all retries of a request.
 type Content struct {
-	// Caller is the client account, or the key of a caller without one.
+	// Caller is the client account, or the API key of a caller without one.
 	Caller string
 	Method string
 	Host   string
-	// Target is the path and the query as sent.
+	// Target is the path and query as sent.
 	Target string
 	Body   []byte
 }
 
-// Identify returns the ID of a content. A request of 800 bytes takes 0.9 µs, one of 4 MB
-// 3.3 ms (BenchmarkIdentify).
+// Identify returns the ID of a content. It takes 0.9 µs for a request of 800 bytes and 3.3
+// ms for one of 4 MB (BenchmarkIdentify).
 func Identify(c Content) ID {
 	h := sha256.New()
 	for _, part := range []string{c.Caller, c.Method, c.Host, c.Target} {
@@ -46,21 +46,21 @@
 	return id
 }
 
-// ParseID returns the ID of some bytes, as a node tells it another one.
+// ParseID returns the ID that another node sent as bytes.
 func ParseID(b []byte) (ID, error) {
 	var id ID
 	if len(b) != idSize {
-		return id, fmt.Errorf("a request's identity has %d bytes, not %d", len(b), idSize)
+		return id, fmt.Errorf("request identity has %d bytes, want %d", len(b), idSize)
 	}
 	copy(id[:], b)
 	return id, nil
 }
 
-// IsZero reports whether the ID stands for no request.
+// IsZero reports whether the ID is unset.
 func (id ID) IsZero() bool { return id == ID{} }
 
-// Key is the ID as a key for rendezvous hashing.
+// Key returns the ID as a key for rendezvous hashing.
 func (id ID) Key() uint64 { return binary.LittleEndian.Uint64(id[:8]) }
 
-// String returns the beginning of the ID, as it stands in log lines.
-func (id ID) String() string { return hex.EncodeToString(id[:shownBytes]) }
+// String returns the prefix of the ID that is written to log lines.
+func (id ID) String() string { return hex.EncodeToString(id[:loggedBytes]) }
--- a/internal/core/poison/identity_test.go
+++ b/internal/core/poison/identity_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestIdentify checks that each part of a content makes another request of it, also where
-// a part's end is another one's beginning.
+// TestIdentify checks that each part of a content changes the identity. It guards against
+// collisions where the end of one part is the beginning of the next.
 func TestIdentify(t *testing.T) {
 	contents := []Content{
 		{},
@@ -28,20 +28,21 @@
 			t.Errorf("content %d has the identities %v and %v", i, id, Identify(c))
 		}
 		if other, ok := seen[id]; ok {
-			t.Errorf("contents %d and %d are taken for the same request", i, other)
+			t.Errorf("contents %d and %d have the same identity", i, other)
 		}
 		seen[id] = i
 	}
 }
 
-// TestIDOf checks that an identity survives being told, and that others are refused.
-func TestIDOf(t *testing.T) {
+// TestParseID checks that an identity survives encoding, and that other lengths are
+// rejected.
+func TestParseID(t *testing.T) {
 	id := Identify(Content{Caller: "clinics"})
 	if got, err := ParseID(id[:]); err != nil || got != id {
 		t.Errorf("got %v, %v", got, err)
 	}
 	if _, err := ParseID(id[:5]); err == nil {
-		t.Error("five bytes were taken for an identity")
+		t.Error("five bytes were accepted as an identity")
 	}
 }
 
--- a/internal/core/poison/incidents_test.go
+++ b/internal/core/poison/incidents_test.go
@@ -11,10 +11,10 @@
 	"gradetiller.example/internal/scripted"
 )
 
-// TestIncidents plays the scripts under testdata/incidents: systems of nodes in simulated
-// time, whose endpoints deadly requests crash while other things go wrong. Both sides are
-// held: how often a deadly request is sent by nodes in touch later than the contact time
-// after it has ended its third endpoint, and that no other request is ever refused.
+// TestIncidents runs the scripts under testdata/incidents: systems of nodes in simulated
+// time whose endpoints are crashed by poison requests while other faults happen. It checks
+// both that nodes in contact do not send a poison request more often than allowed once the
+// contact time has passed after its third crash, and that no other request is refused.
 func TestIncidents(t *testing.T) {
 	scripts, err := filepath.Glob(filepath.Join("testdata", "incidents", "*.txt"))
 	if err != nil || len(scripts) == 0 {
@@ -25,26 +25,27 @@
 			t.Parallel()
 			s := readScript(t, path)
 			for seed := range s.number("seeds") {
-				w := newWorld(s, uint64(seed))
-				if found := w.play(); len(found) > 0 {
+				w := newSimulation(s, uint64(seed))
+				if found := w.run(); len(found) > 0 {
 					t.Errorf("seed %d: %d faults, the first:\n\t%s", seed, len(found), strings.Join(found[:min(len(found), 4)], "\n\t"))
 				}
 				for i, p := range w.poisons {
-					t.Logf("seed %d: poison %d sent %d times, ended %d endpoints, %d late, refused %v after its third end, by all nodes %v later; %d others served, %d runs broken",
-						seed, i, p.sent, p.ends, p.late, p.refused.Sub(p.third), p.all.Sub(p.refused), w.served, w.broken)
+					t.Logf("seed %d: poison %d sent %d times, crashed %d endpoints, %d sent late, refused %v after its third crash, by all nodes %v later; %d others served, %d runs broken",
+						seed, i, p.sent, p.crashes, p.late, p.refused.Sub(p.thirdCrash), p.refusedByAll.Sub(p.refused), w.served, w.brokenRuns)
 				}
 			}
 		})
 	}
 }
 
-// script is one file: its settings and its steps.
+// script holds one file: its settings and its steps.
 type script struct {
 	settings map[string]string
 	steps    []scriptStep
 }
 
-// scriptStep is one line that begins with a time: what strikes which share, for how long.
+// scriptStep is a line that begins with a time: a fault, the share that it affects and its
+// duration.
 type scriptStep struct {
 	at    time.Duration
 	verb  string
@@ -54,7 +55,7 @@
 
 func (s scriptStep) count(of int) int { return min(of, max(1, int(s.share*float64(of)+0.5))) }
 
-// defaults of the settings.
+// defaults holds the default settings.
 var defaults = map[string]string{
 	"seeds": "4", "nodes": "6", "endpoints": "18", "poisons": "2", "first": "6s", "again": "500ms", "back": "4s",
 	"requests": "70", "tries": "4", "contact": "3s", "late": "0", "length": "40s", "lost": "0", "proxies": "0", "wronged": "0", "popular": "0",
@@ -85,12 +86,13 @@
 func readScript(t *testing.T, path string) script {
 	t.Helper()
 	s := script{settings: make(map[string]string)}
-	scripted.Read(t, path, s.take)
+	scripted.Read(t, path, s.parseLine)
 	return s
 }
 
-// take reads one line: a setting and its value, or a time, a verb, a share and a length.
-func (s *script) take(words []string) error {
+// parseLine parses one line: a setting and its value, or a time, a verb, a share and a
+// duration.
+func (s *script) parseLine(words []string) error {
 	at, err := time.ParseDuration(words[0])
 	if err != nil {
 		if _, known := defaults[words[0]]; !known || len(words) != 2 {
--- a/internal/core/poison/ledger.go
+++ b/internal/core/poison/ledger.go
@@ -11,205 +11,208 @@
 )
 
 const (
-	// fewestEnds is how many endpoints must have ended under a request before it is
-	// refused, when hardly any others end; mostEnds are always enough.
-	fewestEnds = 3
-	mostEnds   = 4
-	// endsToPart is after how many ends a request is kept apart: after one, all that ran
-	// at a crashed endpoint would lose the endpoints that hold their prompts.
-	endsToPart = 2
-	// mostKept bounds the ends that are remembered of a request, agreed or not.
-	mostKept = 2 * mostEnds
-	// byChance is how likely it may be at most that a request was there by chance
-	// whenever an endpoint ended. In simulated systems whose endpoints crash for other
-	// reasons too, 43 of 84,097 other requests were refused when three ends were always
-	// enough, none of 84,092 with this (TestIncidents, others-broken, 30 seeds).
-	byChance = 0.002
-	// before is how long before the first end under a request others count as beside it.
-	before = 5 * time.Second
-	// mostEnded bounds the ends that are remembered to tell how usual they are.
-	mostEnded = 512
-	// endLife is how long an end counts against the requests that ran there.
-	endLife = 10 * time.Minute
-	// mostSuspects bounds the requests of which ends are remembered, 64 for a crash of a
-	// model engine at the most.
-	mostSuspects = 4096
-	// owners is how many nodes count the ends of a request: while three in ten of them
-	// are lost, all of a request's are in one case of 400.
-	owners = 5
+	// minCrashes is the number of endpoints that must have crashed under a request before
+	// it is refused, if hardly any others crash. maxCrashes always suffice.
+	minCrashes = 3
+	maxCrashes = 4
+	// isolationCrashes is the number of crashes after which a request runs apart from
+	// others. With one, all requests that ran at a crashed endpoint would lose the
+	// endpoints that cache their prompts.
+	isolationCrashes = 2
+	// maxKeptCrashes bounds the crashes kept for a request, confirmed or not.
+	maxKeptCrashes = 2 * maxCrashes
+	// maxChance is the largest accepted probability that a request was present at all of
+	// its crashes by chance. In simulated systems whose endpoints also crash for other
+	// reasons, 43 of 84,097 other requests were refused when three crashes always sufficed,
+	// and none of 84,092 with this rule (TestIncidents, others-broken, 30 seeds).
+	maxChance = 0.002
+	// othersWindow is how long before a request's first crash the crashes of other
+	// endpoints are counted.
+	othersWindow = 5 * time.Second
+	// maxRecentCrashes bounds the crashes kept to estimate how frequent crashes are.
+	maxRecentCrashes = 512
+	// crashTTL is how long a crash counts against the requests that ran there.
+	crashTTL = 10 * time.Minute
+	// maxSuspects bounds the requests whose crashes are kept. A crash of a model engine
+	// adds at most 64.
+	maxSuspects = 4096
+	// ownerCount is the number of nodes that count the crashes of a request. While three in
+	// ten nodes are down, all owners of a request are down in one of 400 cases.
+	ownerCount = 5
 )
 
-// Owners names the nodes that count the ends of a request, by rendezvous hashing over the
-// live nodes. Nodes that know the same others name the same owners.
+// Owners returns the nodes that count the crashes of a request, by rendezvous hashing over
+// the live nodes. Nodes that know the same members return the same owners.
 func Owners(id ID, nodes []string) []string {
 	ranked := hash.Rank(id.Key(), nodes)
-	return ranked[:min(len(ranked), owners)]
+	return ranked[:min(len(ranked), ownerCount)]
 }
 
-// Ledger is what one node knows of the requests under which endpoints ended. It is not
+// Ledger holds one node's data about the requests under which endpoints crashed. It is not
 // safe for concurrent use.
 type Ledger struct {
 	suspects *simplelru.LRU[ID, *suspect]
 	refusals *Refusals
-	// ended tells when the latest endpoints ended, under any request.
-	ended *simplelru.LRU[string, time.Time]
+	// recent holds when the latest endpoints crashed, under any request.
+	recent *simplelru.LRU[string, time.Time]
 }
 
-// suspect is a request under which endpoints ended.
+// suspect is a request under which endpoints crashed.
 type suspect struct {
-	ends []counted
+	crashes []countedCrash
 }
 
-// counted is an end under a request.
-type counted struct {
+// countedCrash is a crash under a request.
+type countedCrash struct {
 	Crash
 	at time.Time
-	// agreed ends were found by two nodes, or by the list; the others tell only that this
-	// node can't reach the endpoint.
-	agreed bool
+	// confirmed is true if two nodes or the list of endpoints found the crash. Otherwise it
+	// is known only that this node cannot reach the endpoint.
+	confirmed bool
 }
 
-// Crash is an endpoint that ended while a request ran there, as nodes tell each other.
+// Crash is an endpoint that crashed while a request ran there, as sent between nodes.
 type Crash struct {
 	Endpoint string
 	Address  string
-	// Among is how many endpoints serve the same.
+	// Among is the number of endpoints of the same service.
 	Among int
-	// Sure ends were found by the list of endpoints; the others by an address that refused
-	// a connection.
+	// Sure is true if the list of endpoints shows the crash, and false if it was concluded
+	// from an address that refused a connection.
 	Sure bool
-	// Alive tells that the endpoint was said to have ended, and lives on.
+	// Alive is true if the endpoint was reported as crashed but is alive.
 	Alive bool
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{suspects: newLRU[ID, *suspect](mostSuspects), refusals: NewRefusals(), ended: newLRU[string, time.Time](mostEnded)}
+	return &Ledger{suspects: newLRU[ID, *suspect](maxSuspects), refusals: NewRefusals(), recent: newLRU[string, time.Time](maxRecentCrashes)}
 }
 
 // Refusals returns the refused requests.
 func (l *Ledger) Refusals() *Refusals { return l.refusals }
 
-// Suspects returns how many requests ends are remembered of.
+// Suspects returns the number of requests with recorded crashes.
 func (l *Ledger) Suspects() int { return l.suspects.Len() }
 
-// AddCrash counts an endpoint's end under a request, once for each life of an endpoint, and
-// reports whether the request is refused from now on and was not before. Only ends that
-// are agreed count for that.
-func (l *Ledger) AddCrash(now time.Time, id ID, e Crash, agreed bool) bool {
+// AddCrash records an endpoint's crash under a request, once for each life of an endpoint,
+// and reports whether the request is newly refused. Only confirmed crashes count toward
+// that.
+func (l *Ledger) AddCrash(now time.Time, id ID, e Crash, confirmed bool) bool {
 	s, ok := l.suspects.Get(id)
 	if !ok {
 		s = &suspect{}
 		l.suspects.Add(id, s)
 	}
 	s.expire(now)
-	if !l.ended.Contains(e.Endpoint) {
-		l.ended.Add(e.Endpoint, now)
+	if !l.recent.Contains(e.Endpoint) {
+		l.recent.Add(e.Endpoint, now)
 	}
-	if !s.add(counted{Crash: e, at: now, agreed: agreed}) {
+	if !s.add(countedCrash{Crash: e, at: now, confirmed: confirmed}) {
 		return false
 	}
-	if s.agreed() < l.needed(s, e.Among) && !(agreed && l.refusals.OnProbation(now, id)) {
+	if s.confirmedCount() < l.threshold(s, e.Among) && !(confirmed && l.refusals.OnProbation(now, id)) {
 		return false
 	}
-	return l.refusals.Refuse(now, id, s.ends[0].at)
+	return l.refusals.Refuse(now, id, s.crashes[0].at)
 }
 
-// add adds an end, or notes that it is agreed now. It reports whether that is new.
-func (s *suspect) add(e counted) bool {
-	at := slices.IndexFunc(s.ends, func(o counted) bool { return o.Endpoint == e.Endpoint })
+// add adds a crash or marks it as confirmed, and reports whether that changed anything.
+func (s *suspect) add(e countedCrash) bool {
+	at := slices.IndexFunc(s.crashes, func(o countedCrash) bool { return o.Endpoint == e.Endpoint })
 	if at >= 0 {
-		fresh := e.agreed && !s.ends[at].agreed
-		s.ends[at].agreed = s.ends[at].agreed || e.agreed
+		fresh := e.confirmed && !s.crashes[at].confirmed
+		s.crashes[at].confirmed = s.crashes[at].confirmed || e.confirmed
 		return fresh
 	}
-	s.ends = append(s.ends, e)
-	if over := len(s.ends) - mostKept; over > 0 {
-		s.ends = slices.Clone(s.ends[over:])
+	s.crashes = append(s.crashes, e)
+	if over := len(s.crashes) - maxKeptCrashes; over > 0 {
+		s.crashes = slices.Clone(s.crashes[over:])
 	}
 	return true
 }
 
-// agreed counts the ends that are agreed.
-func (s *suspect) agreed() int {
+// confirmedCount returns the number of confirmed crashes.
+func (s *suspect) confirmedCount() int {
 	n := 0
-	for _, e := range s.ends {
-		if e.agreed {
+	for _, e := range s.crashes {
+		if e.confirmed {
 			n++
 		}
 	}
 	return n
 }
 
-// needed is how many ends a request is refused for. While others end for other reasons, a
-// request that comes back at once may be there again by chance: with each end the more
-// likely, the larger the share of the endpoints that ended meanwhile and not under it.
-func (l *Ledger) needed(s *suspect, among int) int {
-	since := s.ends[0].at.Add(-before)
+// threshold returns the number of crashes at which a request is refused. While endpoints
+// crash for other reasons, a request that is retried at once may be present again by
+// chance. With each crash this is the more likely, the larger the share of the endpoints
+// that crashed meanwhile and not under the request.
+func (l *Ledger) threshold(s *suspect, among int) int {
+	since := s.crashes[0].at.Add(-othersWindow)
 	others := 0
-	for _, endpoint := range l.ended.Keys() {
-		if at, _ := l.ended.Peek(endpoint); at.After(since) && !s.has(endpoint) {
+	for _, endpoint := range l.recent.Keys() {
+		if at, _ := l.recent.Peek(endpoint); at.After(since) && !s.contains(endpoint) {
 			others++
 		}
 	}
 	share := min(float64(others)/float64(max(among, 1)), 1)
-	chance := math.Pow(share, fewestEnds-1)
-	n := fewestEnds
-	for chance > byChance && n < mostEnds {
+	chance := math.Pow(share, minCrashes-1)
+	n := minCrashes
+	for chance > maxChance && n < maxCrashes {
 		chance *= share
 		n++
 	}
 	return n
 }
 
-func (s *suspect) has(endpoint string) bool {
-	return slices.ContainsFunc(s.ends, func(e counted) bool { return e.Endpoint == endpoint })
+func (s *suspect) contains(endpoint string) bool {
+	return slices.ContainsFunc(s.crashes, func(e countedCrash) bool { return e.Endpoint == endpoint })
 }
 
-// expire forgets the ends that are too long ago.
+// expire drops crashes older than crashTTL.
 func (s *suspect) expire(now time.Time) {
-	s.ends = slices.DeleteFunc(s.ends, func(e counted) bool { return now.Sub(e.at) >= endLife })
+	s.crashes = slices.DeleteFunc(s.crashes, func(e countedCrash) bool { return now.Sub(e.at) >= crashTTL })
 }
 
-// RetractCrash forgets an end that was none, and reports whether the request is refused no
-// more that was before. Only a node at which it was refused by that end pardons it: others
-// know fewer of its ends.
+// RetractCrash removes a crash that did not happen, and reports whether the request was
+// refused and is not any more. Only a node at which the request was refused because of that
+// crash pardons it, since other nodes know fewer of its crashes.
 func (l *Ledger) RetractCrash(now time.Time, id ID, endpoint string) bool {
 	s, ok := l.suspects.Peek(id)
 	if !ok {
 		return false
 	}
-	agreed := s.agreed()
-	s.ends = slices.DeleteFunc(s.ends, func(e counted) bool { return e.Endpoint == endpoint })
-	if len(s.ends) == 0 {
+	confirmed := s.confirmedCount()
+	s.crashes = slices.DeleteFunc(s.crashes, func(e countedCrash) bool { return e.Endpoint == endpoint })
+	if len(s.crashes) == 0 {
 		l.suspects.Remove(id)
 	}
-	return agreed >= fewestEnds && s.agreed() < fewestEnds && l.refusals.Pardon(now, id)
+	return confirmed >= minCrashes && s.confirmedCount() < minCrashes && l.refusals.Pardon(now, id)
 }
 
-// RecordSuccess takes in that a request was served well, so that no end counts against it. It
-// reports whether the request is refused no more that was before.
+// RecordSuccess clears a request that was served successfully, so that no crash counts
+// against it. It reports whether the request was refused and is not any more.
 func (l *Ledger) RecordSuccess(now time.Time, id ID) bool {
 	l.suspects.Remove(id)
 	return l.refusals.Pardon(now, id)
 }
 
-// Crashes lists the ends under a request. Those that are agreed are sure.
+// Crashes returns the crashes under a request. Confirmed ones are marked as sure.
 func (l *Ledger) Crashes(now time.Time, id ID) []Crash {
 	s, ok := l.suspects.Peek(id)
 	if !ok {
 		return nil
 	}
 	s.expire(now)
-	list := make([]Crash, len(s.ends))
-	for i, e := range s.ends {
+	list := make([]Crash, len(s.crashes))
+	for i, e := range s.crashes {
 		list[i] = e.Crash
-		list[i].Sure = e.Sure || e.agreed
+		list[i].Sure = e.Sure || e.confirmed
 	}
 	return list
 }
 
-// Refused reports whether a request is refused, and for how long still.
+// Refused reports whether a request is refused, and for how much longer.
 func (l *Ledger) Refused(now time.Time, id ID) (time.Duration, bool) {
 	return l.refusals.Remaining(now, id)
 }
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// firstRefusal is how long a request is refused at first, longestRefusal at most. In
-	// between it is twice as long each time.
-	firstRefusal   = 10 * time.Minute
-	longestRefusal = 4 * time.Hour
-	// mostRefusals bounds the refused requests. Those that end first make room: all nodes
-	// choose the same ones.
-	mostRefusals = 1024
-	// sameMoment is how far the ends of one refusal may lie apart on two nodes, by the
-	// time that the news takes between them.
-	sameMoment = 2 * time.Second
+	// minRefusal is the duration of the first refusal of a request. It doubles each time,
+	// up to maxRefusal.
+	minRefusal = 10 * time.Minute
+	maxRefusal = 4 * time.Hour
+	// maxRefusals bounds the refused requests. Those that end first are evicted, so all
+	// nodes evict the same ones.
+	maxRefusals = 1024
+	// crashTimeTolerance is how far apart the end times of one refusal may lie on two
+	// nodes, because of the delay of gossip.
+	crashTimeTolerance = 2 * time.Second
 )
 
-// Refusal is a refused request as nodes tell each other.
+// Refusal is a refused request as sent between nodes.
 type Refusal struct {
 	Request ID
-	// Version orders what is said of one request.
+	// Version orders the states of one request.
 	Version uint64
-	// Remaining is how long it is refused still. It is negative while the request is on
-	// probation, and for Pardoned requests how long that is remembered.
+	// Remaining is how much longer the request is refused. It is negative while the request
+	// is on probation. For pardoned requests it is how much longer the pardon is kept.
 	Remaining time.Duration
-	// Age is how long ago the first end was that counts against it.
+	// Age is the time since the first crash that counts against the request.
 	Age time.Duration
-	// Count counts how often the request was refused.
+	// Count is how often the request was refused.
 	Count int
-	// Pardoned requests are not refused: they were served, or the ends that counted
-	// against them were none.
+	// Pardoned is true if the request is no longer refused, because it was served or
+	// because the crashes that counted against it did not happen.
 	Pardoned bool
 }
 
-// Refusals are the requests that are refused. They are the same on all nodes, but for what
-// is on its way. Not safe for concurrent use.
+// Refusals is the set of refused requests. It is the same on all nodes except for updates
+// in transit. It is not safe for concurrent use.
 type Refusals struct {
 	byID map[ID]*refusal
 	log  *spread.Log[ID]
 }
 
 type refusal struct {
-	version  uint64
-	until    time.Time
-	since    time.Time
-	times    int
-	pardoned bool
+	version    uint64
+	until      time.Time
+	firstCrash time.Time
+	count      int
+	pardoned   bool
 }
 
 // NewRefusals returns an empty set.
@@ -58,28 +58,28 @@
 	return &Refusals{byID: make(map[ID]*refusal), log: spread.NewLog[ID]()}
 }
 
-// Len returns the number of refused, pardoned and probationary requests.
+// Len returns the number of requests that are refused, pardoned or on probation.
 func (r *Refusals) Len() int { return len(r.byID) }
 
-// refusedFor is how long the n-th refusal lasts.
-func refusedFor(times int) time.Duration {
-	d := firstRefusal
+// refusalPeriod returns the duration of the given refusal of a request, counted from 1.
+func refusalPeriod(times int) time.Duration {
+	d := minRefusal
 	for range times - 1 {
-		d = min(2*d, longestRefusal)
+		d = min(2*d, maxRefusal)
 	}
 	return d
 }
 
-// forgotten is when nothing is known of the request any more: its probation lasts as long
-// as its refusal did.
-func (f *refusal) forgotten() time.Time {
+// expiresAt returns when all state of the request expires. Its probation lasts as long as
+// its refusal did.
+func (f *refusal) expiresAt() time.Time {
 	if f.pardoned {
 		return f.until
 	}
-	return f.until.Add(refusedFor(f.times))
+	return f.until.Add(refusalPeriod(f.count))
 }
 
-// Remaining reports whether a request is refused, and for how long still.
+// Remaining reports whether a request is refused, and for how much longer.
 func (r *Refusals) Remaining(now time.Time, id ID) (time.Duration, bool) {
 	f, ok := r.byID[id]
 	if !ok || f.pardoned || !now.Before(f.until) {
@@ -88,60 +88,60 @@
 	return f.until.Sub(now), true
 }
 
-// Contains reports whether anything is known of a request that is not pardoned.
+// Contains reports whether the set holds a request that is not pardoned.
 func (r *Refusals) Contains(id ID) bool {
 	f, ok := r.byID[id]
 	return ok && !f.pardoned
 }
 
-// OnProbation reports whether a request was refused before and is let in again, so that
-// one more end is enough.
+// OnProbation reports whether a request was refused before and is admitted again, so that
+// one more crash suffices to refuse it.
 func (r *Refusals) OnProbation(now time.Time, id ID) bool {
 	f, ok := r.byID[id]
-	return ok && !f.pardoned && !now.Before(f.until) && now.Before(f.forgotten())
+	return ok && !f.pardoned && !now.Before(f.until) && now.Before(f.expiresAt())
 }
 
-// FirstCrash returns when the first end was that counts against a refused request.
+// FirstCrash returns when the first crash that counts against a refused request happened.
 func (r *Refusals) FirstCrash(id ID) time.Time {
 	if f, ok := r.byID[id]; ok {
-		return f.since
+		return f.firstCrash
 	}
 	return time.Time{}
 }
 
-// Refuse refuses a request for its time, under which a first endpoint ended at a moment. It
-// reports false when it is refused already.
+// Refuse refuses a request whose first crash happened at the given time. It returns false
+// if the request is refused already.
 func (r *Refusals) Refuse(now time.Time, id ID, since time.Time) bool {
 	if _, refused := r.Remaining(now, id); refused {
 		return false
 	}
-	r.forget(now)
-	next := refusal{version: 1, times: 1, since: since}
+	r.expire(now)
+	next := refusal{version: 1, count: 1, firstCrash: since}
 	if f, ok := r.byID[id]; ok {
 		next.version = f.version + 1
 		if !f.pardoned {
-			next.times = f.times + 1
+			next.count = f.count + 1
 		}
 	}
-	next.until = now.Add(refusedFor(next.times))
+	next.until = now.Add(refusalPeriod(next.count))
 	r.put(id, next)
 	return true
 }
 
-// Pardon ends a refusal, and the probation after it. It reports whether there was one.
+// Pardon ends a refusal and the probation after it, and reports whether there was one.
 func (r *Refusals) Pardon(now time.Time, id ID) bool {
 	f, ok := r.byID[id]
 	if !ok || f.pardoned {
 		return false
 	}
-	r.put(id, refusal{version: f.version + 1, until: now.Add(firstRefusal), pardoned: true})
+	r.put(id, refusal{version: f.version + 1, until: now.Add(minRefusal), pardoned: true})
 	return true
 }
 
 func (r *Refusals) put(id ID, f refusal) {
 	r.log.Changed(id)
 	r.byID[id] = &f
-	if len(r.byID) <= mostRefusals {
+	if len(r.byID) <= maxRefusals {
 		return
 	}
 	first := id
@@ -158,23 +158,23 @@
 	r.log.Drop(id)
 }
 
-// forget drops what has ended.
-func (r *Refusals) forget(now time.Time) {
+// expire drops expired requests.
+func (r *Refusals) expire(now time.Time) {
 	for id, f := range r.byID {
-		if !now.Before(f.forgotten()) {
+		if !now.Before(f.expiresAt()) {
 			r.drop(id)
 		}
 	}
 }
 
-// Merge takes in what another node tells, and returns the requests that are refused now and
-// were not before. What has ended meanwhile is left out, so that no two nodes keep it alive
-// between them.
-func (r *Refusals) Merge(now time.Time, told []Refusal) []ID {
+// Merge applies refusals from another node, and returns the requests that are newly
+// refused. Expired ones are ignored, so that two nodes do not keep them alive by sending
+// them to each other.
+func (r *Refusals) Merge(now time.Time, received []Refusal) []ID {
 	var fresh []ID
-	for _, t := range told {
-		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, longestRefusal)), since: now.Add(-t.Age), times: max(t.Count, 1), pardoned: t.Pardoned}
-		if !now.Before(next.forgotten()) {
+	for _, t := range received {
+		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, maxRefusal)), firstCrash: now.Add(-t.Age), count: max(t.Count, 1), pardoned: t.Pardoned}
+		if !now.Before(next.expiresAt()) {
 			continue
 		}
 		if f, ok := r.byID[t.Request]; ok && !next.newer(f) {
@@ -189,8 +189,8 @@
 	return fresh
 }
 
-// newer reports whether a refusal takes the place of another one of the same request. Of
-// two of one version a pardon holds, then the one that lasts longer.
+// newer reports whether a refusal replaces another one of the same request. If both have
+// the same version a pardon wins, and otherwise the one that lasts longer.
 func (f *refusal) newer(old *refusal) bool {
 	switch {
 	case f.version != old.version:
@@ -198,15 +198,16 @@
 	case f.pardoned != old.pardoned:
 		return f.pardoned
 	}
-	return f.until.After(old.until.Add(sameMoment))
+	return f.until.After(old.until.Add(crashTimeTolerance))
 }
 
-// Checksum is the same on nodes that know the same. Nodes compare it with each heartbeat.
+// Checksum returns a checksum that is the same on nodes with the same refusals. Nodes
+// compare it with each heartbeat.
 func (r *Refusals) Checksum(now time.Time) uint64 {
 	if len(r.byID) == 0 {
 		return 0
 	}
-	r.forget(now)
+	r.expire(now)
 	sum := uint64(0)
 	for id, f := range r.byID {
 		part := f.version << 1
@@ -218,22 +219,23 @@
 	return sum
 }
 
-// NextUpdates returns what a peer was not told yet, most entries at a time, the oldest first. It
-// counts as told.
+// NextUpdates returns up to most refusals that were not sent to a peer yet, the oldest
+// first, and marks them as sent.
 func (r *Refusals) NextUpdates(now time.Time, to string, most int) []Refusal {
 	ids := r.log.News(to, most)
 	list := make([]Refusal, len(ids))
 	for i, id := range ids {
 		f := r.byID[id]
-		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.since), Count: f.times, Pardoned: f.pardoned}
+		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.firstCrash), Count: f.count, Pardoned: f.pardoned}
 	}
 	return list
 }
 
-// NeedsUpdate takes in the sum of a peer, and reports whether there is anything to tell it.
+// NeedsUpdate compares the checksum of a peer, and reports whether there is anything to
+// send to it.
 func (r *Refusals) NeedsUpdate(now time.Time, from string, sum uint64) bool {
 	return sum != r.Checksum(now) && r.log.Differs(now, from)
 }
 
-// ForgetPeers drops what is known of peers that are gone.
+// ForgetPeers drops the state of peers that are gone.
 func (r *Refusals) ForgetPeers(gone func(peer string) bool) { r.log.Forget(gone) }
--- a/internal/core/poison/refusals_test.go
+++ b/internal/core/poison/refusals_test.go
@@ -12,48 +12,50 @@
 
 func idOf(n int) ID { return Identify(Content{Body: fmt.Append(nil, n)}) }
 
-// TestRefusalLife follows one request: refused, let in again, refused for twice as long
-// after one more end, and forgotten when nothing happens for as long again.
-func TestRefusalLife(t *testing.T) {
+// TestRefusalLifecycle follows one request: it is refused, admitted again, refused for
+// twice as long after one more crash, and its state expires if nothing happens for as long
+// again.
+func TestRefusalLifecycle(t *testing.T) {
 	l := NewLedger()
 	now := start
 	end := func() bool {
 		now = now.Add(time.Second)
 		return l.AddCrash(now, idOf(1), Crash{Endpoint: now.String(), Among: 18}, true)
 	}
-	for n := 1; n <= fewestEnds; n++ {
-		if refused := end(); refused != (n == fewestEnds) {
-			t.Fatalf("refused by end %d: %v", n, refused)
+	for n := 1; n <= minCrashes; n++ {
+		if refused := end(); refused != (n == minCrashes) {
+			t.Fatalf("refused by crash %d: %v", n, refused)
 		}
 	}
-	for _, lasts := range []time.Duration{firstRefusal, 2 * firstRefusal, 4 * firstRefusal} {
+	for _, lasts := range []time.Duration{minRefusal, 2 * minRefusal, 4 * minRefusal} {
 		if left, refused := l.Refused(now, idOf(1)); !refused || left != lasts {
 			t.Fatalf("refused: %v, for %v, want %v", refused, left, lasts)
 		}
 		now = now.Add(lasts)
 		if _, refused := l.Refused(now, idOf(1)); refused {
-			t.Fatalf("the request is refused after %v", lasts)
+			t.Fatalf("the request is still refused after %v", lasts)
 		}
 		if !end() {
-			t.Fatal("on probation, one more end does not refuse the request")
+			t.Fatal("on probation, one more crash does not refuse the request")
 		}
 	}
 	left, _ := l.Refused(now, idOf(1))
 	now = now.Add(2 * left)
 	if end() {
-		t.Error("a request of which nothing is known any more is refused by one end")
+		t.Error("a request whose state has expired is refused by one crash")
 	}
 	if sum := l.Refusals().Checksum(now); sum != 0 {
-		t.Errorf("the sum of nothing is %d", sum)
+		t.Errorf("the checksum of the empty set is %d", sum)
 	}
 }
 
-// TestServedIsPardoned refuses a request that is served well after all.
-func TestServedIsPardoned(t *testing.T) {
+// TestSuccessPardonsRequest checks that a refused request is pardoned when it is served
+// successfully.
+func TestSuccessPardonsRequest(t *testing.T) {
 	g := NewGuard(0)
-	for i := range fewestEnds {
+	for i := range minCrashes {
 		var out Outcome
-		g.end(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true, &out)
+		g.recordCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true, &out)
 	}
 	if _, refused := g.Refused(start, idOf(1)); !refused {
 		t.Fatal("the request is not refused")
@@ -63,35 +65,36 @@
 		t.Errorf("refused: %v, outcome %+v", refused, out)
 	}
 	if out := g.RecordSuccess(start, idOf(2)); len(out.Reports) > 0 {
-		t.Error("owners are told of a request that nobody suspects")
+		t.Error("owners receive a report about a request that nobody suspects")
 	}
 }
 
-// TestRefusalsAreBounded refuses more requests than are remembered: those that end first
-// make room.
+// TestRefusalsAreBounded refuses more requests than are kept: those that end first must be
+// evicted.
 func TestRefusalsAreBounded(t *testing.T) {
 	r := NewRefusals()
-	for i := range 2 * mostRefusals {
+	for i := range 2 * maxRefusals {
 		r.Refuse(start.Add(time.Duration(i)*time.Millisecond), idOf(i), start)
 	}
-	if r.Len() != mostRefusals {
-		t.Errorf("%d are remembered, want %d", r.Len(), mostRefusals)
+	if r.Len() != maxRefusals {
+		t.Errorf("%d are kept, want %d", r.Len(), maxRefusals)
 	}
-	if _, refused := r.Remaining(start.Add(time.Minute), idOf(2*mostRefusals-1)); !refused {
-		t.Error("the last one is not remembered")
+	if _, refused := r.Remaining(start.Add(time.Minute), idOf(2*maxRefusals-1)); !refused {
+		t.Error("the last one is not kept")
 	}
-	told := 0
+	sent := 0
 	for news := r.NextUpdates(start, "n", 100); len(news) > 0; news = r.NextUpdates(start, "n", 100) {
-		told += len(news)
+		sent += len(news)
 	}
-	if told != mostRefusals {
-		t.Errorf("a node was told %d", told)
+	if sent != maxRefusals {
+		t.Errorf("a node was sent %d", sent)
 	}
 }
 
-// TestRefusalsConverge has nodes refuse and pardon requests, tell each other, lose messages
-// and begin anew: when all have told all, they know the same and have the same sum. Nothing
-// outlives its time, however often it is told.
+// TestRefusalsConverge lets nodes refuse and pardon requests, exchange updates, lose
+// messages and restart. It guards against views that stay different, or that keep each
+// other alive: after full exchanges all nodes must have the same refusals and checksum, and
+// nothing may outlive its time.
 func TestRefusalsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const size = 4
@@ -100,7 +103,7 @@
 			nodes[i] = NewRefusals()
 		}
 		now := start
-		tell := func(from, to int, lost bool) {
+		exchange := func(from, to int, lost bool) {
 			sum, news := nodes[from].Checksum(now), nodes[from].NextUpdates(now, fmt.Sprint(to), 2)
 			if lost {
 				return
@@ -121,7 +124,7 @@
 			case 3:
 				nodes[n] = NewRefusals()
 			default:
-				tell(n, node.Draw(t, "to"), rapid.Bool().Draw(t, "lost"))
+				exchange(n, node.Draw(t, "to"), rapid.Bool().Draw(t, "lost"))
 			}
 		}
 		last := now
@@ -130,14 +133,14 @@
 			for from := range nodes {
 				for to := range nodes {
 					if from != to {
-						tell(from, to, false)
+						exchange(from, to, false)
 					}
 				}
 			}
 		}
 		for i, n := range nodes {
 			if n.Checksum(now) != nodes[0].Checksum(now) {
-				t.Fatalf("node %d has the sum %x, node 0 %x", i, n.Checksum(now), nodes[0].Checksum(now))
+				t.Fatalf("node %d has the checksum %x, node 0 %x", i, n.Checksum(now), nodes[0].Checksum(now))
 			}
 			for r := range 6 {
 				_, here := n.Remaining(now, idOf(r))
@@ -147,35 +150,35 @@
 				}
 			}
 		}
-		for now = last; now.Sub(last) < 3*longestRefusal; now = now.Add(10 * time.Minute) {
+		for now = last; now.Sub(last) < 3*maxRefusal; now = now.Add(10 * time.Minute) {
 			for from := range nodes {
-				tell(from, (from+1)%size, false)
+				exchange(from, (from+1)%size, false)
 			}
 		}
 		for i, n := range nodes {
 			if n.Checksum(now) != 0 {
-				t.Fatalf("node %d remembers something after %v", i, now.Sub(last))
+				t.Fatalf("node %d still has refusals after %v", i, now.Sub(last))
 			}
 		}
 	})
 }
 
-// TestTakeBack takes ends of a refused request back. A node that knows only one of them
-// pardons nothing; the one that refused it does when too few are left.
-func TestTakeBack(t *testing.T) {
+// TestRetractCrash retracts crashes of a refused request. A node that knows only one of
+// them must not pardon it; the node that refused it must once too few are left.
+func TestRetractCrash(t *testing.T) {
 	owner, other := NewLedger(), NewLedger()
-	for i := range mostEnds {
+	for i := range maxCrashes {
 		owner.AddCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true)
 	}
-	other.Refusals().Merge(start, owner.Refusals().NextUpdates(start, "other", mostRefusals))
+	other.Refusals().Merge(start, owner.Refusals().NextUpdates(start, "other", maxRefusals))
 	other.AddCrash(start, idOf(1), Crash{Endpoint: "0", Among: 18}, false)
 	if other.RetractCrash(start, idOf(1), "0") {
-		t.Error("a node that knows one end pardons the request")
+		t.Error("a node that knows one crash pardons the request")
 	}
-	for i := range mostEnds - fewestEnds + 1 {
-		last := i == mostEnds-fewestEnds
+	for i := range maxCrashes - minCrashes + 1 {
+		last := i == maxCrashes-minCrashes
 		if pardoned := owner.RetractCrash(start, idOf(1), fmt.Sprint(i)); pardoned != last {
-			t.Errorf("after %d ends less, pardoned: %v", i+1, pardoned)
+			t.Errorf("after %d retracted crashes, pardoned: %v", i+1, pardoned)
 		}
 	}
 }
--- a/internal/core/poison/sim_endpoints_test.go
+++ b/internal/core/poison/sim_endpoints_test.go
@@ -8,70 +8,71 @@
 	"gradetiller.example/internal/core/poison"
 )
 
-// endpoint is a worker in its present life.
+// endpoint is the present life of a worker.
 type endpoint struct {
-	worker  string
-	address string
-	born    time.Time
-	ended   time.Time // zero while it lives
-	backAt  time.Time
+	worker    string
+	address   string
+	born      time.Time
+	crashedAt time.Time // zero while it is alive
+	backAt    time.Time
 }
 
-// refuses reports whether a node's connection to an address is refused.
-func (w *world) refuses(n *node, e catalog.Endpoint) bool {
+// refuses reports whether an address refuses a node's connection.
+func (w *simulation) refuses(n *node, e catalog.Endpoint) bool {
 	if c, ok := n.cuts[e.Address]; ok && w.now.Before(c.until) {
 		return c.refuses
 	}
 	if w.script.number("proxies") > 0 {
-		// What stands before the endpoints takes all connections.
+		// The proxies in front of the endpoints accept all connections.
 		return false
 	}
-	return slices.ContainsFunc(w.endpoints, func(o *endpoint) bool { return o.address == e.Address && !o.ended.IsZero() })
+	return slices.ContainsFunc(w.endpoints, func(o *endpoint) bool { return o.address == e.Address && !o.crashedAt.IsZero() })
 }
 
 func (e *endpoint) life() catalog.Endpoint {
 	return catalog.Endpoint{ID: catalog.LifeID(e.worker, e.born.UnixMilli()), Service: "model", Address: e.address, Slots: 64}
 }
 
-// list is the store's list: entries go three heartbeats after their endpoints ended.
-func (w *world) list() []catalog.Endpoint {
+// list returns the store's list. Entries lapse three heartbeats after their endpoints
+// crashed.
+func (w *simulation) list() []catalog.Endpoint {
 	var list []catalog.Endpoint
 	for _, e := range w.endpoints {
-		if e.ended.IsZero() || w.now.Sub(e.ended) < 3*heartbeat {
+		if e.crashedAt.IsZero() || w.now.Sub(e.crashedAt) < 3*heartbeat {
 			list = append(list, e.life())
 		}
 	}
 	return list
 }
 
-func (w *world) restartEndpoints() {
+func (w *simulation) restartEndpoints() {
 	for _, e := range w.endpoints {
-		if !e.ended.IsZero() && !w.now.Before(e.backAt) {
-			e.born, e.ended = w.now, time.Time{}
+		if !e.crashedAt.IsZero() && !w.now.Before(e.backAt) {
+			e.born, e.crashedAt = w.now, time.Time{}
 		}
 	}
 }
 
-// crash ends an endpoint. What ran there breaks off.
-func (w *world) crash(e *endpoint) {
-	e.ended = w.now
+// crash crashes an endpoint and breaks its runs.
+func (w *simulation) crash(e *endpoint) {
+	e.crashedAt = w.now
 	e.backAt = w.now.Add(w.script.length("back"))
 	w.breakRuns(func(r *run) bool { return r.endpoint == e })
 }
 
-// breakRuns breaks some runs off.
-func (w *world) breakRuns(which func(*run) bool) {
+// breakRuns breaks the selected runs.
+func (w *simulation) breakRuns(which func(*run) bool) {
 	var kept []*run
 	for _, r := range w.runs {
 		if !which(r) {
 			kept = append(kept, r)
 			continue
 		}
-		w.broken++
-		if w.works(r.node) {
-			w.learn(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.id()))
+		w.brokenRuns++
+		if w.isUp(r.node) {
+			w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.id()))
 		}
-		w.comeBack(r)
+		w.scheduleRetry(r)
 	}
 	w.runs = kept
 }
--- a/internal/core/poison/sim_requests_test.go
+++ b/internal/core/poison/sim_requests_test.go
@@ -10,48 +10,49 @@
 
 // run is a request that runs at an endpoint.
 type run struct {
-	node     *node
-	client   *client
-	deadly   *deadly
-	endpoint *endpoint
-	life     catalog.Endpoint
-	begun    time.Time
-	ends     time.Time
-	lost     bool
+	node       *node
+	client     *client
+	poison     *poisonRequest
+	endpoint   *endpoint
+	life       catalog.Endpoint
+	startedAt  time.Time
+	endsAt     time.Time
+	answerLost bool
 }
 
-// client sends one request, and comes back a few times when it fails.
+// client sends one request, and retries it a few times if it fails.
 type client struct {
 	id    poison.ID
 	tries int
 	next  time.Time
-	// done is true while it runs, and when nothing more comes.
+	// done is true while the request runs, and after the last try.
 	done bool
 }
 
-// deadly is a request that crashes what runs it and comes again for ever.
-type deadly struct {
-	id    poison.ID
-	next  time.Time
-	third time.Time
-	ends  int
-	late  int
-	sent  int
-	// refused is when a node refused it first, all when the last one did.
-	refused, all time.Time
+// poisonRequest is a request that crashes the endpoint that runs it, and is sent again
+// forever.
+type poisonRequest struct {
+	id         poison.ID
+	next       time.Time
+	thirdCrash time.Time
+	crashes    int
+	late       int
+	sent       int
+	// refused is when the first node refused it, refusedByAll when the last one did.
+	refused, refusedByAll time.Time
 }
 
 func identity(body string) poison.ID { return poison.Identify(poison.Content{Body: []byte(body)}) }
 
 func (r *run) id() poison.ID {
-	if r.deadly != nil {
-		return r.deadly.id
+	if r.poison != nil {
+		return r.poison.id
 	}
 	return r.client.id
 }
 
-// comeBack has the client of a failed run try again later.
-func (w *world) comeBack(r *run) {
+// scheduleRetry schedules the next try of a failed run's client.
+func (w *simulation) scheduleRetry(r *run) {
 	if r.client == nil {
 		return
 	}
@@ -60,59 +61,59 @@
 	r.client.next = w.now.Add(time.Duration(100+w.rand.IntN(900)) * time.Millisecond)
 }
 
-// endRuns ends the runs whose time has come, and crashes the endpoints of deadly ones.
-func (w *world) endRuns() {
+// endRuns ends the runs that are due, and crashes the endpoints of poison requests.
+func (w *simulation) endRuns() {
 	var kept []*run
 	var crashed []*endpoint
 	for _, r := range w.runs {
 		switch {
-		case r.deadly != nil && w.now.Sub(r.begun) >= crashesAfter:
+		case r.poison != nil && w.now.Sub(r.startedAt) >= crashDelay:
 			crashed = append(crashed, r.endpoint)
-			w.count(r.deadly)
+			w.countCrash(r.poison)
 			kept = append(kept, r)
-		case r.client == nil || w.now.Before(r.ends):
+		case r.client == nil || w.now.Before(r.endsAt):
 			kept = append(kept, r)
-		case r.lost:
-			// Its answer was lost on the way.
-			if w.works(r.node) {
-				w.learn(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.client.id))
+		case r.answerLost:
+			// The answer was lost.
+			if w.isUp(r.node) {
+				w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.client.id))
 			}
-			w.comeBack(r)
+			w.scheduleRetry(r)
 		default:
 			w.served++
-			if w.works(r.node) {
-				w.learn(r.node, r.node.guard.RecordSuccess(w.now, r.client.id))
+			if w.isUp(r.node) {
+				w.apply(r.node, r.node.guard.RecordSuccess(w.now, r.client.id))
 			}
 		}
 	}
 	w.runs = kept
 	for _, e := range crashed {
-		if e.ended.IsZero() {
+		if e.crashedAt.IsZero() {
 			w.crash(e)
 		}
 	}
 }
 
-func (w *world) count(p *deadly) {
-	p.ends++
-	if p.ends == 3 {
-		p.third = w.now
+func (w *simulation) countCrash(p *poisonRequest) {
+	p.crashes++
+	if p.crashes == 3 {
+		p.thirdCrash = w.now
 	}
 }
 
-// send has clients send what is due.
-func (w *world) send() {
+// send sends the requests that are due.
+func (w *simulation) send() {
 	for _, p := range w.poisons {
 		if w.now.Before(p.next) {
 			continue
 		}
 		p.next = w.now.Add(w.script.length("again"))
-		w.start(w.anyNode(), &run{deadly: p})
+		w.start(w.anyNode(), &run{poison: p})
 	}
 	perStep := float64(w.script.number("requests")) * step.Seconds()
 	for ; perStep > 0; perStep-- {
 		if w.rand.Float64() < perStep {
-			w.next++
+			w.requests++
 			c := &client{id: w.drawRequest(), tries: w.script.number("tries"), next: w.now}
 			w.clients = append(w.clients, c)
 		}
@@ -131,23 +132,23 @@
 	w.clients = kept
 }
 
-// drawRequest returns a request of its own, or now and then the one that many clients send.
-func (w *world) drawRequest() poison.ID {
-	if share := w.script.number("popular"); share > 0 && w.next%share == 0 {
+// drawRequest returns a new request, or now and then the one that many clients send.
+func (w *simulation) drawRequest() poison.ID {
+	if share := w.script.number("popular"); share > 0 && w.requests%share == 0 {
 		return identity("popular")
 	}
-	return identity(fmt.Sprint(w.next))
+	return identity(fmt.Sprint(w.requests))
 }
 
-// start has a node send a request to an endpoint, unless it refuses it.
-func (w *world) start(n *node, r *run) {
+// start sends a request from a node to an endpoint, unless the node refuses it.
+func (w *simulation) start(n *node, r *run) {
 	r.node = n
-	if !w.works(n) || len(n.list) == 0 {
-		w.comeBack(r)
+	if !w.isUp(n) || len(n.list) == 0 {
+		w.scheduleRetry(r)
 		return
 	}
 	if _, refused := n.guard.Refused(w.now, r.id()); refused {
-		w.comeBack(r)
+		w.scheduleRetry(r)
 		return
 	}
 	r.life = n.list[w.rand.IntN(len(n.list))]
@@ -156,22 +157,22 @@
 			r.endpoint = e
 		}
 	}
-	if r.endpoint != nil && !r.endpoint.ended.IsZero() && w.script.number("proxies") > 0 {
-		// What stands before the endpoint takes the connection and breaks it off.
-		w.learn(n, n.guard.RecordBrokenRuns(w.now, r.life, poison.ShortRun, r.id()))
-		w.comeBack(r)
+	if r.endpoint != nil && !r.endpoint.crashedAt.IsZero() && w.script.number("proxies") > 0 {
+		// The proxy in front of the endpoint accepts the connection and closes it.
+		w.apply(n, n.guard.RecordBrokenRuns(w.now, r.life, poison.ShortRun, r.id()))
+		w.scheduleRetry(r)
 		return
 	}
-	if c, ok := n.cuts[r.life.Address]; r.endpoint == nil || !r.endpoint.ended.IsZero() || ok && w.now.Before(c.until) {
-		w.comeBack(r)
+	if c, ok := n.cuts[r.life.Address]; r.endpoint == nil || !r.endpoint.crashedAt.IsZero() || ok && w.now.Before(c.until) {
+		w.scheduleRetry(r)
 		return
 	}
-	r.begun = w.now
-	r.ends = w.now.Add(time.Duration(300+w.rand.IntN(1700)) * time.Millisecond)
-	r.lost = w.rand.Float64() < w.script.share("lost")
-	if p := r.deadly; p != nil {
+	r.startedAt = w.now
+	r.endsAt = w.now.Add(time.Duration(300+w.rand.IntN(1700)) * time.Millisecond)
+	r.answerLost = w.rand.Float64() < w.script.share("lost")
+	if p := r.poison; p != nil {
 		p.sent++
-		if p.ends >= 3 && w.now.Sub(p.third) >= w.script.length("contact") && w.inTouch(n) {
+		if p.crashes >= 3 && w.now.Sub(p.thirdCrash) >= w.script.length("contact") && w.inContact(n) {
 			p.late++
 		}
 	}
--- a/internal/core/poison/sim_test.go
+++ b/internal/core/poison/sim_test.go
@@ -13,38 +13,38 @@
 const (
 	step      = 20 * time.Millisecond
 	heartbeat = 1200 * time.Millisecond
-	// listEvery is how often a node's list of endpoints is renewed.
-	listEvery = 750 * time.Millisecond
-	// crashesAfter is how long a deadly request runs before its endpoint crashes.
-	crashesAfter = 60 * time.Millisecond
-	// mostTold bounds the refusals of one message.
-	mostTold = 128
+	// listInterval is how often a node's list of endpoints is renewed.
+	listInterval = 750 * time.Millisecond
+	// crashDelay is how long a poison request runs before its endpoint crashes.
+	crashDelay = 60 * time.Millisecond
+	// maxRefusalsPerMessage bounds the refusals in one message.
+	maxRefusalsPerMessage = 128
 )
 
-// world is a system of nodes and endpoints in simulated time.
-type world struct {
+// simulation is a system of nodes and endpoints in simulated time.
+type simulation struct {
 	script    script
 	rand      *rand.Rand
 	now       time.Time
-	begun     time.Time
+	startedAt time.Time
 	nodes     []*node
 	byName    map[string]*node
 	endpoints []*endpoint
-	mail      []letter
+	messages  []message
 	runs      []*run
 	clients   []*client
-	poisons   []*deadly
-	// wronged are requests of others that a node refuses.
-	wronged []poison.ID
-	faults  []string
-	served  int
-	broken  int
-	next    int
+	poisons   []*poisonRequest
+	// wronglyRefused holds the refused requests that crash nothing.
+	wronglyRefused []poison.ID
+	faults         []string
+	served         int
+	brokenRuns     int
+	requests       int
 }
 
-func newWorld(s script, seed uint64) *world {
+func newSimulation(s script, seed uint64) *simulation {
 	start := time.UnixMilli(1_700_000_000_000)
-	w := &world{script: s, rand: rand.New(rand.NewPCG(seed, 7)), now: start, begun: start, byName: make(map[string]*node)}
+	w := &simulation{script: s, rand: rand.New(rand.NewPCG(seed, 7)), now: start, startedAt: start, byName: make(map[string]*node)}
 	for i := range s.number("endpoints") {
 		w.endpoints = append(w.endpoints, &endpoint{worker: fmt.Sprintf("e%d", i), address: fmt.Sprintf("10.0.%d.%d:80", i/200, 1+i%200), born: start})
 	}
@@ -52,42 +52,42 @@
 		n := &node{name: fmt.Sprintf("n%d", i)}
 		w.nodes = append(w.nodes, n)
 		w.byName[n.name] = n
-		w.begin(n)
+		w.startNode(n)
 	}
 	for i := range s.number("poisons") {
-		w.poisons = append(w.poisons, &deadly{id: identity(fmt.Sprintf("poison %d", i)), next: start.Add(s.length("first"))})
+		w.poisons = append(w.poisons, &poisonRequest{id: identity(fmt.Sprintf("poison %d", i)), next: start.Add(s.length("first"))})
 	}
 	return w
 }
 
-// play runs the script and returns what broke its bounds.
-func (w *world) play() []string {
-	end := w.begun.Add(w.script.length("length"))
+// run runs the script and returns all violations of its bounds.
+func (w *simulation) run() []string {
+	end := w.startedAt.Add(w.script.length("length"))
 	steps := slices.Clone(w.script.steps)
-	for w.now = w.begun; w.now.Before(end); w.now = w.now.Add(step) {
-		for len(steps) > 0 && w.now.Sub(w.begun) >= steps[0].at {
-			w.do(steps[0])
+	for w.now = w.startedAt; w.now.Before(end); w.now = w.now.Add(step) {
+		for len(steps) > 0 && w.now.Sub(w.startedAt) >= steps[0].at {
+			w.runStep(steps[0])
 			steps = steps[1:]
 		}
 		w.restartEndpoints()
 		w.deliver()
 		for i, n := range w.nodes {
-			if w.works(n) {
+			if w.isUp(n) {
 				w.tick(i, n)
 			}
 		}
 		w.endRuns()
 		w.send()
-		w.watchSpread()
+		w.recordSpread()
 	}
-	w.judge()
+	w.check()
 	return w.faults
 }
 
-// watchSpread notes when the first node and when all nodes refuse a deadly request.
-func (w *world) watchSpread() {
+// recordSpread records when the first node and when all nodes refuse a poison request.
+func (w *simulation) recordSpread() {
 	for _, p := range w.poisons {
-		if p.ends < 3 || !p.all.IsZero() {
+		if p.crashes < 3 || !p.refusedByAll.IsZero() {
 			continue
 		}
 		refusing := 0
@@ -100,40 +100,40 @@
 			p.refused = w.now
 		}
 		if refusing == len(w.nodes) {
-			p.all = w.now
+			p.refusedByAll = w.now
 		}
 	}
 }
 
-func (w *world) fault(format string, values ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%6.2f s  ", w.now.Sub(w.begun).Seconds())+fmt.Sprintf(format, values...))
+func (w *simulation) report(format string, values ...any) {
+	w.faults = append(w.faults, fmt.Sprintf("%6.2f s  ", w.now.Sub(w.startedAt).Seconds())+fmt.Sprintf(format, values...))
 }
 
-func (w *world) judge() {
+func (w *simulation) check() {
 	for i, p := range w.poisons {
-		if p.ends < 3 {
-			w.fault("poison %d ended %d endpoints only: the script shows nothing", i, p.ends)
+		if p.crashes < 3 {
+			w.report("poison %d crashed only %d endpoints, too few for the script to test anything", i, p.crashes)
 		}
 		if p.late > w.script.number("late") {
-			w.fault("poison %d was sent %d times more by nodes in touch, late after its third end; %d ended in all", i, p.late, p.ends)
+			w.report("poison %d was sent %d more times by nodes in contact after its third crash and the contact time; %d endpoints crashed in all", i, p.late, p.crashes)
 		}
 	}
 	if w.served < w.script.number("requests") {
-		w.fault("%d requests of others served: the script shows nothing", w.served)
+		w.report("%d requests of others served, too few for the script to test anything", w.served)
 	}
 }
 
-func (w *world) find(name string) *node { return w.byName[name] }
+func (w *simulation) find(name string) *node { return w.byName[name] }
 
-func (w *world) anyNode() *node { return w.nodes[w.rand.IntN(len(w.nodes))] }
+func (w *simulation) anyNode() *node { return w.nodes[w.rand.IntN(len(w.nodes))] }
 
-// do carries a step of the script out: VERB SHARE LENGTH.
-func (w *world) do(s scriptStep) {
+// runStep runs a step of the script: VERB SHARE LENGTH.
+func (w *simulation) runStep(s scriptStep) {
 	until := w.now.Add(s.lasts)
 	switch s.verb {
 	case "crash":
 		for _, i := range w.rand.Perm(len(w.endpoints))[:s.count(len(w.endpoints))] {
-			if e := w.endpoints[i]; e.ended.IsZero() {
+			if e := w.endpoints[i]; e.crashedAt.IsZero() {
 				w.crash(e)
 			}
 		}
@@ -146,20 +146,20 @@
 	sort.Ints(chosen)
 	for _, i := range chosen {
 		n := w.nodes[i]
-		n.touched = until
+		n.lastFault = until
 		switch s.verb {
 		case "kill":
 			w.dropRuns(n)
-			n.down = until
-			defer w.begin(n)
+			n.downUntil = until
+			defer w.startNode(n)
 		case "freeze":
-			n.frozen = until
+			n.frozenUntil = until
 		case "isolate":
-			n.cutOff = until
+			n.isolatedUntil = until
 		case "filter", "silence":
-			w.harm(n, s.verb == "filter", until)
+			w.cutPaths(n, s.verb == "filter", until)
 		default:
-			w.fault("unknown verb %q", s.verb)
+			w.report("unknown verb %q", s.verb)
 		}
 	}
 }
