--- a/internal/core/discovery/freshness.go
+++ b/internal/core/discovery/freshness.go
@@ -50,15 +50,15 @@
 type DirectReads struct{ list, config time.Time }
 
 // RecordList records that the list was read as of a time.
-func (h *DirectReads) RecordList(at time.Time) { h.list = latest(h.list, at) }
+func (d *DirectReads) RecordList(at time.Time) { d.list = latest(d.list, at) }
 
 // RecordConfig records that the configuration was read as of a time.
-func (h *DirectReads) RecordConfig(at time.Time) { h.config = latest(h.config, at) }
+func (d *DirectReads) RecordConfig(at time.Time) { d.config = latest(d.config, at) }
 
 // Freshness returns the freshness that results from the node's own reads, given its role in
 // the ranking.
-func (h *DirectReads) Freshness(r Ranking, node string) Freshness {
-	f := Freshness{List: h.list, Config: h.config}
+func (d *DirectReads) Freshness(r Ranking, node string) Freshness {
+	f := Freshness{List: d.list, Config: d.config}
 	f.Own = f.AsOf()
 	if r.IsCandidate(node) {
 		f.Candidates = f.Own
--- a/internal/core/discovery/freshness_test.go
+++ b/internal/core/discovery/freshness_test.go
@@ -107,39 +107,39 @@
 	lastRead   time.Duration
 }
 
-func newReaderSim(size int, onlyConfig, standInsToo bool) *readerSim {
+func newReaderSim(size int, onlyConfig, backupsToo bool) *readerSim {
 	names := nodeNames(size)
-	e := &readerSim{
-		ranking: Rank(names, nil), onlyConfig: onlyConfig, backupsToo: standInsToo, names: names, index: make(map[string]int),
+	s := &readerSim{
+		ranking: Rank(names, nil), onlyConfig: onlyConfig, backupsToo: backupsToo, names: names, index: make(map[string]int),
 		own: make([]DirectReads, size), known: make([]Freshness, size), tries: make([]int, size), peerTries: make([]int, size),
 	}
 	for i, name := range names {
-		e.index[name] = i
-		e.known[i] = Freshness{List: testTime, Config: testTime, Primaries: testTime, Candidates: testTime}
+		s.index[name] = i
+		s.known[i] = Freshness{List: testTime, Config: testTime, Primaries: testTime, Candidates: testTime}
 	}
-	return e
+	return s
 }
 
-func (e *readerSim) run(t *testing.T, foundAfter time.Duration) {
+func (s *readerSim) run(t *testing.T, foundAfter time.Duration) {
 	for at := time.Duration(0); at <= readerSimEnd; at += readerSimStep {
 		backups, searching := 0, 0
-		for i := range e.names {
-			switch reads := e.step(i, at); {
-			case reads && !e.ranking.IsCandidate(e.names[i]):
+		for i := range s.names {
+			switch reads := s.step(i, at); {
+			case reads && !s.ranking.IsCandidate(s.names[i]):
 				searching++
-			case reads && !e.ranking.IsPrimary(e.names[i]):
+			case reads && !s.ranking.IsPrimary(s.names[i]):
 				backups++
 			}
 		}
-		if searching > maxSearching || searching > searchWidth && !e.backupsToo {
+		if searching > maxSearching || searching > searchWidth && !s.backupsToo {
 			t.Fatalf("%v after the start %d nodes search the store", at, searching)
 		}
 		allowed := ReadInterval + PollInterval
 		if at >= faultStart && at < faultStart+foundAfter {
 			allowed += foundAfter
 		}
-		if at-e.lastRead > allowed {
-			t.Fatalf("%v after the start nobody has read the configuration for %v", at, at-e.lastRead)
+		if at-s.lastRead > allowed {
+			t.Fatalf("%v after the start nobody has read the configuration for %v", at, at-s.lastRead)
 		}
 		if at >= faultEnd+settleTime && backups+searching > 0 {
 			t.Fatalf("%v after the recovery of the primary readers %d other nodes still read", at-faultEnd, backups+searching)
@@ -148,52 +148,52 @@
 }
 
 // step runs the due actions of one node, and reports whether it reads the store.
-func (e *readerSim) step(i int, at time.Duration) bool {
+func (s *readerSim) step(i int, at time.Duration) bool {
 	now, phase := testTime.Add(at), time.Duration(i)*readerSimStep
-	sincePrimaries := now.Sub(e.known[i].Primaries)
-	name := e.names[i]
-	if (at+phase)%PollInterval == 0 && e.ranking.Overdue(now, e.known[i]) {
-		e.peerTries[i]++
-		e.poll(i, e.names, e.peerTries[i])
+	sincePrimaries := now.Sub(s.known[i].Primaries)
+	name := s.names[i]
+	if (at+phase)%PollInterval == 0 && s.ranking.Overdue(now, s.known[i]) {
+		s.peerTries[i]++
+		s.poll(i, s.names, s.peerTries[i])
 	}
 	switch {
-	case e.ranking.Reads(name, now, e.known[i]):
+	case s.ranking.Reads(name, now, s.known[i]):
 		if (at+phase)%ReadInterval == 0 {
-			e.read(i, at)
-			e.tries[i]++
+			s.read(i, at)
+			s.tries[i]++
 			switch {
-			case e.ranking.IsPrimary(name):
-			case e.ranking.IsCandidate(name):
-				e.poll(i, e.ranking.Readers(0), e.tries[i])
+			case s.ranking.IsPrimary(name):
+			case s.ranking.IsCandidate(name):
+				s.poll(i, s.ranking.Readers(0), s.tries[i])
 			default:
-				e.poll(i, e.ranking.Readers(sincePrimaries), e.tries[i])
+				s.poll(i, s.ranking.Readers(sincePrimaries), s.tries[i])
 			}
 		}
 		return true
 	case (at+phase)%PollInterval == 0:
-		if e.known[i].Stale(now) {
-			e.tries[i]++
+		if s.known[i].Stale(now) {
+			s.tries[i]++
 		}
-		e.poll(i, e.ranking.Readers(sincePrimaries), e.tries[i])
+		s.poll(i, s.ranking.Readers(sincePrimaries), s.tries[i])
 	}
 	return false
 }
 
-func (e *readerSim) read(i int, at time.Duration) {
-	lost := at >= faultStart && at < faultEnd && (e.ranking.IsPrimary(e.names[i]) || e.backupsToo && e.ranking.IsCandidate(e.names[i]))
-	if !lost || e.onlyConfig {
-		e.own[i].RecordList(testTime.Add(at))
+func (s *readerSim) read(i int, at time.Duration) {
+	lost := at >= faultStart && at < faultEnd && (s.ranking.IsPrimary(s.names[i]) || s.backupsToo && s.ranking.IsCandidate(s.names[i]))
+	if !lost || s.onlyConfig {
+		s.own[i].RecordList(testTime.Add(at))
 	}
 	if !lost {
-		e.own[i].RecordConfig(testTime.Add(at))
-		e.lastRead = at
+		s.own[i].RecordConfig(testTime.Add(at))
+		s.lastRead = at
 	}
-	e.known[i] = e.known[i].Merge(e.own[i].Freshness(e.ranking, e.names[i]))
+	s.known[i] = s.known[i].Merge(s.own[i].Freshness(s.ranking, s.names[i]))
 }
 
-func (e *readerSim) poll(i int, readers []string, turn int) {
-	j := e.index[ReaderFor(readers, e.names[i], turn)]
-	received := e.known[j]
+func (s *readerSim) poll(i int, readers []string, turn int) {
+	j := s.index[ReaderFor(readers, s.names[i], turn)]
+	received := s.known[j]
 	received.Own = time.Time{}
-	e.known[i] = e.known[i].Merge(received)
+	s.known[i] = s.known[i].Merge(received)
 }
--- a/internal/core/discovery/lapse.go
+++ b/internal/core/discovery/lapse.go
@@ -36,20 +36,20 @@
 }
 
 // add retains an endpoint that was removed from the list, if its entry may have lapsed.
-func (p *lapsedEntries) add(at time.Time, e catalog.Endpoint) {
-	if at.Before(p.until) {
-		p.endpoints[e.ID] = e
+func (l *lapsedEntries) add(at time.Time, e catalog.Endpoint) {
+	if at.Before(l.until) {
+		l.endpoints[e.ID] = e
 	}
 }
 
 // expire drops the retained endpoints if the list is as of a time after their deadline to
 // register again, and reports whether there were any. The passage of time alone drops none:
 // without a newer list the node cannot know whether they have registered.
-func (p *lapsedEntries) expire(at time.Time) bool {
-	if len(p.endpoints) == 0 || at.Before(p.until) {
+func (l *lapsedEntries) expire(at time.Time) bool {
+	if len(l.endpoints) == 0 || at.Before(l.until) {
 		return false
 	}
-	clear(p.endpoints)
+	clear(l.endpoints)
 	return true
 }
 
--- a/internal/core/discovery/outdated.go
+++ b/internal/core/discovery/outdated.go
@@ -59,27 +59,27 @@
 
 // contains reports whether an endpoint's entry is outdated. When such an entry disappears
 // it has not lapsed, since the endpoint is known to be leaving or to have left.
-func (d *outdatedEntries) contains(id string) bool {
-	_, ok := d.entries[id]
+func (o *outdatedEntries) contains(id string) bool {
+	_, ok := o.entries[id]
 	return ok
 }
 
 // dropRewritten drops the mark of an entry that differs from the copy's.
-func (d *outdatedEntries) dropRewritten(e catalog.Endpoint) {
-	if old, ok := d.entries[e.ID]; ok && old.listed != e.Listed {
-		delete(d.entries, e.ID)
+func (o *outdatedEntries) dropRewritten(e catalog.Endpoint) {
+	if old, ok := o.entries[e.ID]; ok && old.listed != e.Listed {
+		delete(o.entries, e.ID)
 	}
 }
 
 // applyTo returns a list without the endpoints that are known to have left, and with those
 // that are known to be leaving marked as draining.
-func (d *outdatedEntries) applyTo(list []catalog.Endpoint) []catalog.Endpoint {
-	if len(d.entries) == 0 {
+func (o *outdatedEntries) applyTo(list []catalog.Endpoint) []catalog.Endpoint {
+	if len(o.entries) == 0 {
 		return list
 	}
 	kept := list[:0]
 	for _, e := range list {
-		entry, ok := d.entries[e.ID]
+		entry, ok := o.entries[e.ID]
 		if ok && entry.left {
 			continue
 		}
@@ -91,10 +91,10 @@
 
 // expire drops all marks if the list is as of a time after the end of the outdated period,
 // and reports whether there were any.
-func (d *outdatedEntries) expire(at time.Time) bool {
-	if len(d.entries) == 0 || at.Before(d.until) {
+func (o *outdatedEntries) expire(at time.Time) bool {
+	if len(o.entries) == 0 || at.Before(o.until) {
 		return false
 	}
-	clear(d.entries)
+	clear(o.entries)
 	return true
 }
--- a/internal/core/discovery/search.go
+++ b/internal/core/discovery/search.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Search for any node that reaches the store when neither the primary nor the backup
-// readers do.
+// Parameters of the search for any node that reaches the store when neither the primary
+// nor the backup readers do.
 const (
 	// searchAge is the age of the last successful read by a primary or backup reader from
 	// which on other nodes try. Backup readers begin to read up to 1.7 s after the loss of
-	// the primary readers. If they are lost too, a change reaches all of 61 nodes after 2.3
-	// s, against 3.1 s with a searchAge of 2.8 s (simulated time, TestLeaving,
+	// the primary readers. If they are lost too, a change reaches all of 61 nodes after
+	// 2.3 s, against 3.1 s with a searchAge of 2.8 s (simulated time, TestLeaving,
 	// stand-ins-lost).
 	searchAge = 2100 * time.Millisecond
 	// searchWidth is the number of nodes that try at a time, in place of the last backup
@@ -41,8 +41,8 @@
 
 // steadyReaders returns the readers that keep trying during a search.
 func (r Ranking) steadyReaders() []string {
-	first := r.candidates()
-	return first[:max(len(first)-searchWidth, min(r.primaries, len(first)))]
+	candidates := r.candidates()
+	return candidates[:max(len(candidates)-searchWidth, min(r.primaries, len(candidates)))]
 }
 
 // isSearchTurn reports whether it is a node's turn among the others to try the store, given
--- a/internal/core/discovery/simulation_test.go
+++ b/internal/core/discovery/simulation_test.go
@@ -181,9 +181,9 @@
 // heartbeatEndpoints confirms the entries of live endpoints, and drops those that lapsed.
 func (w *simulation) heartbeatEndpoints() {
 	for _, e := range w.endpoints {
-		lives := e.leftAt == 0
+		alive := e.leftAt == 0
 		due := (w.now+e.phase)%endpointHeartbeat < simStep
-		if lives && due && !w.storeDown() {
+		if alive && due && !w.storeDown() {
 			if !e.inStore {
 				w.register(e)
 			}
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -71,8 +71,8 @@
 	t.Logf("healed after %v, worst second of a node %d bytes", took, w.maxSentPerSecond)
 }
 
-// TestFailureDomainLost kills a whole failure domain at once: the others must know within 8
-// s and declare no live member dead. A single failure takes under 5 s; here the monitors of
+// TestFailureDomainLost kills a whole failure domain at once: the others must know within
+// 8 s and declare no live member dead. A single failure takes under 5 s; here the monitors of
 // some members are among the lost.
 func TestFailureDomainLost(t *testing.T) {
 	w := newNetwork(t, 42)
--- a/internal/core/member/network_test.go
+++ b/internal/core/member/network_test.go
@@ -56,8 +56,8 @@
 	w.nodes[name] = n
 }
 
-func (w *network) deliver(from string, sends []Message) {
-	for _, s := range sends {
+func (w *network) deliver(from string, messages []Message) {
+	for _, s := range messages {
 		frame, err := wire.Append(nil, s.Gossip)
 		if err != nil {
 			w.t.Fatal(err)
--- a/internal/core/member/node.go
+++ b/internal/core/member/node.go
@@ -172,8 +172,8 @@
 
 // highest returns the node with the highest announced version, if that is above the own
 // one.
-func highest(told map[string]uint64, own uint64) (node string, version uint64) {
-	for name, v := range told {
+func highest(announced map[string]uint64, own uint64) (node string, version uint64) {
+	for name, v := range announced {
 		if v > version || v == version && name < node {
 			node, version = name, v
 		}
--- a/internal/core/member/queue.go
+++ b/internal/core/member/queue.go
@@ -10,41 +10,41 @@
 	queued map[string]bool
 }
 
-func (o *recordQueue) add(name string, urgent bool) {
-	if o.queued == nil {
-		o.queued = make(map[string]bool)
+func (q *recordQueue) add(name string, urgent bool) {
+	if q.queued == nil {
+		q.queued = make(map[string]bool)
 	}
-	if o.queued[name] {
+	if q.queued[name] {
 		return
 	}
-	o.queued[name] = true
+	q.queued[name] = true
 	if urgent {
-		o.urgent = append(o.urgent, name)
+		q.urgent = append(q.urgent, name)
 		return
 	}
-	o.normal = append(o.normal, name)
+	q.normal = append(q.normal, name)
 }
 
-func (o *recordQueue) remove(name string) {
-	if !o.queued[name] {
+func (q *recordQueue) remove(name string) {
+	if !q.queued[name] {
 		return
 	}
-	delete(o.queued, name)
+	delete(q.queued, name)
 	is := func(n string) bool { return n == name }
-	o.urgent = slices.DeleteFunc(o.urgent, is)
-	o.normal = slices.DeleteFunc(o.normal, is)
+	q.urgent = slices.DeleteFunc(q.urgent, is)
+	q.normal = slices.DeleteFunc(q.normal, is)
 }
 
-func (o *recordQueue) len() int { return len(o.queued) }
+func (q *recordQueue) len() int { return len(q.queued) }
 
 // pop removes and returns at most n names from the front.
-func (o *recordQueue) pop(n int) []string {
-	n = min(n, o.len())
+func (q *recordQueue) pop(n int) []string {
+	n = min(n, q.len())
 	names := make([]string, 0, max(n, 0))
-	names, o.urgent = moveFirst(names, o.urgent, n)
-	names, o.normal = moveFirst(names, o.normal, n-len(names))
+	names, q.urgent = moveFirst(names, q.urgent, n)
+	names, q.normal = moveFirst(names, q.normal, n-len(names))
 	for _, name := range names {
-		delete(o.queued, name)
+		delete(q.queued, name)
 	}
 	return names
 }
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -44,12 +44,12 @@
 }
 
 // recordNewer records a node that announced a version above the own one.
-func recordNewer(higher map[string]uint64, node string, told, own uint64) {
-	if told > own {
-		higher[node] = told
+func recordNewer(newer map[string]uint64, node string, announced, own uint64) {
+	if announced > own {
+		newer[node] = announced
 		return
 	}
-	delete(higher, node)
+	delete(newer, node)
 }
 
 // replyToUnknown introduces this node to a sender that it does not know. Such a sender knew
--- a/internal/core/member/slow_test.go
+++ b/internal/core/member/slow_test.go
@@ -101,11 +101,11 @@
 // knows no other node.
 func (w *slowNetwork) tick(n *slowNode) {
 	w.compute(n, messageCost)
-	sends := n.Tick(w.now)
+	messages := n.Tick(w.now)
 	if n.LiveCount() < 2 {
-		sends = append(sends, n.Join()...)
+		messages = append(messages, n.Join()...)
 	}
-	w.send(n, sends)
+	w.send(n, messages)
 	w.schedule(w.now.Add(FlushInterval), func() { w.tick(n) })
 }
 
@@ -118,8 +118,8 @@
 	return n.cpuFreeAt
 }
 
-func (w *slowNetwork) send(from *slowNode, sends []Message) {
-	for _, s := range sends {
+func (w *slowNetwork) send(from *slowNode, messages []Message) {
+	for _, s := range messages {
 		to := w.byName[s.Node]
 		frame, err := wire.Append(nil, s.Gossip)
 		if err != nil {
--- a/internal/core/member/tick.go
+++ b/internal/core/member/tick.go
@@ -19,18 +19,18 @@
 		n.recordBudget = n.pacing.records
 		n.listingBudget = n.pacing.listings
 	}
-	var sends []Message
+	var messages []Message
 	for _, name := range n.linkNames() {
 		l := n.links[name]
 		if beat || l.heartbeatDue || l.sendSelf || l.pending.len() > 0 && n.recordBudget > 0 || len(l.endpoints) > 0 {
-			sends = append(sends, n.message(now, name, l, beat))
+			messages = append(messages, n.message(now, name, l, beat))
 		}
 	}
 	if !now.Before(n.nextProbe) {
 		n.nextProbe = now.Add(probeInterval)
-		sends = n.probe(sends)
+		messages = n.probe(messages)
 	}
-	return sends
+	return messages
 }
 
 func (n *Node) pacingAt(now time.Time) pacing {
@@ -159,13 +159,13 @@
 // Join returns greetings to all seeds. The caller sends them at its start, so that the node
 // knows the others before its first heartbeats.
 func (n *Node) Join() []Message {
-	sends := make([]Message, 0, len(n.seeds))
+	messages := make([]Message, 0, len(n.seeds))
 	for _, s := range n.seeds {
 		if s.Node != n.self.Node {
-			sends = append(sends, n.greeting(s))
+			messages = append(messages, n.greeting(s))
 		}
 	}
-	return sends
+	return messages
 }
 
 // greeting introduces this node to an instance of the platform's list, and requests what
@@ -180,9 +180,9 @@
 
 // probe greets one instance of the platform's list that is unknown, dead or has left, or
 // one dead member, so that new and partitioned nodes are found.
-func (n *Node) probe(sends []Message) []Message {
+func (n *Node) probe(messages []Message) []Message {
 	if isTerminal(n.self.State) || n.listingBudget == 0 {
-		return sends
+		return messages
 	}
 	var candidates []Seed
 	for _, s := range n.seeds {
@@ -198,11 +198,11 @@
 	}
 	slices.SortFunc(candidates, func(a, b Seed) int { return compareSeeds(a, b) })
 	if len(candidates) == 0 {
-		return sends
+		return messages
 	}
 	s := candidates[n.rand.IntN(len(candidates))]
 	n.listingBudget--
-	return append(sends, n.greeting(s))
+	return append(messages, n.greeting(s))
 }
 
 func compareSeeds(a, b Seed) int {
--- a/internal/core/poison/identity.go
+++ b/internal/core/poison/identity.go
@@ -30,8 +30,8 @@
 	Body   []byte
 }
 
-// Identify returns the ID of a content. It takes 0.9 µs for a request of 800 bytes and 3.3
-// ms for one of 4 MB (BenchmarkIdentify).
+// Identify returns the ID of a content. It takes 0.9 µs for a request of 800 bytes and
+// 3.3 ms for one of 4 MB (BenchmarkIdentify).
 func Identify(c Content) ID {
 	h := sha256.New()
 	for _, part := range []string{c.Caller, c.Method, c.Host, c.Target} {
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -16,9 +16,9 @@
 	// maxRefusals bounds the refused requests. Those that end first are evicted, so all
 	// nodes evict the same ones.
 	maxRefusals = 1024
-	// crashTimeTolerance is how far apart the end times of one refusal may lie on two
+	// endTimeTolerance is how far apart the end times of one refusal may lie on two
 	// nodes, because of the delay of gossip.
-	crashTimeTolerance = 2 * time.Second
+	endTimeTolerance = 2 * time.Second
 )
 
 // Refusal is a refused request as sent between nodes.
@@ -62,9 +62,9 @@
 func (r *Refusals) Len() int { return len(r.byID) }
 
 // refusalPeriod returns the duration of the given refusal of a request, counted from 1.
-func refusalPeriod(times int) time.Duration {
+func refusalPeriod(count int) time.Duration {
 	d := minRefusal
-	for range times - 1 {
+	for range count - 1 {
 		d = min(2*d, maxRefusal)
 	}
 	return d
@@ -111,12 +111,12 @@
 
 // Refuse refuses a request whose first crash happened at the given time. It returns false
 // if the request is refused already.
-func (r *Refusals) Refuse(now time.Time, id ID, since time.Time) bool {
+func (r *Refusals) Refuse(now time.Time, id ID, firstCrash time.Time) bool {
 	if _, refused := r.Remaining(now, id); refused {
 		return false
 	}
 	r.expire(now)
-	next := refusal{version: 1, count: 1, firstCrash: since}
+	next := refusal{version: 1, count: 1, firstCrash: firstCrash}
 	if f, ok := r.byID[id]; ok {
 		next.version = f.version + 1
 		if !f.pardoned {
@@ -198,7 +198,7 @@
 	case f.pardoned != old.pardoned:
 		return f.pardoned
 	}
-	return f.until.After(old.until.Add(crashTimeTolerance))
+	return f.until.After(old.until.Add(endTimeTolerance))
 }
 
 // Checksum returns a checksum that is the same on nodes with the same refusals. Nodes
--- a/internal/core/poison/sim_nodes_test.go
+++ b/internal/core/poison/sim_nodes_test.go
@@ -81,8 +81,8 @@
 	return time.Duration(2+w.rand.IntN(40)) * time.Millisecond
 }
 
-func (w *simulation) sendAll(from *node, sends []member.Message) {
-	for _, s := range sends {
+func (w *simulation) sendAll(from *node, messages []member.Message) {
+	for _, s := range messages {
 		to := s.Address
 		if to == "" {
 			to = s.Node
@@ -92,10 +92,10 @@
 }
 
 func (w *simulation) sendGossip(from *node, to string, m wire.Gossip) {
-	sum, news := from.guard.NextUpdates(w.now, to, maxRefusalsPerMessage)
+	sum, updates := from.guard.NextUpdates(w.now, to, maxRefusalsPerMessage)
 	m.RefusedSum = sum
 	m.Refused = nil
-	for _, r := range news {
+	for _, r := range updates {
 		m.Refused = append(m.Refused, wire.Refusal{Request: r.Request[:], Version: r.Version, Left: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Count, Pardoned: r.Pardoned})
 	}
 	w.messages = append(w.messages, message{due: w.now.Add(w.latency()), from: from.name, to: to, gossip: &m})
--- a/internal/core/poison/sim_requests_test.go
+++ b/internal/core/poison/sim_requests_test.go
@@ -74,7 +74,7 @@
 		case r.client == nil || w.now.Before(r.endsAt):
 			kept = append(kept, r)
 		case r.answerLost:
-			// The answer was lost.
+			// To the node, a lost answer looks like a broken run.
 			if w.isUp(r.node) {
 				w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.client.id))
 			}
