--- a/internal/core/discovery/list_test.go
+++ b/internal/core/discovery/list_test.go
@@ -11,12 +11,12 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// testTime stands for a store that is never away.
+// testTime is the time of all reads in tests without a store outage.
 var testTime = time.Unix(1000, 0)
 
-// TestNoChangeIsMissed lets some nodes read a store that changes, and the
-// others ask any of them at any moment: a node that reaches a revision holds
-// exactly the store's list of that revision, whomever it asked before.
+// TestNoChangeIsMissed guards against deltas that skip a change. Some nodes read a changing
+// store, the others poll any node at any time: a node at a revision must hold exactly the
+// store's list of that revision, whomever it polled before.
 func TestNoChangeIsMissed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const nodes = 4
@@ -46,11 +46,11 @@
 				revision++
 			case 2:
 				history[revision] = snapshot()
-				lists[rapid.IntRange(0, 1).Draw(rt, "reader")].Read(testTime, snapshot(), revision)
+				lists[rapid.IntRange(0, 1).Draw(rt, "reader")].ApplySnapshot(testTime, snapshot(), revision)
 			case 3:
 				to := lists[rapid.IntRange(0, nodes-1).Draw(rt, "to")]
 				from := lists[rapid.IntRange(0, nodes-1).Draw(rt, "from")]
-				to.Apply(testTime, from.Above(to.Revision()))
+				to.ApplyDelta(testTime, from.ChangesSince(to.Revision()))
 			}
 			for i, l := range lists {
 				if l.Revision() == 0 {
@@ -64,26 +64,26 @@
 	})
 }
 
-// TestOldListIsIgnored checks that a list never goes back.
-func TestOldListIsIgnored(t *testing.T) {
+// TestOlderListIsIgnored checks that a list never moves back to an older revision.
+func TestOlderListIsIgnored(t *testing.T) {
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{{ID: "a", Draining: true}}, 7)
-	if l.Read(testTime, []catalog.Endpoint{{ID: "a"}}, 6) {
-		t.Error("an older list was taken")
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "a", Draining: true}}, 7)
+	if l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "a"}}, 6) {
+		t.Error("an older list was applied")
 	}
-	if l.Apply(testTime, Delta{Revision: 7, Changed: []catalog.Endpoint{{ID: "a"}}}) {
-		t.Error("an answer that is not ahead was taken")
+	if l.ApplyDelta(testTime, Delta{Revision: 7, Changed: []catalog.Endpoint{{ID: "a"}}}) {
+		t.Error("an answer without a newer revision was applied")
 	}
 }
 
-// TestLapsedEntriesComeBack has the store away for a while, in which the entries
-// of two endpoints lapse: both stay in the list until they had time to list
-// themselves again, one does, and the other one is gone after that. Without an
-// absence of the store, a missing endpoint is gone at once.
-func TestLapsedEntriesComeBack(t *testing.T) {
+// TestLapsedEntriesAreRetained guards against dropping live endpoints after a store outage.
+// Two entries lapse in it: both endpoints stay in use until they have had time to register
+// again, one does, and the other is dropped. Without an outage a missing endpoint is
+// dropped at once.
+func TestLapsedEntriesAreRetained(t *testing.T) {
 	a, b := catalog.Endpoint{ID: "a"}, catalog.Endpoint{ID: "b"}
 	l := NewList()
-	l.Read(testTime, []catalog.Endpoint{a, b}, 1)
+	l.ApplySnapshot(testTime, []catalog.Endpoint{a, b}, 1)
 	for _, c := range []struct {
 		after  time.Duration
 		listed []catalog.Endpoint
@@ -96,7 +96,7 @@
 		{7300 * time.Millisecond, []catalog.Endpoint{a}, 1},
 		{8 * time.Second, nil, 0},
 	} {
-		l.Read(testTime.Add(c.after), c.listed, 2+catalog.Revision(c.after))
+		l.ApplySnapshot(testTime.Add(c.after), c.listed, 2+catalog.Revision(c.after))
 		if got := len(l.Endpoints()); got != c.want {
 			t.Errorf("after %v: %d endpoints, want %d", c.after, got, c.want)
 		}
--- /dev/null
+++ b/internal/core/poison/detector.go
@@ -0,0 +1,256 @@
+package poison
+
+import (
+	"slices"
+	"time"
+
+	"gradetiller.example/internal/core/catalog"
+)
+
+const (
+	// replacementWindow is how long after a run broke the appearance of another life of its
+	// endpoint shows that the endpoint crashed under the run. Crashed endpoints are back
+	// after some seconds.
+	replacementWindow = 15 * time.Second
+	// noticeDelay is how long a busy node may take to notice that a run broke. Runs that
+	// broke earlier than this before their endpoint was found crashed broke for another
+	// reason.
+	noticeDelay = time.Second
+	// maxWatched bounds the watched endpoints, and maxBreaks the broken runs kept for each.
+	// The oldest ones are evicted.
+	maxWatched = 512
+	maxBreaks  = 64
+	// defaultHeartbeat is the heartbeat interval of endpoints if the platform specifies
+	// none.
+	defaultHeartbeat = 1200 * time.Millisecond
+	// lapseHeartbeats is the number of heartbeats after which the entry of a crashed
+	// endpoint has certainly lapsed: three of silence, and the delay of the list.
+	lapseHeartbeats = 6
+)
+
+// Finding is a conclusion about the runs that broke at an endpoint.
+type Finding struct {
+	Endpoint catalog.Endpoint
+	Requests []ID
+	// Crashed is true if the endpoint crashed under the runs, and false if it was reported
+	// as crashed and is alive.
+	Crashed bool
+	// FromList is true if the list of endpoints shows the crash.
+	FromList bool
+}
+
+// Detector determines whether endpoints at which runs broke have crashed. An endpoint has
+// crashed if nothing listens at its address any more, or if another life of it is listed
+// soon after. It is alive if it is still listed, and accepts connections, after its entry
+// would have lapsed. Detector is not safe for concurrent use.
+type Detector struct {
+	lapse   time.Duration
+	watched map[string]*watched
+}
+
+// watched is an endpoint at which runs broke.
+type watched struct {
+	endpoint catalog.Endpoint
+	breaks   []brokenRun
+	// crashed is true if the endpoint was found to have crashed, probing while it is being
+	// probed.
+	crashed bool
+	probing bool
+}
+
+// brokenRun is a run that broke.
+type brokenRun struct {
+	at      time.Time
+	request ID
+	length  RunLength
+}
+
+// RunLength classifies the time that a run had lasted when it broke.
+type RunLength int
+
+const (
+	// LongRun is a run that had begun at the endpoint.
+	LongRun RunLength = iota
+	// ShortRun is a run that may have been sent after the endpoint had crashed, to a proxy
+	// in front of it that accepts its connections and closes them.
+	ShortRun
+)
+
+// maxShortRun bounds the duration of a run that may not have begun: several times what it
+// takes to open a connection and have it closed on a busy instance (1 to 5 ms).
+const maxShortRun = 25 * time.Millisecond
+
+// RunLengthOf returns the length class of a run.
+func RunLengthOf(took time.Duration) RunLength {
+	if took < maxShortRun {
+		return ShortRun
+	}
+	return LongRun
+}
+
+// NewDetector returns a detector for endpoints that confirm their entries at the given
+// heartbeat interval, or at the default one if it is 0.
+func NewDetector(heartbeat time.Duration) *Detector {
+	if heartbeat <= 0 {
+		heartbeat = defaultHeartbeat
+	}
+	return &Detector{lapse: lapseHeartbeats * heartbeat, watched: make(map[string]*watched)}
+}
+
+// Active reports whether any endpoint is being watched.
+func (d *Detector) Active() bool { return len(d.watched) > 0 }
+
+// RecordBrokenRuns records that runs broke at an endpoint that is not draining. It reports
+// whether the endpoint's connections must be probed now; the result goes to RecordProbe.
+func (d *Detector) RecordBrokenRuns(now time.Time, e catalog.Endpoint, l RunLength, requests ...ID) bool {
+	known, ok := d.watched[e.ID]
+	if !ok {
+		d.evictOldest()
+		known = &watched{endpoint: e}
+		d.watched[e.ID] = known
+	}
+	for _, id := range requests {
+		known.breaks = append(known.breaks, brokenRun{at: now, request: id, length: l})
+	}
+	if over := len(known.breaks) - maxBreaks; over > 0 {
+		known.breaks = slices.Clone(known.breaks[over:])
+	}
+	if known.probing {
+		return false
+	}
+	known.probing = true
+	return true
+}
+
+// evictOldest drops the endpoint whose last broken run is the oldest, if the limit is
+// reached.
+func (d *Detector) evictOldest() {
+	if len(d.watched) < maxWatched {
+		return
+	}
+	oldest := ""
+	for id, known := range d.watched {
+		if oldest == "" || known.lastBreak().Before(d.watched[oldest].lastBreak()) {
+			oldest = id
+		}
+	}
+	delete(d.watched, oldest)
+}
+
+func (k *watched) lastBreak() time.Time { return k.breaks[len(k.breaks)-1].at }
+
+// finding returns a conclusion about the runs that broke after the given time.
+func (k *watched) finding(after time.Time, crashed bool) Finding {
+	return Finding{Endpoint: k.endpoint, Requests: k.requests(after), Crashed: crashed}
+}
+
+// requests returns the distinct requests whose runs broke after the given time.
+func (k *watched) requests(after time.Time) []ID {
+	var list []ID
+	for _, b := range k.breaks {
+		if b.at.After(after) && !slices.Contains(list, b.request) {
+			list = append(list, b.request)
+		}
+	}
+	return list
+}
+
+// RecordProbe records whether an endpoint refused a connection. An endpoint that accepted
+// it, or did not answer at all, may still have crashed, since a proxy may accept
+// connections in its place.
+func (d *Detector) RecordProbe(now time.Time, id string, refuses bool) []Finding {
+	known, ok := d.watched[id]
+	if !ok {
+		return nil
+	}
+	known.probing = false
+	again := known.crashed && now.Sub(known.lastBreak()) >= d.lapse
+	switch {
+	case again && refuses:
+		// Its entry is retained although it has crashed.
+		delete(d.watched, id)
+	case again:
+		delete(d.watched, id)
+		return []Finding{known.finding(time.Time{}, false)}
+	case refuses:
+		known.crashed = true
+		return []Finding{known.finding(now.Add(-noticeDelay), true)}
+	}
+	return nil
+}
+
+// UpdateEndpoints applies a list of endpoints that was current at the given time. It
+// returns the conclusions, and the endpoints whose connections must be probed.
+func (d *Detector) UpdateEndpoints(now, current time.Time, list []catalog.Endpoint) (findings []Finding, probe []catalog.Endpoint) {
+	if len(d.watched) == 0 {
+		return nil, nil
+	}
+	l := newEndpointIndex(list)
+	for id, known := range d.watched {
+		e, listed := l.byID[id]
+		switch {
+		case listed && e.Draining:
+			// The endpoint drains as planned.
+			delete(d.watched, id)
+		case listed:
+			if d.stillListed(known, current) {
+				probe = append(probe, known.endpoint)
+			}
+		case known.crashed:
+			delete(d.watched, id)
+		case l.replaced(known.endpoint):
+			delete(d.watched, id)
+			// The list does not show whether short runs had begun, so these are no
+			// suspects.
+			known.breaks = slices.DeleteFunc(known.breaks, func(b brokenRun) bool { return b.length == ShortRun })
+			f := known.finding(time.Time{}, true)
+			f.FromList = true
+			findings = append(findings, f)
+		case now.Sub(known.lastBreak()) > replacementWindow:
+			delete(d.watched, id)
+		}
+	}
+	return findings, probe
+}
+
+// stillListed handles an endpoint that is listed in the same life, and reports whether it
+// must be probed. Runs that broke longer ago than the lapse period did not crash it.
+func (d *Detector) stillListed(known *watched, current time.Time) bool {
+	past := func(b brokenRun) bool { return current.Sub(b.at) >= d.lapse }
+	if known.crashed {
+		probe := !known.probing && past(known.breaks[len(known.breaks)-1])
+		known.probing = known.probing || probe
+		return probe
+	}
+	if known.probing {
+		return false
+	}
+	known.breaks = slices.DeleteFunc(known.breaks, past)
+	if len(known.breaks) == 0 {
+		delete(d.watched, known.endpoint.ID)
+	}
+	return false
+}
+
+// endpointIndex indexes the endpoints of a list.
+type endpointIndex struct {
+	byID             map[string]catalog.Endpoint
+	byWorker         map[string]bool
+	byServiceAddress map[string]bool
+}
+
+func newEndpointIndex(list []catalog.Endpoint) endpointIndex {
+	l := endpointIndex{byID: make(map[string]catalog.Endpoint, len(list)), byWorker: make(map[string]bool, len(list)), byServiceAddress: make(map[string]bool, len(list))}
+	for _, e := range list {
+		l.byID[e.ID] = e
+		l.byWorker[catalog.WorkerOf(e.ID)] = true
+		l.byServiceAddress[e.Service+" "+e.Address] = true
+	}
+	return l
+}
+
+// replaced reports whether another life of an endpoint is listed, either under the worker
+// name that all its lives share or at its address.
+func (l *endpointIndex) replaced(e catalog.Endpoint) bool {
+	return l.byWorker[catalog.WorkerOf(e.ID)] || l.byServiceAddress[e.Service+" "+e.Address]
+}
