--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkViewChanged puts a view of 3,000 endpoints of five services in force.
 func BenchmarkViewChanged(b *testing.B) {
-	n := New(platform.Settings{Node: "a", Heartbeat: time.Second})
+	n := New(platform.Settings{Node: "a", HeartbeatInterval: time.Second})
 	v := &view{config: &catalog.Config{Version: 1, Services: make(map[string]catalog.Service)}}
 	for s := range 5 {
 		name := fmt.Sprint("s", s)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -74,8 +74,8 @@
 // beginStop has all nodes know that this one leaves.
 func (n *Node) beginStop() *stop {
 	now := time.Now()
-	ends := now.Add(n.settings.Grace - lastMoment)
-	s := &stop{asked: now, accepts: min(acceptAfter, n.settings.Grace/2), ends: ends, window: drain.Until(ends)}
+	ends := now.Add(n.settings.GracePeriod - lastMoment)
+	s := &stop{asked: now, accepts: min(acceptAfter, n.settings.GracePeriod/2), ends: ends, window: drain.Until(ends)}
 	n.stop.Store(s)
 	n.publishEntry()
 	n.log.Info(eventStopping, zap.Int64("in_flight", n.inFlight.Load()))
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -68,7 +68,7 @@
 	model.Events = longEvents
 	model.Pause = eventPause
 	n := startNode(t, site)
-	n.node.settings.Grace = stopGrace
+	n.node.settings.GracePeriod = stopGrace
 	n.awaitReady(t)
 	eventually(t, "all endpoints are listed", func() bool { return len(n.node.view.Load().endpoints) == 4 })
 	return n, model
@@ -80,7 +80,7 @@
 	route := r.node.view.Load().config.Match(platformtest.Host, path)
 	for range streamsBefore {
 		now := time.Now()
-		r.node.times.served(&request{in: platform.Ingress{MostTokens: stated}, service: route.Choose(0), route: route, arrived: now.Add(-longStream)}, now)
+		r.node.times.served(&request{in: platform.ClientRequest{MaxTokens: stated}, service: route.Choose(0), route: route, arrived: now.Add(-longStream)}, now)
 	}
 }
 
@@ -159,7 +159,7 @@
 func TestStopAfterSlowStages(t *testing.T) {
 	n, model := startStopping(t)
 	n.teach("/staged/")
-	q := &request{in: platform.Ingress{RequestID: "slow", MostTokens: stated}, view: n.node.view.Load(), service: "model", arrived: time.Now()}
+	q := &request{in: platform.ClientRequest{RequestID: "slow", MaxTokens: stated}, view: n.node.view.Load(), service: "model", arrived: time.Now()}
 	q.route = q.view.config.Match(platformtest.Host, "/staged/")
 	q.deadline = q.arrived.Add(longTimeout)
 	n.node.stop.Store(&stop{asked: q.arrived, accepts: acceptAfter, ends: q.arrived, window: drain.Until(q.arrived.Add(longStream))})
@@ -218,7 +218,7 @@
 	if !whole(a) || !a.Closes {
 		t.Errorf("%+v, want a whole answer that closes", a)
 	}
-	answer := &platform.Answer{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
+	answer := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
 	streamed, refused := httptest.NewRecorder(), httptest.NewRecorder()
 	(&stream{node: n.node, q: before, w: streamed}).head(answer)
 	n.node.refuse(refused, &request{arrived: before.arrived, view: n.node.view.Load()}, http.StatusBadGateway, "lost", 0)
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -11,10 +11,10 @@
 )
 
 // readEvacuations takes in what the store tells of evacuated failure domains.
-func (n *Node) readEvacuations(r platform.ConfigRevision) {
+func (n *Node) readEvacuations(r platform.ConfigUpdate) {
 	n.noteEvacuationRows(r)
 	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
-		if !r.Whole {
+		if !r.Complete {
 			return present.Change(now, r.Revision, r.Evacuations)
 		}
 		var domains []string
@@ -26,15 +26,15 @@
 }
 
 // noteEvacuationRows logs each row that is not as it should be once, as long as it is there.
-func (n *Node) noteEvacuationRows(r platform.ConfigRevision) {
+func (n *Node) noteEvacuationRows(r platform.ConfigUpdate) {
 	now := make(map[string]bool, len(r.Refused))
 	for _, refused := range r.Refused {
 		now[refused.Error()] = true
 		if !n.badEvacuations[refused.Error()] {
-			n.log.Warn(eventEvacuationRefused, zap.Bool("holds", refused.Holds), zap.Error(refused))
+			n.log.Warn(eventEvacuationRefused, zap.Bool("holds", refused.Effective), zap.Error(refused))
 		}
 	}
-	if r.Whole || len(now) > 0 {
+	if r.Complete || len(now) > 0 {
 		n.badEvacuations = now
 	}
 }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -39,7 +39,7 @@
 
 // request is a client's request on its way.
 type request struct {
-	in       platform.Ingress
+	in       platform.ClientRequest
 	route    *catalog.Route
 	view     *view
 	service  string
@@ -72,7 +72,7 @@
 
 // serveFront takes a client's request.
 func (n *Node) serveFront(w http.ResponseWriter, r *http.Request) {
-	q := &request{in: platform.ParseIngress(r), view: n.view.Load(), arrived: time.Now(), source: r}
+	q := &request{in: platform.ParseClientRequest(r), view: n.view.Load(), arrived: time.Now(), source: r}
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	if s := n.stop.Load(); s != nil {
@@ -117,7 +117,7 @@
 	if q.route == nil {
 		return http.StatusNotFound
 	}
-	account := cfg.Account(q.in.Key)
+	account := cfg.Account(q.in.APIKey)
 	if account == nil && !q.route.Public && len(cfg.Accounts) > 0 {
 		return http.StatusUnauthorized
 	}
@@ -131,7 +131,7 @@
 	if q.in.RequestID == "" {
 		return http.StatusBadRequest
 	}
-	left := q.in.Left
+	left := q.in.Timeout
 	if left <= 0 {
 		left = defaultLeft
 	}
@@ -155,7 +155,7 @@
 func (q *request) identify() poison.ID {
 	caller := q.account
 	if caller == "" {
-		caller = q.in.Key
+		caller = q.in.APIKey
 	}
 	return poison.Identify(poison.Content{Caller: caller, Method: q.source.Method, Host: q.in.Host, Target: q.in.Target, Body: q.body})
 }
@@ -196,7 +196,7 @@
 func (n *Node) refuse(w http.ResponseWriter, q *request, status int, reason string, again time.Duration) {
 	q.outcome = reason
 	n.tellClose(w)
-	platform.WriteRefusal(w, q.in.RequestID, status, again)
+	platform.WriteError(w, q.in.RequestID, status, again)
 	n.logRequest(q, status)
 }
 
@@ -239,11 +239,11 @@
 }
 
 // outbound is the request as it goes to an endpoint.
-func (n *Node) outbound(q *request, e catalog.Endpoint, now time.Time) platform.Outbound {
-	return platform.Outbound{
+func (n *Node) outbound(q *request, e catalog.Endpoint, now time.Time) platform.WorkerRequest {
+	return platform.WorkerRequest{
 		Connections: intake.ConnectionsOf(q.view.config.Services[e.Service].MaxConns, n.share.Load().nodes),
 		Endpoint:    e, Method: q.source.Method, Host: q.source.Host, Target: q.in.Target, Header: q.source.Header,
-		Body: q.body, Account: q.account, Left: q.deadline.Sub(now), Priority: q.priority, Once: !q.route.Repeatable(),
+		Body: q.body, Account: q.account, Timeout: q.deadline.Sub(now), Priority: q.priority, DedicatedConnection: !q.route.Repeatable(),
 	}
 }
 
@@ -325,7 +325,7 @@
 }
 
 // next decides about an ended attempt, within the budget of repeats.
-func (n *Node) next(q *request, event attempt.Event, a *platform.Answer) attempt.Next {
+func (n *Node) next(q *request, event attempt.Event, a *platform.Response) attempt.Next {
 	ended := attempt.Ended{Event: event, Repeatable: q.route.Repeatable(), Sent: q.sent, Most: q.route.MaxAttempts, MayHaveRun: q.ran}
 	if a != nil {
 		ended.ServerError = a.Status >= http.StatusInternalServerError
@@ -354,7 +354,7 @@
 }
 
 // tryPlain sends one attempt and reads its whole answer.
-func (n *Node) tryPlain(ctx context.Context, q *request, c *placed) (*platform.Answer, []byte, attempt.Event) {
+func (n *Node) tryPlain(ctx context.Context, q *request, c *placed) (*platform.Response, []byte, attempt.Event) {
 	q.endpoint = c.endpoint.ID
 	limited, cancel := context.WithTimeout(ctx, q.patience(time.Now()))
 	defer cancel()
@@ -364,7 +364,7 @@
 	}
 	defer a.Body.Close()
 	event := a.Event
-	if !a.Elsewhere {
+	if !a.Misdirected {
 		q.sent++
 	}
 	if event == attempt.RefuseByEndpoint {
@@ -386,7 +386,7 @@
 	return a, body, event
 }
 
-func load(a *platform.Answer, now time.Time) place.Load {
+func load(a *platform.Response, now time.Time) place.Load {
 	if !a.Signals.Load.Known {
 		return place.Load{}
 	}
@@ -414,7 +414,7 @@
 // faulted counts an attempt that has no answer; ctx is the request's, limited the
 // attempt's own.
 func (n *Node) faulted(ctx, limited context.Context, q *request, c *placed, err error) attempt.Event {
-	var fault *platform.Fault
+	var fault *platform.SendError
 	sent := errors.As(err, &fault) && fault.Sent
 	// A client that left before its answer was late says nothing of the
 	// endpoint; one that waited longer than the objective does.
@@ -432,9 +432,9 @@
 }
 
 // deliver passes a whole answer on.
-func (n *Node) deliver(w http.ResponseWriter, q *request, a *platform.Answer, body []byte) {
+func (n *Node) deliver(w http.ResponseWriter, q *request, a *platform.Response, body []byte) {
 	q.outcome = delivered
-	platform.CopyAnswer(w, a.Header)
+	platform.CopyResponseHeader(w, a.Header)
 	n.tellClose(w)
 	w.WriteHeader(a.Status)
 	_, err := w.Write(body)
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -41,7 +41,7 @@
 // leaders holds the stage pools that this node leads.
 type leaders struct {
 	log     *zap.Logger
-	workers *platform.Workers
+	workers *platform.WorkerClient
 	meters  *meters
 	models  *pools
 	budget  func() stagepool.Budget
@@ -75,7 +75,7 @@
 	ticking bool
 }
 
-func newLeaders(log *zap.Logger, workers *platform.Workers, models *pools, budget func() stagepool.Budget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Off) *leaders {
+func newLeaders(log *zap.Logger, workers *platform.WorkerClient, models *pools, budget func() stagepool.Budget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Off) *leaders {
 	return &leaders{log: log, workers: workers, models: models, budget: budget, pace: pace, off: off, cells: make(map[int]*leader)}
 }
 
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -66,7 +66,7 @@
 func startLeaving(t *testing.T, site *platformtest.Site, seeds ...string) *running {
 	t.Helper()
 	n := startNode(t, site, seeds...)
-	n.node.settings.Grace = longGrace
+	n.node.settings.GracePeriod = longGrace
 	n.awaitReady(t)
 	eventually(t, "all endpoints are listed", func() bool { return len(n.node.view.Load().endpoints) == 3 })
 	return n
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -25,7 +25,7 @@
 func TestLogLevelOfRequests(t *testing.T) {
 	expired, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancel()
-	worker := func(status int) *platform.Answer { return &platform.Answer{Status: status, Header: http.Header{}} }
+	worker := func(status int) *platform.Response { return &platform.Response{Status: status, Header: http.Header{}} }
 	cases := map[string]struct {
 		end  func(n *Node, w http.ResponseWriter, q *request)
 		want zapcore.Level
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,7 +48,7 @@
 	started     time.Time
 	log         *zap.Logger
 	store       *platform.Store
-	workers     *platform.Workers
+	workers     *platform.WorkerClient
 	pools       *pools
 	leaders     *leaders
 	jobs        *jobs
@@ -173,20 +173,20 @@
 		o(n)
 	}
 	n.serving, n.giveUp = context.WithCancelCause(context.Background())
-	n.store = platform.NewStore(s.StoreAddress, platform.WithEraFaults(func(err error) { n.log.Warn(eventStoreEra, zap.Error(err)) }))
-	n.workers = platform.NewWorkers(platform.WithSignals(n.observeSignals), platform.WithGate(n.checkSignals))
+	n.store = platform.NewStore(s.StoreAddress, platform.WithEraErrorHandler(func(err error) { n.log.Warn(eventStoreEra, zap.Error(err)) }))
+	n.workers = platform.NewWorkerClient(platform.WithSignalObserver(n.observeSignals), platform.WithSendCheck(n.checkSignals))
 	n.signals = newSignals(hash.Of(s.Node))
 	n.pools = newPools(hash.Of(s.Node), modelPolicy, n.ownPace, n.off)
 	n.budget = n.newBudget()
 	n.stageBudget = n.newBudget()
 	n.leaders = newLeaders(n.log, n.workers, newPools(hash.Of(s.Node), leaderPolicy, n.leaderPace, n.off), func() stagepool.Budget { return n.stageBudget }, n.stagePace, n.off)
-	n.poisons = &poisons{guard: poison.NewGuard(s.Heartbeat)}
+	n.poisons = &poisons{guard: poison.NewGuard(s.HeartbeatInterval)}
 	n.meters = newMeters(n)
 	n.leaders.meters = n.meters
 	n.leaders.broke = n.stageCallBroke
 	n.refused = refusedEntries{logged: make(map[refusedEntry]bool), faults: make(map[platform.EntryFault]bool)}
 	n.view.Store(&view{})
-	n.list = discovery.NewList(discovery.WithHeartbeat(s.Heartbeat))
+	n.list = discovery.NewList(discovery.WithHeartbeat(s.HeartbeatInterval))
 	n.members = member.New(wire.Member{
 		Node: s.Node, Incarnation: n.incarnation, Address: n.peerAddress, Domain: s.Domain, Region: s.Region,
 		Entries: []wire.Entry{n.entry(false)},
@@ -216,7 +216,7 @@
 	s := n.settings
 	return wire.Entry{
 		Node: s.Node, Incarnation: n.incarnation, Address: s.FrontAddress, PeerAddress: n.peerAddress,
-		Domain: s.Domain, Region: s.Region, Leaving: leaving, Leads: n.leads.Load(), Capacity: s.Capacity,
+		Domain: s.Domain, Region: s.Region, Leaving: leaving, Leads: n.leads.Load(), Capacity: s.Millicores,
 	}
 }
 
@@ -306,5 +306,5 @@
 		return
 	}
 	addresses := lookup.Answer(*n.entries.Load(), n.settings.Node, platform.ParseLookup(r).Domain)
-	platform.WriteLookup(w, addresses, min(answerLife, n.settings.AnswerLife))
+	platform.WriteLookup(w, addresses, min(answerLife, n.settings.LookupTTL))
 }
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -54,7 +54,7 @@
 func (l *leaders) learnCache(e catalog.Endpoint) {
 	ctx, cancel := context.WithTimeout(context.Background(), listLimit)
 	defer cancel()
-	held, err := l.workers.HeldParts(ctx, e.ID, e.Address)
+	held, err := l.workers.CachedPromptParts(ctx, e.ID, e.Address)
 	if err != nil {
 		l.log.Info(eventCacheUnknown, zap.String("endpoint", e.ID), zap.Error(err))
 		return
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -162,8 +162,8 @@
 
 // promptParts are the parts of a request's prompt.
 func (q *request) promptParts() []wire.PromptPart {
-	parts := make([]wire.PromptPart, len(q.in.Prefix))
-	for i, part := range q.in.Prefix {
+	parts := make([]wire.PromptPart, len(q.in.PromptPrefix))
+	for i, part := range q.in.PromptPrefix {
 		parts[i] = wire.PromptPart(part)
 	}
 	return parts
@@ -276,8 +276,8 @@
 		shared = place.NewSharing()
 		p.sharing[q.service] = shared
 	}
-	parts := make([]uint64, len(q.in.Prefix))
-	for i, part := range q.in.Prefix {
+	parts := make([]uint64, len(q.in.PromptPrefix))
+	for i, part := range q.in.PromptPrefix {
 		parts[i] = part.ID
 	}
 	return shared.Key(q.route.Name, parts, pool.Len())
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -230,7 +230,7 @@
 }
 
 // tryStream sends one attempt and passes its events on.
-func (n *Node) tryStream(ctx context.Context, s *stream, c *placed) (*platform.Answer, attempt.Event) {
+func (n *Node) tryStream(ctx context.Context, s *stream, c *placed) (*platform.Response, attempt.Event) {
 	q := s.q
 	q.endpoint = c.endpoint.ID
 	parent := ctx
@@ -239,9 +239,9 @@
 	hung := time.AfterFunc(q.patience(time.Now()), cancel)
 	out := n.outbound(q, c.endpoint, time.Now())
 	out.Inputs = s.results.handles
-	out.LastEvent = s.last
+	out.LastEventID = s.last
 	if c.endpoint.ID == s.results.endpoint {
-		out.CopyFrom = s.results.copyFrom
+		out.CacheSource = s.results.copyFrom
 	}
 	a, err := n.workers.Send(ctx, out)
 	hung.Stop()
@@ -258,7 +258,7 @@
 	}
 	defer a.Body.Close()
 	s.note(c, wire.PlacementServed)
-	if !a.Elsewhere {
+	if !a.Misdirected {
 		q.sent++
 	}
 	if a.Event != attempt.FirstByte {
@@ -279,7 +279,7 @@
 
 // declined handles an answer that is no stream. Results that are gone are
 // made again.
-func (n *Node) declined(ctx context.Context, s *stream, c *placed, a *platform.Answer) attempt.Event {
+func (n *Node) declined(ctx context.Context, s *stream, c *placed, a *platform.Response) attempt.Event {
 	now := time.Now()
 	switch {
 	case a.Signals.Backoff > 0:
@@ -309,7 +309,7 @@
 }
 
 // pass passes whole events on until the stream ends.
-func (s *stream) pass(a *platform.Answer) error {
+func (s *stream) pass(a *platform.Response) error {
 	in := bufio.NewReader(a.Body)
 	var event []byte
 	for {
@@ -336,13 +336,13 @@
 }
 
 // head sends the head of the first answer.
-func (s *stream) head(a *platform.Answer) {
+func (s *stream) head(a *platform.Response) {
 	if s.started {
 		return
 	}
 	s.started = true
 	s.q.first = time.Since(s.q.arrived)
-	platform.CopyAnswer(s.w, a.Header)
+	platform.CopyResponseHeader(s.w, a.Header)
 	s.w.Header().Del("Content-Length")
 	s.node.tellClose(s.w)
 	s.w.WriteHeader(a.Status)
@@ -350,7 +350,7 @@
 }
 
 // event passes one whole event on.
-func (s *stream) event(a *platform.Answer, event []byte) error {
+func (s *stream) event(a *platform.Response, event []byte) error {
 	s.head(a)
 	if id := eventID(event); id != "" {
 		s.last = id
--- a/internal/node/times.go
+++ b/internal/node/times.go
@@ -74,10 +74,10 @@
 
 // size is what is known of the length of a request's answer, in tokens.
 func (q *request) size() drain.Size {
-	if q.in.HintTokens > 0 {
-		return drain.Estimate(q.in.HintTokens)
+	if q.in.LengthHint > 0 {
+		return drain.Estimate(q.in.LengthHint)
 	}
-	return drain.Bound(q.in.MostTokens)
+	return drain.Bound(q.in.MaxTokens)
 }
 
 // keep forgets the routes that a configuration does not have.
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -77,7 +77,7 @@
 // serves reports whether this node knows all that it serves by.
 func (n *Node) serves() bool { return n.view.Load().complete() }
 
-func (n *Node) nextConfig(ctx context.Context, after catalog.Revision, failed int, wait time.Duration) (platform.ConfigRevision, error) {
+func (n *Node) nextConfig(ctx context.Context, after catalog.Revision, failed int, wait time.Duration) (platform.ConfigUpdate, error) {
 	if after == 0 {
 		return n.store.ReadConfig(ctx, discovery.ReadLimit(n.serves(), failed))
 	}
