--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -57,12 +57,12 @@
 	}
 	turned := time.Now()
 	for _, w := range workers[:cold] {
-		w.TurnCold(coldTime)
+		w.SetCold(coldTime)
 	}
 	l := &tally{answers: make(map[int]int)}
 	l.run(nodes, c.request, 16, turned.Add(coldTime-time.Second))
 	for i, w := range workers[:cold] {
-		arrivals := intaketest.After(w.Arrivals(), turned.Add(coldKnown))
+		arrivals := intaketest.After(w.ArrivalTimes(), turned.Add(coldKnown))
 		if got := intaketest.MostIn(arrivals, time.Second); got > coldAllowed {
 			t.Errorf("endpoint %d got %d requests in a second, %d are allowed", i, got, coldAllowed)
 		}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -83,7 +83,7 @@
 func TestForgottenHistory(t *testing.T) {
 	site, c, r := startDesk(t)
 	for range 3 {
-		site.Store.Forget()
+		site.Store.DropHistory()
 		c.Version++
 		site.Publish(c)
 		eventually(t, "the new version is in force", func() bool { return r.node.view.Load().version() == c.Version })
@@ -122,8 +122,8 @@
 		c.Routes = append(c.Routes, platformtest.Route{Prefix: fmt.Sprintf("/more-%d/", i), Kind: "safe", Service: "desk"})
 	}
 	site.Publish(c)
-	door := site.AddDoor()
-	door.Close(platformtest.ConfigCalls, platformtest.Drips)
+	door := site.AddStoreProxy()
+	door.Disrupt(platformtest.ConfigCalls, platformtest.Throttle)
 	r := startNodeOn(t, site, platformtest.Instance{Zone: "zone-a", MemoryMB: 284, Store: door.Address})
 	r.awaitReady(t)
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -52,10 +52,10 @@
 		}
 		sending.Wait()
 	}
-	if open := worker.MostOpen(); open > deskConnections {
+	if open := worker.PeakOpenConnections(); open > deskConnections {
 		t.Errorf("%d connections were open at once, the endpoint takes %d", open, deskConnections)
 	}
-	if worker.Open() == 0 {
+	if worker.OpenConnections() == 0 {
 		t.Error("no connection was kept")
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -66,7 +66,7 @@
 	site.AddWorkers("rank", 1)
 	model := site.AddWorkers("model", 1)[0]
 	model.Events = longEvents
-	model.Pause = eventPause
+	model.EventInterval = eventPause
 	n := startNode(t, site)
 	n.node.settings.GracePeriod = stopGrace
 	n.awaitReady(t)
@@ -183,7 +183,7 @@
 		t.Fatalf("before the stop: %+v", a)
 	}
 	n.beginStop(t)
-	model.Inject(platformtest.Silent)
+	model.InjectFaults(platformtest.NoResponse)
 	var wait sync.WaitGroup
 	wait.Go(func() { do(n.Front, longRequest("in-flight", "/once/")) })
 	eventually(t, "the other request runs", func() bool { return model.Runs("in-flight") > 0 })
@@ -200,7 +200,7 @@
 	n, model := startStopping(t)
 	n.beginStop(t)
 	short, long := longRequest("short", "/once/"), longRequest("long", "/once/")
-	long.MostTokens = 50 * stated
+	long.MaxTokens = 50 * stated
 	checkTurnedAway(t, long.ID, do(n.Front, long), model)
 	if a := do(n.Front, short); !whole(a) {
 		t.Errorf("a stream of a few tokens: %+v", a)
@@ -215,7 +215,7 @@
 	before := &request{arrived: time.Now()}
 	n.beginStop(t)
 	a := platformtest.DoOn(context.Background(), &http.Transport{}, n.Front, platformtest.Request{ID: "after", Path: "/book/", Key: key})
-	if !whole(a) || !a.Closes {
+	if !whole(a) || !a.ConnectionClose {
 		t.Errorf("%+v, want a whole answer that closes", a)
 	}
 	answer := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
--- a/internal/node/draining_test.go
+++ b/internal/node/draining_test.go
@@ -30,8 +30,8 @@
 	n := startNode(t, site)
 	n.awaitReady(t)
 	w.AnnounceDraining(true)
-	before := w.Total()
-	sendUntil(t, n.Front, "told", func() bool { return w.Total() > before })
+	before := w.TotalRuns()
+	sendUntil(t, n.Front, "told", func() bool { return w.TotalRuns() > before })
 	return site, n, w
 }
 
@@ -41,24 +41,24 @@
 	_, n, w := drainOne(t)
 	w.AnnounceDraining(false)
 	w.Restart()
-	before := w.Total()
-	sendUntil(t, n.Front, "used again", func() bool { return w.Total() > before })
+	before := w.TotalRuns()
+	sendUntil(t, n.Front, "used again", func() bool { return w.TotalRuns() > before })
 }
 
 // TestOlderListDoesNotEndDraining guards against an endpoint that comes back into use when the store
 // comes back from an older copy, which lists it as ready.
 func TestOlderListDoesNotEndDraining(t *testing.T) {
 	site, n, w := drainOne(t)
-	older := site.Store.Copy()
+	older := site.Store.Snapshot()
 	site.AddWorkers("desk", 1)
 	site.Store.Restore(older)
-	w.WriteAgain()
-	got := w.Total()
+	w.RepublishEntry()
+	got := w.TotalRuns()
 	for i := range 200 {
 		do(n.Front, platformtest.Request{ID: fmt.Sprintf("after-%d", i), Path: "/read/x"})
 		time.Sleep(10 * time.Millisecond)
 	}
-	if w.Total() != got {
-		t.Errorf("%d requests reached the endpoint", w.Total()-got)
+	if w.TotalRuns() != got {
+		t.Errorf("%d requests reached the endpoint", w.TotalRuns()-got)
 	}
 }
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -20,7 +20,7 @@
 // were given up.
 func reached(workers []*platformtest.Worker) (sum int) {
 	for _, w := range workers {
-		sum += w.Total() + len(w.Batches()) + w.Frees()
+		sum += w.TotalRuns() + len(w.BatchSizes()) + w.FreeCalls()
 	}
 	return sum
 }
@@ -146,8 +146,8 @@
 	site.Store.Evacuate(otherZone)
 	first := startNode(t, site)
 	first.awaitReady(t)
-	door := site.AddDoor()
-	door.Close(platformtest.AllCalls, platformtest.Refuses)
+	door := site.AddStoreProxy()
+	door.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
 	late := startNodeOn(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: door.Address}, first.Peer)
 	late.awaitReady(t)
 	if served := sendAll(late.Front, "late"); served != 8 || reached(other) > 0 {
@@ -197,9 +197,9 @@
 	site, _ := desk(t)
 	site.AddWorkers("desk", 1)
 	other := append(site.AddWorkersIn("zone-c", "desk", 1), site.AddWorkersIn("zone-d", "desk", 1)...)
-	site.Store.PutOperators("evacuate/", []byte("{}"))
-	site.Store.PutOperators("evacuate/zone-c", []byte("\xff{"))
-	site.Store.PutOperators("evacuate/zone-d", []byte(`{"until":5}`))
+	site.Store.PutOperatorRow("evacuate/", []byte("{}"))
+	site.Store.PutOperatorRow("evacuate/zone-c", []byte("\xff{"))
+	site.Store.PutOperatorRow("evacuate/zone-d", []byte(`{"until":5}`))
 	n := startNode(t, site)
 	n.awaitReady(t)
 	for i := range 12 {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -55,8 +55,8 @@
 // that break midway and are resumed elsewhere, placed by nodes and by a leader.
 var repeatCases = []limitCase{
 	{name: "repeats", service: "desk", request: platformtest.Request{Path: "/read/x"}, fault: platformtest.Reset},
-	{name: "resumed", service: "model", request: platformtest.Request{Path: "/plain/x", Streaming: true}, fault: platformtest.Torn},
-	{name: "resumed-placed", service: "model", request: platformtest.Request{Path: "/staged/x", Streaming: true, Pieces: []int{1, 1}}, fault: platformtest.Torn},
+	{name: "resumed", service: "model", request: platformtest.Request{Path: "/plain/x", Streaming: true}, fault: platformtest.TruncateEvent},
+	{name: "resumed-placed", service: "model", request: platformtest.Request{Path: "/staged/x", Streaming: true, Pieces: []int{1, 1}}, fault: platformtest.TruncateEvent},
 }
 
 // tally has clients send requests to nodes in turn until a time is over, and counts the
@@ -132,12 +132,12 @@
 	go func() {
 		time.Sleep(time.Until(named))
 		for _, w := range workers[:limited] {
-			w.NameLimit(strconv.FormatFloat(namedRate, 'f', -1, 64))
+			w.AnnounceRateLimit(strconv.FormatFloat(namedRate, 'f', -1, 64))
 		}
 	}()
 	if c.fault != platformtest.Healthy {
 		for _, w := range workers {
-			w.Inject(everySecond(c.fault, 1000)...)
+			w.InjectFaults(everySecond(c.fault, 1000)...)
 		}
 	}
 	l.run(nodes, c.request, 8, named.Add(intaketest.Contact+measured))
@@ -145,7 +145,7 @@
 	for i, w := range workers[:limited] {
 		// What was sent before the endpoint named its rate doesn't count: at 50 requests a
 		// second, the second before fills any span that it lies in.
-		arrivals := intaketest.After(w.Arrivals(), named.Add(intaketest.Told))
+		arrivals := intaketest.After(w.ArrivalTimes(), named.Add(intaketest.Told))
 		if got := intaketest.Most(arrivals, named.Add(intaketest.Contact)); got > allowed {
 			t.Errorf("endpoint %d got %d requests in %v, %d are allowed", i, got, intaketest.Span, allowed)
 		}
@@ -192,7 +192,7 @@
 					n.awaitReady(t)
 				}
 				for _, w := range all[c.service] {
-					w.NameLimit(perSecond)
+					w.AnnounceRateLimit(perSecond)
 				}
 				l := &tally{answers: make(map[int]int)}
 				l.run(nodes, c.request, 16, time.Now().Add(2*time.Second))
@@ -200,7 +200,7 @@
 					t.Error("nothing was refused: the test shows nothing")
 				}
 				for _, w := range all[c.service] {
-					w.NameLimit("")
+					w.AnnounceRateLimit("")
 				}
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -136,7 +136,7 @@
 // no node, and served as soon as the endpoints are well.
 func TestBrokenRunsAloneRefuseNothing(t *testing.T) {
 	faults := map[string]platformtest.Fault{
-		"reset": platformtest.Reset, "cut short": platformtest.CutShort, "another's answer": platformtest.OtherID, "no signature": platformtest.NoStamp,
+		"reset": platformtest.Reset, "cut short": platformtest.TruncateBody, "another's answer": platformtest.WrongRequestID, "no signature": platformtest.MissingStamp,
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -151,8 +151,8 @@
 			q := platformtest.Request{Path: "/book/x", Body: "seat 4"}
 			for i := range 8 {
 				for _, w := range workers {
-					w.Heal()
-					w.Inject(fault)
+					w.ClearFaults()
+					w.InjectFaults(fault)
 				}
 				q.ID = fmt.Sprintf("broken-%d", i)
 				if a := do(nodes[i%2].Front, q); a.Status != http.StatusBadGateway {
@@ -160,7 +160,7 @@
 				}
 			}
 			for _, w := range workers {
-				w.Heal()
+				w.ClearFaults()
 			}
 			for i, n := range nodes {
 				q.ID = fmt.Sprintf("well-%d", i)
--- a/internal/node/prompts_test.go
+++ b/internal/node/prompts_test.go
@@ -20,7 +20,7 @@
 	site.AddWorkers("rank", 1)
 	for k := range tries {
 		for i, m := range models {
-			m.Hold(fmt.Sprintf("part-%d-%d", i, k), 400)
+			m.CachePromptPart(fmt.Sprintf("part-%d-%d", i, k), 400)
 		}
 	}
 	n := startNode(t, site)
@@ -67,7 +67,7 @@
 			t.Error(err)
 		}
 	}()
-	eventually(t, "the engine is asked what it holds", func() bool { return model.Listed() > 0 })
+	eventually(t, "the engine is asked what it holds", func() bool { return model.CacheListCalls() > 0 })
 	cancel()
 	<-done
 }
--- a/internal/node/readers_test.go
+++ b/internal/node/readers_test.go
@@ -33,10 +33,10 @@
 	const nodes = 12
 	site, c := desk(t)
 	site.AddWorkers("desk", 1)
-	doors := make(map[string]*platformtest.Door)
+	doors := make(map[string]*platformtest.StoreProxy)
 	var all []*running
 	for range nodes {
-		door := site.AddDoor()
+		door := site.AddStoreProxy()
 		var seeds []string
 		for _, r := range all[:min(len(all), 3)] {
 			seeds = append(seeds, r.Peer)
@@ -55,7 +55,7 @@
 		return !slices.ContainsFunc(all, func(r *running) bool { return r.node.liveNodes.Load() != nodes || !r.node.serves() })
 	})
 	for _, name := range all[0].node.readers.Load().Readers(0) {
-		doors[name].Close(platformtest.ConfigCalls, platformtest.Hangs)
+		doors[name].Disrupt(platformtest.ConfigCalls, platformtest.Hang)
 	}
 	c.Version = 2
 	site.Publish(c)
--- a/internal/node/restored_test.go
+++ b/internal/node/restored_test.go
@@ -24,7 +24,7 @@
 // churn writes rows that tell nothing.
 func churn(site *platformtest.Site, writes int) {
 	for i := range writes {
-		site.Store.PutOperators("note", fmt.Appendf(nil, "%d", i))
+		site.Store.PutOperatorRow("note", fmt.Appendf(nil, "%d", i))
 	}
 }
 
@@ -34,18 +34,18 @@
 func TestVersionsGivenOutAnew(t *testing.T) {
 	site, _ := desk(t)
 	other := bothZones(site)
-	before := site.Store.Copy()
+	before := site.Store.Snapshot()
 	churn(site, 10)
-	door := site.AddDoor()
+	door := site.AddStoreProxy()
 	n := startNodeOn(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: door.Address})
 	n.awaitReady(t)
 	awaitRead(t, n, site)
-	door.Close(platformtest.AllCalls, platformtest.Refuses)
+	door.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
 	time.Sleep(time.Second)
 	site.Store.Restore(before)
 	site.Store.Evacuate(otherZone)
 	churn(site, 60)
-	door.Open()
+	door.Restore()
 	awaitRead(t, n, site)
 	unreached(t, n, other)
 }
@@ -63,7 +63,7 @@
 	n := startNode(t, site)
 	n.awaitReady(t)
 	sendAll(n.Front, "before")
-	before := site.Store.Copy()
+	before := site.Store.Snapshot()
 
 	delete(c.Keys, "key-2")
 	c.Version = 3
@@ -77,7 +77,7 @@
 	churn(site, 40)
 	awaitRead(t, n, site)
 	unreached(t, n, append([]*platformtest.Worker{left, leaves}, other...))
-	reachedBefore := reached(other) + left.Total() + leaves.Total()
+	reachedBefore := reached(other) + left.TotalRuns() + leaves.TotalRuns()
 	site.Store.Restore(before)
 	during(restoredFor, func(turn int) {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprintf("key-%d", turn), Path: "/read/", Key: "key-2"}); a.Status != http.StatusUnauthorized {
@@ -85,18 +85,18 @@
 		}
 		sendAll(n.Front, fmt.Sprintf("during-%d", turn))
 	})
-	if now := reached(other) + left.Total() + leaves.Total(); now != reachedBefore {
+	if now := reached(other) + left.TotalRuns() + leaves.TotalRuns(); now != reachedBefore {
 		t.Errorf("%d requests or calls reached endpoints that had left or are evacuated", now-reachedBefore)
 	}
 
 	site.Publish(c)
 	site.Store.Evacuate(otherZone)
 	leaves.Drain()
-	left.Leave()
+	left.RemoveEntry()
 	fresh := site.AddWorkers("desk", 1)[0]
 	eventually(t, "an endpoint that is new since is used", func() bool {
 		sendAll(n.Front, "after")
-		return fresh.Total() > 0
+		return fresh.TotalRuns() > 0
 	})
 	site.Store.EndEvacuation(otherZone)
 	eventually(t, "the end of the evacuation is in force", func() bool {
@@ -120,7 +120,7 @@
 	c.Version = 2
 	site.Publish(c)
 	site.AddWorkers("desk", 1)
-	before := site.Store.Copy()
+	before := site.Store.Snapshot()
 	delete(c.Keys, "key-2")
 	c.Version = 3
 	site.Publish(c)
@@ -147,22 +147,22 @@
 	site, c := desk(t)
 	site.AddWorkers("desk", 1)
 	left := site.AddWorkers("desk", 1)[0]
-	oldest := site.Store.Copy()
+	oldest := site.Store.Snapshot()
 	c.Version = 2
 	site.Publish(c)
-	older := site.Store.Copy()
+	older := site.Store.Snapshot()
 	n := startNode(t, site)
 	n.awaitReady(t)
 	sendAll(n.Front, "before")
 	left.Unlist()
 	awaitRead(t, n, site)
-	ran := left.Total()
+	ran := left.TotalRuns()
 	site.Store.Restore(older)
 	time.Sleep(900 * time.Millisecond)
 	site.Store.Restore(oldest)
 	during(restoredFor, func(turn int) { sendAll(n.Front, fmt.Sprintf("during-%d", turn)) })
-	if left.Total() != ran {
-		t.Errorf("%d requests reached an endpoint that had left", left.Total()-ran)
+	if left.TotalRuns() != ran {
+		t.Errorf("%d requests reached an endpoint that had left", left.TotalRuns()-ran)
 	}
 	c.Version = 3
 	site.Publish(c)
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -62,7 +62,7 @@
 	"stages": {"encode", platformtest.Request{Path: "/staged/x", Streaming: true, Pieces: []int{2, 1}}},
 }
 
-var signalFaults = map[string]platformtest.Fault{"reset": platformtest.Reset, "torn": platformtest.Torn}
+var signalFaults = map[string]platformtest.Fault{"reset": platformtest.Reset, "torn": platformtest.TruncateEvent}
 
 func readSignalScript(t *testing.T, path string) signalScript {
 	s := signalScript{nodes: 3, endpoints: 6}
@@ -138,7 +138,7 @@
 	}
 	if s.fault != platformtest.Healthy {
 		for _, w := range r.workers {
-			w.Inject(everySecond(s.fault, 2000)...)
+			w.InjectFaults(everySecond(s.fault, 2000)...)
 		}
 	}
 	start := time.Now()
@@ -198,7 +198,7 @@
 		announced[id] = true
 	}
 	r.mu.Unlock()
-	r.log.Sent(q.ID, node, time.Now())
+	r.log.RecordRequest(q.ID, node, time.Now())
 	a := do(node, q)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,15 +208,15 @@
 	}
 	// The stamp names the endpoint whose answer it is.
 	if parts := strings.Split(a.Stamp, "."); len(parts) > 1 && announced[parts[1]] {
-		r.log.PassedOn(parts[1], node, time.Now())
+		r.log.RecordDraining(parts[1], node, time.Now())
 	}
 }
 
 // check holds the arrivals against the rules, and the answers against the script.
 func (r *signalRun) check(t *testing.T) {
 	for _, w := range r.workers {
-		report(t, r.log.Draining(w.ID, w.Arrived()))
-		report(t, r.log.Backoff(w.Rejections(), w.Arrived()))
+		report(t, r.log.DrainingViolations(w.ID, w.Arrivals()))
+		report(t, r.log.BackoffViolations(w.Rejections(), w.Arrivals()))
 		r.checkUsedAgain(t, w)
 		r.checkCalls(t, w)
 	}
@@ -237,7 +237,7 @@
 // endpoint drains from the answer to the next one.
 func (r *signalRun) checkCalls(t *testing.T, w *platformtest.Worker) {
 	announced, ok := r.draining[w.ID]
-	if after := w.LastRun().Sub(announced); ok && len(w.Batches()) > 0 && after > signaltest.DrainTime {
+	if after := w.LastRun().Sub(announced); ok && len(w.BatchSizes()) > 0 && after > signaltest.DrainGrace {
 		t.Errorf("%s ran pieces %v after it had announced that it drains", w.ID, after)
 	}
 }
@@ -249,10 +249,10 @@
 	}
 	last := rejections[len(rejections)-1]
 	ends := last.At.Add(last.Backoff)
-	if !slices.ContainsFunc(w.Arrived(), func(a platformtest.Arrival) bool {
+	if !slices.ContainsFunc(w.Arrivals(), func(a platformtest.Arrival) bool {
 		return a.At.After(ends) && a.At.Before(ends.Add(r.script.usedAgain))
 	}) {
-		arrivals := w.Arrivals()
+		arrivals := w.ArrivalTimes()
 		t.Errorf("%s got no request within %v of the end of its backoff, %v after its last one", w.ID, r.script.usedAgain, ends.Sub(arrivals[len(arrivals)-1]))
 	}
 }
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -29,7 +29,7 @@
 // startNodeOn starts a node on an instance of the test's own choice.
 func startNodeOn(t *testing.T, site *platformtest.Site, on platformtest.Instance, seeds ...string) *running {
 	t.Helper()
-	text, addresses := site.SettingsOf(on, seeds...)
+	text, addresses := site.SettingsFor(on, seeds...)
 	return startNodeWith(t, text, addresses)
 }
 
@@ -80,7 +80,7 @@
 	c := platformtest.Config{
 		Version: 1, Keys: map[string]string{key: "barbers"},
 		Models: []string{"model"}, Stages: []string{"encode", "rank"},
-		Routes: platformtest.DeskRoutes(),
+		Routes: platformtest.SampleRoutes(),
 	}
 	site.Publish(c)
 	return site, c
@@ -113,7 +113,7 @@
 	n := startNode(t, site)
 	n.awaitReady(t)
 
-	a := do(n.Front, platformtest.Request{ID: "p1", Path: "/book/a%2Fb/?q=1%202", Body: "seat 4", Forged: "clinics"})
+	a := do(n.Front, platformtest.Request{ID: "p1", Path: "/book/a%2Fb/?q=1%202", Body: "seat 4", ForgedTenant: "clinics"})
 	if a.Status != 200 || a.Body != "POST /book/a%2Fb/?q=1%202 seat 4" || a.Stamp == "" {
 		t.Errorf("plain request: %+v", a)
 	}
@@ -132,8 +132,8 @@
 	if got := len(models[0].Inputs("s1")) + len(models[1].Inputs("s1")); got != 3 {
 		t.Errorf("the model was given %d results, want 3", got)
 	}
-	eventually(t, "all results are freed", func() bool { return encode.Held()+rank.Held() == 0 })
-	if b := rank.Batches(); len(b) != 1 || b[0] != 3 {
+	eventually(t, "all results are freed", func() bool { return encode.HeldResults()+rank.HeldResults() == 0 })
+	if b := rank.BatchSizes(); len(b) != 1 || b[0] != 3 {
 		t.Errorf("pieces of one stage went in calls of %v, want one of 3", b)
 	}
 	none := do(n.Front, platformtest.Request{ID: "s2", Path: "/staged/x", Streaming: true, Pieces: []int{0, 0}})
@@ -199,15 +199,15 @@
 		want  int
 	}{
 		{platformtest.Reset, 502},
-		{platformtest.OtherID, 502},
-		{platformtest.NoStamp, 502},
-		{platformtest.CutShort, 502},
+		{platformtest.WrongRequestID, 502},
+		{platformtest.MissingStamp, 502},
+		{platformtest.TruncateBody, 502},
 		{platformtest.Fail, 500},
 		{platformtest.Shed, 503},
 	} {
 		id := fmt.Sprintf("once-%d", i)
 		for _, w := range workers {
-			w.Inject(c.fault)
+			w.InjectFaults(c.fault)
 		}
 		a := do(n.Front, platformtest.Request{ID: id, Path: "/book/"})
 		if a.Status != c.want {
@@ -218,11 +218,11 @@
 			t.Errorf("fault %d: ran %d times with status %d", c.fault, runs, a.Status)
 		}
 		for _, w := range workers {
-			w.Heal()
+			w.ClearFaults()
 		}
 	}
 	for _, m := range models {
-		m.Inject(platformtest.Torn)
+		m.InjectFaults(platformtest.TruncateEvent)
 	}
 	s := do(n.Front, platformtest.Request{ID: "torn", Path: "/once/", Streaming: true, Prefix: "aa:1"})
 	if s.Err == nil {
@@ -244,9 +244,9 @@
 	models := site.AddWorkers("model", 2)
 	n := startNode(t, site)
 	n.awaitReady(t)
-	for i, f := range []platformtest.Fault{platformtest.Reset, platformtest.OtherID, platformtest.CutShort, platformtest.Fail, platformtest.Shed} {
-		workers[i%2].Inject(f)
-		for k := 0; workers[i%2].Pending() > 0; k++ {
+	for i, f := range []platformtest.Fault{platformtest.Reset, platformtest.WrongRequestID, platformtest.TruncateBody, platformtest.Fail, platformtest.Shed} {
+		workers[i%2].InjectFaults(f)
+		for k := 0; workers[i%2].PendingFaults() > 0; k++ {
 			path := fmt.Sprintf("/read/safe-%d-%d", i, k)
 			if a := do(n.Front, platformtest.Request{ID: path, Path: path}); a.Status != 200 || a.Body != "POST "+path+" " {
 				t.Fatalf("fault %d: %+v", f, a)
@@ -257,8 +257,8 @@
 	for _, m := range models {
 		m.Events = 9
 	}
-	models[0].Inject(platformtest.Torn)
-	for k := 0; models[0].Pending() > 0; k++ {
+	models[0].InjectFaults(platformtest.TruncateEvent)
+	for k := 0; models[0].PendingFaults() > 0; k++ {
 		id := fmt.Sprintf("resumed-%d", k)
 		s := do(n.Front, platformtest.Request{ID: id, Path: "/plain/", Streaming: true, Prefix: fmt.Sprintf("%x:1", k)})
 		if s.Err != nil || s.Body != events(id, 9) {
@@ -274,7 +274,7 @@
 	site, _ := desk(t)
 	models := site.AddWorkers("model", 2)
 	for _, m := range models {
-		m.Pause = 30 * time.Millisecond
+		m.EventInterval = 30 * time.Millisecond
 		m.Events = 10
 	}
 	site.AddWorkers("encode", 1)
@@ -345,19 +345,19 @@
 		}
 		return false
 	})
-	workers[1].Leave()
+	workers[1].RemoveEntry()
 	workers = append(workers, site.AddWorkers("desk", 1)...)
 	eventually(t, "the list is current", func() bool {
 		list := n.node.view.Load().endpoints
 		return len(list) == 2 && list[0].ID != workers[1].ID && list[1].ID != workers[1].ID
 	})
-	before := workers[0].Total()
+	before := workers[0].TotalRuns()
 	for i := range 10 {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprint("d", i), Path: "/read/"}); a.Status != 200 {
 			t.Errorf("status %d", a.Status)
 		}
 	}
-	if after := workers[0].Total(); after != before {
+	if after := workers[0].TotalRuns(); after != before {
 		t.Errorf("%d requests reached the draining endpoint", after-before)
 	}
 }
@@ -370,7 +370,7 @@
 	encode, rank := site.AddWorkers("encode", 1)[0], site.AddWorkers("rank", 1)[0]
 	n := startNode(t, site)
 	n.awaitReady(t)
-	model.Inject(platformtest.Silent)
+	model.InjectFaults(platformtest.NoResponse)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		eventually(t, "the model runs the request", func() bool { return model.Runs("left") == 1 })
@@ -380,7 +380,7 @@
 	if a.Err == nil {
 		t.Fatalf("got an answer: %+v", a)
 	}
-	eventually(t, "results are given up", func() bool { return encode.Held()+rank.Held() == 0 })
+	eventually(t, "results are given up", func() bool { return encode.HeldResults()+rank.HeldResults() == 0 })
 	eventually(t, "nothing is in flight", func() bool { return n.node.inFlight.Load() == 0 })
 }
 
@@ -422,9 +422,9 @@
 	n.awaitReady(t)
 	eventually(t, "the objective is known", func() bool { return n.node.view.Load().version() == 2 })
 	for _, w := range []*platformtest.Worker{workers[0], models[0]} {
-		w.Inject(platformtest.Silent)
+		w.InjectFaults(platformtest.NoResponse)
 	}
-	for k := 0; workers[0].Pending()+models[0].Pending() > 0; k++ {
+	for k := 0; workers[0].PendingFaults()+models[0].PendingFaults() > 0; k++ {
 		plain := do(n.Front, platformtest.Request{ID: fmt.Sprint("p", k), Path: "/read/", Deadline: 20 * time.Second})
 		stream := do(n.Front, platformtest.Request{ID: fmt.Sprint("s", k), Path: "/plain/", Streaming: true, Prefix: fmt.Sprintf("%x:1", k), Deadline: 20 * time.Second})
 		if plain.Status != 200 || stream.Status != 200 || stream.Err != nil {
--- a/internal/soak/bounds_limits_test.go
+++ b/internal/soak/bounds_limits_test.go
@@ -59,7 +59,7 @@
 			sleep(ctx, time.Second)
 		}
 		for _, l := range named {
-			l.worker.NameLimit("")
+			l.worker.AnnounceRateLimit("")
 		}
 	}
 }
--- a/internal/soak/bounds_signals_test.go
+++ b/internal/soak/bounds_signals_test.go
@@ -71,7 +71,7 @@
 
 // recordSent records a request for the checks of signals.
 func (r *boundsRun) recordSent(id string, node int, at time.Time) {
-	r.signals.Sent(id, strconv.Itoa(node), at)
+	r.signals.RecordRequest(id, strconv.Itoa(node), at)
 }
 
 // recordAnswer records the answer to a request that was sent at a moment.
@@ -84,7 +84,7 @@
 	from, ok := r.draining[parts[1]]
 	r.mu.Unlock()
 	if ok && sent.After(from) {
-		r.signals.PassedOn(parts[1], strconv.Itoa(node), time.Now())
+		r.signals.RecordDraining(parts[1], strconv.Itoa(node), time.Now())
 	}
 }
 
@@ -97,17 +97,17 @@
 	}
 	known, late := 0, 0
 	for _, a := range r.drained {
-		known += r.signals.Known(a.worker.ID)
-		arrivals := within(a.worker.Arrived(), a.from, a.to)
+		known += r.signals.NodesNotified(a.worker.ID)
+		arrivals := within(a.worker.Arrivals(), a.from, a.to)
 		late += len(arrivals)
-		found = append(found, prefixed("DRAINING", r.signals.Draining(a.worker.ID, arrivals))...)
+		found = append(found, prefixed("DRAINING", r.signals.DrainingViolations(a.worker.ID, arrivals))...)
 	}
 	rejected := 0
 	for _, w := range r.rejecting {
 		// Calls of other nodes than the leader, for lists of what a model holds, carry no id.
-		arrivals := slices.DeleteFunc(w.Arrived(), func(a platformtest.Arrival) bool { return a.ID == "" })
+		arrivals := slices.DeleteFunc(w.Arrivals(), func(a platformtest.Arrival) bool { return a.ID == "" })
 		rejected += len(w.Rejections())
-		found = append(found, prefixed("BACKOFF", r.signals.Backoff(w.Rejections(), arrivals))...)
+		found = append(found, prefixed("BACKOFF", r.signals.BackoffViolations(w.Rejections(), arrivals))...)
 	}
 	r.t.Logf("%d workers drained unlisted, told %d nodes and got %d requests; %d requests were rejected with a backoff", len(r.drained), known, late, rejected)
 	return found
--- a/internal/soak/bounds_test.go
+++ b/internal/soak/bounds_test.go
@@ -72,7 +72,7 @@
 	// troubles are those that the run has beside its faults.
 	troubles generation
 	site     *platformtest.Site
-	doors    []*platformtest.Door
+	doors    []*platformtest.StoreProxy
 	nodes    []*process
 	logs     string
 	desks    map[string]string // service by worker
@@ -174,7 +174,7 @@
 		many:    seed%2 == 0,
 		history: history{bounds: d.bounds(), disturbed: make(map[int][]span)},
 	}
-	r.site.Grace = grace
+	r.site.GracePeriod = grace
 	r.addWorkers()
 	r.publish(func(c *platformtest.Config) { c.Version = 1 })
 	r.startNodes(program, seed)
@@ -230,7 +230,7 @@
 }
 
 func (r *boundsRun) addWorkers() {
-	r.site.EventTokens, r.site.EventPause = eventTokens, eventPause
+	r.site.TokensPerEvent, r.site.EventInterval = eventTokens, eventPause
 	for _, service := range []string{"desk", "second-desk", "model", "encode", "rank"} {
 		for _, w := range r.site.AddWorkers(service, 4) {
 			r.desks[w.ID] = service
@@ -248,7 +248,7 @@
 		r.limitSome()
 	}
 	for _, w := range r.site.AddWorkers("mute-desk", 2) {
-		w.Mute = true
+		w.Unresponsive = true
 	}
 }
 
@@ -263,9 +263,9 @@
 	var known []string
 	for _, kind := range r.of.Instances {
 		for range kind.Count {
-			door := r.site.AddDoor()
+			door := r.site.AddStoreProxy()
 			store := shaped(r.t, door.Address, kind.LinkMbps)
-			text, addresses := r.site.SettingsOf(platformtest.Instance{Zone: kind.Domain, CPUShare: kind.CPUShare, MemoryMB: kind.MemoryMB, Store: store}, known...)
+			text, addresses := r.site.SettingsFor(platformtest.Instance{Zone: kind.Domain, CPUShare: kind.CPUShare, MemoryMB: kind.MemoryMB, Store: store}, known...)
 			peer := shaped(r.t, addresses.Peer, kind.LinkMbps)
 			if len(known) < mostSeeds {
 				known = append(known, peer)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -54,7 +54,7 @@
 // only if nothing was wrong with the store for as long before it.
 func (r *run) checkRetired() {
 	for _, gone := range r.retired {
-		for _, late := range gone.worker.Late() {
+		for _, late := range gone.worker.LateRuns() {
 			if late.After > drained && !r.storeTroubles.overlap(late.At.Add(-drained), late.At) {
 				r.fail("%s of %s got a request %v after the store had taken that it leaves", gone.worker.ID, gone.worker.Service, late.After)
 			}
@@ -68,7 +68,7 @@
 	runs, passedOn = make(map[string]int), make(map[string]bool)
 	for service, list := range r.workers {
 		for _, w := range list {
-			for id, n := range w.Ran() {
+			for id, n := range w.RunCounts() {
 				s, ok := asked[id]
 				if !ok && !strings.HasPrefix(id, probeID) {
 					r.fail("%s of %s ran %q, which no client sent", w.ID, service, id)
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -224,7 +224,7 @@
 func (c *client) send(s sent) {
 	q := platformtest.Request{
 		ID: s.id, Path: s.kind.path + "x", Body: "body of " + s.id, Key: apiKey, Deadline: clientDeadline,
-		Streaming: s.kind.stream, MostTokens: s.events * eventTokens, Pieces: s.kind.pieces, Prefix: s.prefix,
+		Streaming: s.kind.stream, MaxTokens: s.events * eventTokens, Pieces: s.kind.pieces, Prefix: s.prefix,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), clientDeadline)
 	defer cancel()
@@ -235,7 +235,7 @@
 	s.took = time.Since(s.at)
 	s.planned = calm && c.run.begun.Load() == begun
 	c.mu.Lock()
-	c.open[s.node] = s.response.Err == nil && !s.response.Closes
+	c.open[s.node] = s.response.Err == nil && !s.response.ConnectionClose
 	c.mu.Unlock()
 	c.run.record.add(s)
 }
--- a/internal/soak/cold_test.go
+++ b/internal/soak/cold_test.go
@@ -34,7 +34,7 @@
 	if r.colds.IntN(coldShare) > 0 {
 		return
 	}
-	r.drawWorker(r.colds).TurnCold(between(r.colds, shortestFault, longestFault))
+	r.drawWorker(r.colds).SetCold(between(r.colds, shortestFault, longestFault))
 }
 
 // coolWorkers has two of the workers of a service, or all of them, turn cold with nothing else
@@ -49,7 +49,7 @@
 				continue
 			}
 			count++
-			w.TurnCold(coldTime)
+			w.SetCold(coldTime)
 			r.cooled = append(r.cooled, cooled{worker: w, from: from, to: from.Add(coldTime)})
 		}
 	}
@@ -62,7 +62,7 @@
 	highest := 0
 	for _, c := range r.cooled {
 		var times []time.Time
-		for _, at := range c.worker.Arrivals() {
+		for _, at := range c.worker.ArrivalTimes() {
 			if at.After(c.from.Add(coldKnown)) && at.Before(c.to) {
 				times = append(times, at)
 			}
--- a/internal/soak/disturb_test.go
+++ b/internal/soak/disturb_test.go
@@ -210,39 +210,39 @@
 
 // cut takes the store away from some nodes; the others reach it.
 func (r *boundsRun) cut(nodes []int, length time.Duration) {
-	how := []platformtest.Away{platformtest.Refuses, platformtest.Hangs, platformtest.Cuts}[len(nodes)%3]
+	how := []platformtest.Disruption{platformtest.Unavailable, platformtest.Hang, platformtest.CloseConnection}[len(nodes)%3]
 	r.away(nodes, platformtest.AllCalls, how, length)
 }
 
 func (r *boundsRun) refuseConfigs(nodes []int, length time.Duration) {
-	r.away(nodes, platformtest.ConfigCalls, platformtest.Refuses, length)
+	r.away(nodes, platformtest.ConfigCalls, platformtest.Unavailable, length)
 }
 
 func (r *boundsRun) hangConfigs(nodes []int, length time.Duration) {
-	r.away(nodes, platformtest.ConfigCalls, platformtest.Hangs, length)
+	r.away(nodes, platformtest.ConfigCalls, platformtest.Hang, length)
 }
 
 func (r *boundsRun) refuseLists(nodes []int, length time.Duration) {
-	r.away(nodes, platformtest.ListCalls, platformtest.Refuses, length)
+	r.away(nodes, platformtest.ListCalls, platformtest.Unavailable, length)
 }
 
 func (r *boundsRun) hangLists(nodes []int, length time.Duration) {
-	r.away(nodes, platformtest.ListCalls, platformtest.Hangs, length)
+	r.away(nodes, platformtest.ListCalls, platformtest.Hang, length)
 }
 
-func (r *boundsRun) away(nodes []int, which platformtest.Calls, how platformtest.Away, length time.Duration) {
+func (r *boundsRun) away(nodes []int, which platformtest.Calls, how platformtest.Disruption, length time.Duration) {
 	end := r.disturb(nodes)
 	r.close(nodes, which, how, length)
 	end()
 }
 
-func (r *boundsRun) close(nodes []int, which platformtest.Calls, how platformtest.Away, length time.Duration) {
+func (r *boundsRun) close(nodes []int, which platformtest.Calls, how platformtest.Disruption, length time.Duration) {
 	for _, n := range nodes {
-		r.doors[n].Close(which, how)
+		r.doors[n].Disrupt(which, how)
 	}
 	time.Sleep(length)
 	for _, n := range nodes {
-		r.doors[n].Open()
+		r.doors[n].Restore()
 	}
 }
 
@@ -267,7 +267,7 @@
 	end := r.unsteady()
 	r.site.Store.SetDown(true)
 	time.Sleep(workerBeat * entryBeats)
-	back := r.site.Lapse()
+	back := r.site.ExpireEntries()
 	time.Sleep(length / 2)
 	r.site.Store.SetDown(false)
 	end()
@@ -281,7 +281,7 @@
 // storeAway takes the store away from all nodes.
 func (r *boundsRun) storeAway(nodes []int, length time.Duration) {
 	defer r.unsteady()()
-	r.close(nodes, platformtest.AllCalls, platformtest.Refuses, length)
+	r.close(nodes, platformtest.AllCalls, platformtest.Unavailable, length)
 }
 
 // unsteady notes that the store is away from all, and returns what ends it.
--- a/internal/soak/leaving_test.go
+++ b/internal/soak/leaving_test.go
@@ -99,7 +99,7 @@
 	}
 	last := time.Duration(0)
 	for _, w := range r.leaving {
-		for _, late := range w.Late() {
+		for _, late := range w.LateRuns() {
 			if !strings.HasPrefix(late.ID, leavingID) {
 				continue
 			}
@@ -111,7 +111,7 @@
 	}
 	asked := 0
 	for _, w := range r.workers["desk"] {
-		for id := range w.Ran() {
+		for id := range w.RunCounts() {
 			if strings.HasPrefix(id, leavingID) {
 				asked++
 			}
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -44,7 +44,7 @@
 func (r *run) drawLimit() float64 { return namedLimits[r.limits.IntN(len(namedLimits))] }
 
 func nameLimit(w *platformtest.Worker, perSecond float64) {
-	w.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+	w.AnnounceRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 }
 
 // limitNowAndThen has, now and then, a worker name a limit for a while, another one after a
@@ -60,12 +60,12 @@
 	nameLimit(w, first)
 	time.AfterFunc(length/2, func() {
 		if flaps {
-			w.NameLimit("")
+			w.AnnounceRateLimit("")
 			time.Sleep(length / 8)
 		}
 		nameLimit(w, second)
 	})
-	time.AfterFunc(length, func() { w.NameLimit("") })
+	time.AfterFunc(length, func() { w.AnnounceRateLimit("") })
 }
 
 // limitWorkers has two of the workers of each service, or all of one service, name limits,
@@ -91,7 +91,7 @@
 	time.Sleep(limitKept)
 	for i := range r.limited {
 		r.limited[i].to = time.Now()
-		r.limited[i].worker.NameLimit("")
+		r.limited[i].worker.AnnounceRateLimit("")
 	}
 }
 
@@ -156,7 +156,7 @@
 // it named its limit, counted from when all nodes had time to be told, and all that did.
 func (l limitedWorker) most(excused func(platformtest.Arrival) bool) (highest, all int) {
 	var times []time.Time
-	for _, a := range l.worker.Arrived() {
+	for _, a := range l.worker.Arrivals() {
 		if a.At.After(l.from.Add(limitTold)) && a.At.Before(l.to) && !excused(a) {
 			times = append(times, a.At)
 		}
--- a/internal/soak/placed_test.go
+++ b/internal/soak/placed_test.go
@@ -31,7 +31,7 @@
 // operator is what the operator has asked for, and the copies of the store.
 type operator struct {
 	mu     sync.Mutex
-	copies []platformtest.Copy
+	copies []platformtest.Snapshot
 	// evacuated tells that the evacuation is in force, from and to when it was.
 	evacuated bool
 	from, to  time.Time
@@ -72,7 +72,7 @@
 	r.operator.mu.Lock()
 	defer r.operator.mu.Unlock()
 	o := &r.operator
-	o.copies = append(o.copies, r.site.Store.Copy())
+	o.copies = append(o.copies, r.site.Store.Snapshot())
 	o.copies = o.copies[max(len(o.copies)-copyAge, 0):]
 	if r.restores.IntN(restoreShare) > 0 {
 		return
@@ -96,7 +96,7 @@
 	}
 	for _, list := range r.workers {
 		for _, w := range list {
-			w.WriteAgain()
+			w.RepublishEntry()
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	late, before := 0, 0
 	for _, list := range r.workers {
 		for _, w := range list {
-			for _, at := range w.Arrivals() {
+			for _, at := range w.ArrivalTimes() {
 				switch {
 				case w.Zone != otherZone || at.After(o.to):
 				case at.Before(o.from):
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -126,9 +126,9 @@
 	log := r.signalLog()
 	requests := 0
 	for _, w := range s.draining {
-		arrivals := within(w.Arrived(), s.from, s.to)
+		arrivals := within(w.Arrivals(), s.from, s.to)
 		requests += len(arrivals)
-		r.failures = append(r.failures, prefixed("DRAINING", log.Draining(w.ID, arrivals))...)
+		r.failures = append(r.failures, prefixed("DRAINING", log.DrainingViolations(w.ID, arrivals))...)
 	}
 	rejected := 0
 	for _, w := range s.rejecting {
@@ -138,7 +138,7 @@
 			return x.At.Before(s.from) || over.After(s.to) || x.ID == "" && over.After(s.calm)
 		})
 		rejected += len(rejections)
-		r.failures = append(r.failures, prefixed("BACKOFF", log.Backoff(rejections, w.Arrived()))...)
+		r.failures = append(r.failures, prefixed("BACKOFF", log.BackoffViolations(rejections, w.Arrivals()))...)
 	}
 	r.t.Logf("%d workers drained and got %d requests, %d rejected %d", len(s.draining), requests, len(s.rejecting), rejected)
 }
@@ -151,13 +151,13 @@
 		})
 	}}
 	for _, sent := range r.record.list {
-		log.Sent(sent.id, sent.node, sent.at)
+		log.RecordRequest(sent.id, sent.node, sent.at)
 		parts := strings.Split(sent.response.Stamp, ".")
 		if len(parts) < 2 || sent.at.Before(r.signaled.announced) {
 			continue
 		}
 		if slices.ContainsFunc(r.signaled.draining, func(w *platformtest.Worker) bool { return w.ID == parts[1] }) {
-			log.PassedOn(parts[1], sent.node, sent.at.Add(sent.took))
+			log.RecordDraining(parts[1], sent.node, sent.at.Add(sent.took))
 		}
 	}
 	return log
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -260,8 +260,8 @@
 	r := &run{t: t, of: c.of, rand: rand.New(rand.NewPCG(c.seed, 0)), later: rand.New(rand.NewPCG(c.seed, laterSeed)), restores: rand.New(rand.NewPCG(c.seed, restoresSeed)), limits: rand.New(rand.NewPCG(c.seed, limitsSeed)), colds: rand.New(rand.NewPCG(c.seed, coldSeed)), signals: rand.New(rand.NewPCG(c.seed, signalsSeed)), workers: make(map[string][]*platformtest.Worker)}
 	r.proxies = &proxies{t: t, list: make(map[string]*proxy)}
 	r.site = platformtest.NewSite(t)
-	r.site.Through = r.proxies.through
-	r.site.Grace, r.site.EventTokens, r.site.EventPause = grace, eventTokens, eventPause
+	r.site.ProxyAddress = r.proxies.through
+	r.site.GracePeriod, r.site.TokensPerEvent, r.site.EventInterval = grace, eventTokens, eventPause
 	r.config = platformtest.Config{
 		Version: 1, Keys: map[string]string{apiKey: account}, Models: []string{"model"}, Stages: []string{"encode", "rank"},
 		Routes: append(deskRoutes(), platformtest.Route{Prefix: versionPath(1), Kind: "safe", Service: "desk"}),
@@ -292,7 +292,7 @@
 
 // deskRoutes are routes whose timeouts never come before the client's deadline.
 func deskRoutes() []platformtest.Route {
-	routes := platformtest.DeskRoutes()
+	routes := platformtest.SampleRoutes()
 	for i := range routes {
 		routes[i].Timeout = 2 * clientDeadline
 	}
--- a/internal/soak/trouble_test.go
+++ b/internal/soak/trouble_test.go
@@ -208,11 +208,11 @@
 func (r *run) badAnswers(length time.Duration) {
 	w := r.anyWorker()
 	faults := []platformtest.Fault{
-		platformtest.Reset, platformtest.OtherID, platformtest.NoStamp, platformtest.Shed,
-		platformtest.Fail, platformtest.CutShort, platformtest.Torn, platformtest.Silent,
+		platformtest.Reset, platformtest.WrongRequestID, platformtest.MissingStamp, platformtest.Shed,
+		platformtest.Fail, platformtest.TruncateBody, platformtest.TruncateEvent, platformtest.NoResponse,
 	}
 	f := faults[r.rand.IntN(len(faults))]
-	r.unplannedFor(length, func() { w.Inject(f, f, f) }, w.Heal)
+	r.unplannedFor(length, func() { w.InjectFaults(f, f, f) }, w.ClearFaults)
 }
 
 // crashWorker crashes a worker for good; another one takes its place, and later its entry
@@ -225,7 +225,7 @@
 		return
 	}
 	r.workers[w.Service] = append(r.workers[w.Service], r.site.AddWorkers(w.Service, 1)...)
-	r.unplannedFor(length, w.Crash, w.Leave)
+	r.unplannedFor(length, w.Crash, w.RemoveEntry)
 }
 
 // rebornWorker crashes a worker, which begins anew under its id.
--- a/internal/soak/verdict_test.go
+++ b/internal/soak/verdict_test.go
@@ -17,7 +17,7 @@
 func (r *boundsRun) undrained() []string {
 	var found []string
 	for _, w := range r.retired {
-		for _, late := range w.Late() {
+		for _, late := range w.LateRuns() {
 			var node int
 			var number int64
 			if n, _ := fmt.Sscanf(late.ID, probeID+"%d-%d", &node, &number); n < 2 || late.After <= ms(r.of.DrainMS) {
