--- a/internal/core/discovery/evacuation_test.go
+++ b/internal/core/discovery/evacuation_test.go
@@ -124,7 +124,7 @@
 	start := time.Unix(1000, 0)
 	l := NewList()
 	read := func(after time.Duration, revision catalog.Revision, cold time.Duration) (ColdPeriod, bool) {
-		l.ApplySnapshot(start.Add(after), []catalog.Endpoint{{ID: "e", Listed: revision, Cold: cold}}, revision)
+		l.ApplySnapshot(start.Add(after), []catalog.Endpoint{{ID: "e", ModRevision: revision, ColdRemaining: cold}}, revision)
 		c, ok := l.Cold()["e"]
 		return c, ok
 	}
--- a/internal/core/discovery/lapse.go
+++ b/internal/core/discovery/lapse.go
@@ -75,10 +75,10 @@
 // reregistered reports whether an entry was removed and added again in between, so that
 // only its store revision differs.
 func reregistered(before, after catalog.Endpoint) bool {
-	if before.Listed == 0 || after.Listed == 0 || before.Listed == after.Listed {
+	if before.ModRevision == 0 || after.ModRevision == 0 || before.ModRevision == after.ModRevision {
 		return false
 	}
-	after.Listed = before.Listed
+	after.ModRevision = before.ModRevision
 	return after == before
 }
 
--- a/internal/core/discovery/list.go
+++ b/internal/core/discovery/list.go
@@ -209,12 +209,12 @@
 // entry may have been written earlier, in which case the period is overestimated.
 func (k knownEndpoint) nextCold(at time.Time, e catalog.Endpoint) ColdPeriod {
 	switch {
-	case e.Cold <= 0:
+	case e.ColdRemaining <= 0:
 		return ColdPeriod{}
 	case at.After(k.cold.Until):
-		return ColdPeriod{Since: at, Until: at.Add(e.Cold)}
+		return ColdPeriod{Since: at, Until: at.Add(e.ColdRemaining)}
 	}
-	return ColdPeriod{Since: k.cold.Since, Until: at.Add(e.Cold)}
+	return ColdPeriod{Since: k.cold.Since, Until: at.Add(e.ColdRemaining)}
 }
 
 // Cold returns the cold periods of all cold endpoints, by id.
--- a/internal/core/discovery/outdated.go
+++ b/internal/core/discovery/outdated.go
@@ -39,20 +39,20 @@
 		// An entry with a version below the one at which the endpoint left predates its
 		// leaving, or its version was assigned again after the restore. In the latter case
 		// the endpoint has to wait.
-		if ok && !known && e.Listed.Version() < g.changed.Version() {
-			l.outdated.entries[g.id] = outdatedEntry{listed: e.Listed, left: true}
+		if ok && !known && e.ModRevision.Version() < g.changed.Version() {
+			l.outdated.entries[g.id] = outdatedEntry{listed: e.ModRevision, left: true}
 		}
 	}
 	for id, k := range l.endpoints {
 		e, ok := listed[id]
-		if ok && k.endpoint.Draining && !e.Draining && e.Listed.Version() < k.endpoint.Listed.Version() {
-			l.outdated.entries[id] = outdatedEntry{listed: e.Listed}
+		if ok && k.endpoint.Draining && !e.Draining && e.ModRevision.Version() < k.endpoint.ModRevision.Version() {
+			l.outdated.entries[id] = outdatedEntry{listed: e.ModRevision}
 		}
 	}
 	// Entries marked after an earlier restore stay marked while they are unchanged.
 	for id, d := range l.outdated.entries {
-		if e, ok := listed[id]; ok && e.Listed.Version() == d.listed.Version() {
-			l.outdated.entries[id] = outdatedEntry{listed: e.Listed, left: d.left}
+		if e, ok := listed[id]; ok && e.ModRevision.Version() == d.listed.Version() {
+			l.outdated.entries[id] = outdatedEntry{listed: e.ModRevision, left: d.left}
 		}
 	}
 }
@@ -66,7 +66,7 @@
 
 // dropRewritten drops the mark of an entry that differs from the copy's.
 func (o *outdatedEntries) dropRewritten(e catalog.Endpoint) {
-	if old, ok := o.entries[e.ID]; ok && old.listed != e.Listed {
+	if old, ok := o.entries[e.ID]; ok && old.listed != e.ModRevision {
 		delete(o.entries, e.ID)
 	}
 }
--- a/internal/core/discovery/restored_test.go
+++ b/internal/core/discovery/restored_test.go
@@ -16,9 +16,9 @@
 // TestRestoredStoreList guards against trusting a restored store blindly. It checks, with
 // one endpoint for each case, what a node does that knows more than the restored copy.
 func TestRestoredStoreList(t *testing.T) {
-	era := func(version uint64) catalog.Revision { return catalog.RevisionOf(1, version) }
+	era := func(version uint64) catalog.Revision { return catalog.NewRevision(1, version) }
 	entry := func(id string, listed catalog.Revision, draining bool) catalog.Endpoint {
-		return catalog.Endpoint{ID: id, Listed: listed, Draining: draining}
+		return catalog.Endpoint{ID: id, ModRevision: listed, Draining: draining}
 	}
 	l := NewList()
 	at := testTime
@@ -57,9 +57,9 @@
 // and left between two reads, where the copy has the entry that the node never saw.
 func TestRestoreWithUnseenRewrite(t *testing.T) {
 	l := NewList()
-	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", Listed: 2}}, 2)
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", ModRevision: 2}}, 2)
 	l.ApplySnapshot(testTime.Add(time.Second), nil, 4)
-	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "left", Listed: catalog.RevisionOf(1, 3)}}, catalog.RevisionOf(1, 3))
+	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "left", ModRevision: catalog.NewRevision(1, 3)}}, catalog.NewRevision(1, 3))
 	if got := l.Endpoints(); len(got) != 0 {
 		t.Errorf("%v is used although it had left", got)
 	}
@@ -69,10 +69,10 @@
 // lapse, although the store was restored just before: its endpoint was known to be leaving.
 func TestOutdatedEntryRemoved(t *testing.T) {
 	l := NewList()
-	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "leaves", Listed: 2}}, 2)
-	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "leaves", Listed: 3, Draining: true}}, 3)
-	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "leaves", Listed: catalog.RevisionOf(1, 2)}}, catalog.RevisionOf(1, 2))
-	l.ApplySnapshot(testTime.Add(3*time.Second), nil, catalog.RevisionOf(1, 3))
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "leaves", ModRevision: 2}}, 2)
+	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "leaves", ModRevision: 3, Draining: true}}, 3)
+	l.ApplySnapshot(testTime.Add(2*time.Second), []catalog.Endpoint{{ID: "leaves", ModRevision: catalog.NewRevision(1, 2)}}, catalog.NewRevision(1, 2))
+	l.ApplySnapshot(testTime.Add(3*time.Second), nil, catalog.NewRevision(1, 3))
 	if got := l.Endpoints(); len(got) != 0 {
 		t.Errorf("%v is retained although it was known to be leaving", got)
 	}
@@ -83,11 +83,11 @@
 // than after an outage.
 func TestOutdatedPeriodEnds(t *testing.T) {
 	l := NewList()
-	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", Listed: 1}}, 2)
-	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "new", Listed: 4}}, 4)
-	copied := []catalog.Endpoint{{ID: "left", Listed: catalog.RevisionOf(1, 1)}}
+	l.ApplySnapshot(testTime, []catalog.Endpoint{{ID: "left", ModRevision: 1}}, 2)
+	l.ApplySnapshot(testTime.Add(time.Second), []catalog.Endpoint{{ID: "new", ModRevision: 4}}, 4)
+	copied := []catalog.Endpoint{{ID: "left", ModRevision: catalog.NewRevision(1, 1)}}
 	used := func(after time.Duration) (ids []string) {
-		l.ApplySnapshot(testTime.Add(after), copied, catalog.RevisionOf(1, 2))
+		l.ApplySnapshot(testTime.Add(after), copied, catalog.NewRevision(1, 2))
 		for _, e := range l.Endpoints() {
 			ids = append(ids, e.ID)
 		}
@@ -115,11 +115,11 @@
 	rows         map[string]catalog.Endpoint
 }
 
-func (s *storeModel) revision() catalog.Revision { return catalog.RevisionOf(s.era, s.version) }
+func (s *storeModel) revision() catalog.Revision { return catalog.NewRevision(s.era, s.version) }
 
 func (s *storeModel) put(id string, draining bool) {
 	s.version++
-	s.rows[id] = catalog.Endpoint{ID: id, Draining: draining, Listed: s.revision()}
+	s.rows[id] = catalog.Endpoint{ID: id, Draining: draining, ModRevision: s.revision()}
 }
 
 func (s *storeModel) drop(id string) {
@@ -131,7 +131,7 @@
 func (s *storeModel) list() []catalog.Endpoint {
 	var list []catalog.Endpoint
 	for _, e := range s.rows {
-		e.Listed = catalog.RevisionOf(s.era, e.Listed.Version())
+		e.ModRevision = catalog.NewRevision(s.era, e.ModRevision.Version())
 		list = append(list, e)
 	}
 	sortByID(list)
@@ -247,22 +247,22 @@
 	now := testTime
 	v := Evacuations{}.Replace(now, 5, []string{"a", "b"})
 	v = v.ApplyChanges(now, 7, []EvacuationChange{{Domain: "b", Ended: true}})
-	v = v.Replace(now.Add(time.Second), catalog.RevisionOf(1, 5), []string{"b"})
+	v = v.Replace(now.Add(time.Second), catalog.NewRevision(1, 5), []string{"b"})
 	if !v.Contains("a") || !v.Contains("b") || !slices.Equal(v.Listed(), []string{"b"}) {
 		t.Errorf("after the restore: %v evacuated, %v listed", v.Domains(), v.Listed())
 	}
-	again := v.ApplyChanges(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a"}}).Expire(now.Add(time.Hour))
+	again := v.ApplyChanges(now.Add(2*time.Second), catalog.NewRevision(1, 6), []EvacuationChange{{Domain: "a"}}).Expire(now.Add(time.Hour))
 	if !again.Contains("a") {
 		t.Error("an evacuation that was written again has ended")
 	}
-	if over := again.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Contains("a") || over.EndedAt("a").IsZero() {
+	if over := again.Replace(now.Add(3*time.Second), catalog.NewRevision(1, 7), nil); over.Contains("a") || over.EndedAt("a").IsZero() {
 		t.Error("an evacuation that was written again and ended is still in force")
 	}
-	listed := v.Replace(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []string{"a"})
-	if over := listed.Replace(now.Add(3*time.Second), catalog.RevisionOf(1, 7), nil); over.Contains("a") {
+	listed := v.Replace(now.Add(2*time.Second), catalog.NewRevision(1, 6), []string{"a"})
+	if over := listed.Replace(now.Add(3*time.Second), catalog.NewRevision(1, 7), nil); over.Contains("a") {
 		t.Error("an evacuation that another node reported and that ended is still in force")
 	}
-	taken := v.ApplyChanges(now.Add(2*time.Second), catalog.RevisionOf(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
+	taken := v.ApplyChanges(now.Add(2*time.Second), catalog.NewRevision(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
 	if taken.Contains("a") || taken.EndedAt("a").IsZero() {
 		t.Error("an evacuation that was ended is still in force")
 	}
--- a/internal/core/discovery/simulation_test.go
+++ b/internal/core/discovery/simulation_test.go
@@ -131,7 +131,7 @@
 // register writes an endpoint's entry to the store.
 func (w *simulation) register(e *simEndpoint) {
 	w.revision++
-	e.entry.Listed = w.revision
+	e.entry.ModRevision = w.revision
 	e.inStore = true
 	e.lastHeartbeat = w.now
 }
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -202,7 +202,7 @@
 // starting node needs to know these before it can get any work done, so their records are
 // sent first.
 func (n *Node) isStrong(m wire.Member) bool {
-	return !isTerminal(m.State) && lead.Strong(capacityOf(m), n.maxCapacity)
+	return !isTerminal(m.State) && lead.IsLarge(capacityOf(m), n.maxCapacity)
 }
 
 // replyToListing sends the records that the listing lacks, and this node's own listing if
--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -243,7 +243,7 @@
 	l := endpointIndex{byID: make(map[string]catalog.Endpoint, len(list)), byWorker: make(map[string]bool, len(list)), byServiceAddress: make(map[string]bool, len(list))}
 	for _, e := range list {
 		l.byID[e.ID] = e
-		l.byWorker[catalog.WorkerOf(e.ID)] = true
+		l.byWorker[catalog.WorkerName(e.ID)] = true
 		l.byServiceAddress[e.Service+" "+e.Address] = true
 	}
 	return l
@@ -252,5 +252,5 @@
 // replaced reports whether another life of an endpoint is listed, either under the worker
 // name that all its lives share or at its address.
 func (l *endpointIndex) replaced(e catalog.Endpoint) bool {
-	return l.byWorker[catalog.WorkerOf(e.ID)] || l.byServiceAddress[e.Service+" "+e.Address]
+	return l.byWorker[catalog.WorkerName(e.ID)] || l.byServiceAddress[e.Service+" "+e.Address]
 }
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -15,7 +15,7 @@
 const lapsePeriod = lapseHeartbeats * heartbeatInterval
 
 func endpointLife(born int64) catalog.Endpoint {
-	return catalog.Endpoint{ID: catalog.LifeID("e1", born), Service: "model", Address: "10.0.0.1:80"}
+	return catalog.Endpoint{ID: catalog.IncarnationID("e1", born), Service: "model", Address: "10.0.0.1:80"}
 }
 
 // newDetectorWithBreak records a broken run of one request, and whether the endpoint's
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -42,7 +42,7 @@
 // in transit. It is not safe for concurrent use.
 type Refusals struct {
 	byID map[ID]*refusal
-	log  *gossip.Log[ID]
+	log  *gossip.ChangeLog[ID]
 }
 
 type refusal struct {
@@ -55,7 +55,7 @@
 
 // NewRefusals returns an empty set.
 func NewRefusals() *Refusals {
-	return &Refusals{byID: make(map[ID]*refusal), log: gossip.NewLog[ID]()}
+	return &Refusals{byID: make(map[ID]*refusal), log: gossip.NewChangeLog[ID]()}
 }
 
 // Len returns the number of requests that are refused, pardoned or on probation.
@@ -139,7 +139,7 @@
 }
 
 func (r *Refusals) put(id ID, f refusal) {
-	r.log.Changed(id)
+	r.log.MarkChanged(id)
 	r.byID[id] = &f
 	if len(r.byID) <= maxRefusals {
 		return
@@ -155,7 +155,7 @@
 
 func (r *Refusals) drop(id ID) {
 	delete(r.byID, id)
-	r.log.Drop(id)
+	r.log.Remove(id)
 }
 
 // expire drops expired requests.
@@ -222,7 +222,7 @@
 // NextUpdates returns up to most refusals that were not sent to a peer yet, the oldest
 // first, and marks them as sent.
 func (r *Refusals) NextUpdates(now time.Time, to string, most int) []Refusal {
-	ids := r.log.News(to, most)
+	ids := r.log.NextUpdates(to, most)
 	list := make([]Refusal, len(ids))
 	for i, id := range ids {
 		f := r.byID[id]
@@ -234,8 +234,8 @@
 // NeedsUpdate compares the checksum of a peer, and reports whether there is anything to
 // send to it.
 func (r *Refusals) NeedsUpdate(now time.Time, from string, sum uint64) bool {
-	return sum != r.Checksum(now) && r.log.Differs(now, from)
+	return sum != r.Checksum(now) && r.log.HandleMismatch(now, from)
 }
 
 // ForgetPeers drops the state of peers that are gone.
-func (r *Refusals) ForgetPeers(gone func(peer string) bool) { r.log.Forget(gone) }
+func (r *Refusals) ForgetPeers(gone func(peer string) bool) { r.log.ForgetPeers(gone) }
--- a/internal/core/poison/sim_endpoints_test.go
+++ b/internal/core/poison/sim_endpoints_test.go
@@ -30,7 +30,7 @@
 }
 
 func (e *endpoint) life() catalog.Endpoint {
-	return catalog.Endpoint{ID: catalog.LifeID(e.worker, e.born.UnixMilli()), Service: "model", Address: e.address, Slots: 64}
+	return catalog.Endpoint{ID: catalog.IncarnationID(e.worker, e.born.UnixMilli()), Service: "model", Address: e.address, Slots: 64}
 }
 
 // list returns the store's list. Entries lapse three heartbeats after their endpoints
