--- a/internal/core/spread/spread.go
+++ b/internal/core/gossip/gossip.go
@@ -1,4 +1,4 @@
-// Package spread keeps, for each peer, which changes of a set it was told, so that
+// Package gossip keeps, for each peer, which changes of a set it was told, so that
 // heartbeats carry what is new and nothing else.
 //
 // The set itself, and what a sum over it is, belong to its owner. Nodes compare sums with
@@ -7,13 +7,13 @@
 //
 // # Usage
 //
-//	log := spread.NewLog[string]()
+//	log := gossip.NewLog[string]()
 //	log.Changed(key)
 //	keys := log.News(peer, most)
 //	if sum != own && log.Differs(now, peer) {
 //		// answer with News
 //	}
-package spread
+package gossip
 
 import (
 	"cmp"
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"gradetiller.example/internal/core/gossip"
 	"gradetiller.example/internal/core/hash"
-	"gradetiller.example/internal/core/spread"
 )
 
 const (
@@ -42,7 +42,7 @@
 // is on its way. Not safe for concurrent use.
 type Refusals struct {
 	byID map[ID]*refusal
-	log  *spread.Log[ID]
+	log  *gossip.Log[ID]
 }
 
 type refusal struct {
@@ -55,7 +55,7 @@
 
 // NewRefusals returns an empty set.
 func NewRefusals() *Refusals {
-	return &Refusals{byID: make(map[ID]*refusal), log: spread.NewLog[ID]()}
+	return &Refusals{byID: make(map[ID]*refusal), log: gossip.NewLog[ID]()}
 }
 
 // Len returns the number of refused, pardoned and probationary requests.
--- a/internal/core/signal/draining.go
+++ b/internal/core/signal/draining.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"gradetiller.example/internal/core/gossip"
 	"gradetiller.example/internal/core/hash"
-	"gradetiller.example/internal/core/spread"
 )
 
 const (
@@ -21,7 +21,7 @@
 // not safe for concurrent use.
 type Draining struct {
 	seen map[string]time.Time
-	log  *spread.Log[string]
+	log  *gossip.Log[string]
 }
 
 // DrainingUpdate is a member of the set as nodes exchange it.
@@ -33,7 +33,7 @@
 
 // NewDraining returns an empty set.
 func NewDraining() *Draining {
-	return &Draining{seen: make(map[string]time.Time), log: spread.NewLog[string]()}
+	return &Draining{seen: make(map[string]time.Time), log: gossip.NewLog[string]()}
 }
 
 // Len returns the number of endpoints in the set.
--- a/internal/core/signal/limits.go
+++ b/internal/core/signal/limits.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"gradetiller.example/internal/core/gossip"
 	"gradetiller.example/internal/core/hash"
 	"gradetiller.example/internal/core/intake"
-	"gradetiller.example/internal/core/spread"
 )
 
 const (
@@ -26,7 +26,7 @@
 // newest one holds. It is not safe for concurrent use.
 type Limits struct {
 	byEndpoint map[string]*limit
-	log        *spread.Log[string]
+	log        *gossip.Log[string]
 }
 
 // limit is the rate limit of one endpoint.
@@ -55,7 +55,7 @@
 
 // NewLimits returns an empty set.
 func NewLimits() *Limits {
-	return &Limits{byEndpoint: make(map[string]*limit), log: spread.NewLog[string]()}
+	return &Limits{byEndpoint: make(map[string]*limit), log: gossip.NewLog[string]()}
 }
 
 // Len returns the number of endpoints with a rate limit.
