--- a/internal/control/configs.go
+++ b/internal/control/configs.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"gradetiller.example/config"
-	"gradetiller.example/internal/core/settle"
+	"gradetiller.example/internal/core/condwrite"
 	"gradetiller.example/internal/packed"
 	"gradetiller.example/internal/platform"
 	"gradetiller.example/internal/wire"
@@ -99,12 +99,12 @@
 	})
 	c.record("apply", fmt.Sprintf("version/%d", next.Version), fmt.Sprintf("operator=%q outcome=%s digest=%s", operator, outcome, next.Digest))
 	switch outcome {
-	case settle.Done:
+	case condwrite.Done:
 		c.putInForce(wire.ConfigFile{Version: next.Version, Digest: next.Digest, Data: data}, cfg, "operator "+operator)
 		return next.Version, warnings, nil
-	case settle.Lost:
+	case condwrite.Lost:
 		return 0, warnings, c.lostTo(ctx, seen, next.Version)
-	case settle.NotDone:
+	case condwrite.NotDone:
 		return 0, warnings, errStoreAway
 	}
 	return 0, warnings, errUnknown
--- a/internal/core/settle/settle.go
+++ b/internal/core/condwrite/condwrite.go
@@ -1,4 +1,4 @@
-// Package settle finds out what became of a conditional write whose answer
+// Package condwrite finds out what became of a conditional write whose answer
 // may be lost.
 //
 // Every write carries a fresh write id that is stored in the row. After a
@@ -9,13 +9,13 @@
 //
 // # Usage
 //
-//	w := settle.New(base)
-//	for step := w.Next(); step != settle.Stop; step = w.Next() {
+//	w := condwrite.New(base)
+//	for step := w.Next(); step != condwrite.Stop; step = w.Next() {
 //		// send or read as step says, and tell the result:
-//		w.Written(settle.AnswerLost) // or w.Read(version, mine)
+//		w.Written(condwrite.AnswerLost) // or w.Read(version, mine)
 //	}
 //	w.Outcome()
-package settle
+package condwrite
 
 // Step is what the caller does next.
 type Step int
--- a/internal/core/settle/settle_test.go
+++ b/internal/core/condwrite/condwrite_test.go
@@ -1,4 +1,4 @@
-package settle
+package condwrite
 
 import (
 	"testing"
--- a/internal/platform/commit.go
+++ b/internal/platform/commit.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"gradetiller.example/internal/core/settle"
+	"gradetiller.example/internal/core/condwrite"
 )
 
 const (
@@ -19,11 +19,11 @@
 // Commit writes puts and settles the outcome until ctx ends. The first put
 // decides: mine tells whether its row holds this write's id. It returns the
 // deciding row as last seen.
-func Commit(ctx context.Context, table Table, puts []Put, mine func(value []byte) bool) (settle.Outcome, Row) {
-	w := settle.New(puts[0].IfVersion)
+func Commit(ctx context.Context, table Table, puts []Put, mine func(value []byte) bool) (condwrite.Outcome, Row) {
+	w := condwrite.New(puts[0].IfVersion)
 	var seen Row
 	pause := firstPause
-	for w.Next() != settle.Stop {
+	for w.Next() != condwrite.Stop {
 		if commitStep(ctx, table, puts, mine, w, &seen) {
 			continue
 		}
@@ -38,10 +38,10 @@
 }
 
 // commitStep takes one step and reports whether the next may follow at once.
-func commitStep(ctx context.Context, table Table, puts []Put, mine func([]byte) bool, w *settle.Write, seen *Row) bool {
+func commitStep(ctx context.Context, table Table, puts []Put, mine func([]byte) bool, w *condwrite.Write, seen *Row) bool {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	if w.Next() == settle.ReadBack {
+	if w.Next() == condwrite.ReadBack {
 		rows, err := table.Read(ctx, puts[0].Key)
 		if err != nil {
 			return false
@@ -54,15 +54,15 @@
 	var conflict *ConflictError
 	switch {
 	case err == nil:
-		w.Written(settle.Accepted)
+		w.Written(condwrite.Accepted)
 	case errors.As(err, &conflict):
 		*seen = conflict.Rows[0]
-		w.Written(settle.Conflict)
+		w.Written(condwrite.Conflict)
 	case errors.Is(err, ErrRefused):
-		w.Written(settle.Refused)
+		w.Written(condwrite.Refused)
 		return false
 	default:
-		w.Written(settle.AnswerLost)
+		w.Written(condwrite.AnswerLost)
 	}
 	return true
 }
