--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap"
 
 	"gradetiller.example/config"
+	"gradetiller.example/internal/core/decisionlog"
 	"gradetiller.example/internal/core/lease"
 	"gradetiller.example/internal/core/member"
-	"gradetiller.example/internal/core/story"
 	"gradetiller.example/internal/peer"
 	"gradetiller.example/internal/platform"
 	"gradetiller.example/internal/wire"
@@ -46,7 +46,7 @@
 
 	mu        sync.Mutex
 	member    *member.Node
-	story     *story.Ring
+	story     *decisionlog.Ring
 	inForce   wire.ConfigFile
 	cfg       *config.Config
 	entries   map[string]*entryLink
@@ -80,7 +80,7 @@
 		term:    lease.DefaultTerm,
 		started: time.Now(),
 		log:     zap.NewNop(),
-		story:   story.NewRing(storySize),
+		story:   decisionlog.NewRing(storySize),
 		entries: make(map[string]*entryLink),
 		wake:    make(chan struct{}, 1),
 		member: member.New(wire.Member{
@@ -190,7 +190,7 @@
 // record keeps one decision for explain, and logs it.
 func (c *Control) record(name, subject, text string) {
 	c.mu.Lock()
-	c.story.Add(story.Event{At: time.Now(), Subjects: [3]string{subject}, Name: name, Text: text})
+	c.story.Add(decisionlog.Event{At: time.Now(), Subjects: [3]string{subject}, Name: name, Text: text})
 	c.mu.Unlock()
 	c.log.Info(name, zap.String("subject", subject), zap.String("text", text))
 }
--- a/internal/core/story/ring.go
+++ b/internal/core/decisionlog/ring.go
@@ -1,12 +1,12 @@
-// Package story keeps the latest decisions of a process in a bounded ring, so
+// Package decisionlog keeps the latest decisions of a process in a bounded ring, so
 // that it can explain what it did.
 //
 // # Usage
 //
-//	r := story.NewRing(4096)
-//	r.Add(story.Event{At: now, Subjects: []string{"req-7"}, Text: "..."})
+//	r := decisionlog.NewRing(4096)
+//	r.Add(decisionlog.Event{At: now, Subjects: []string{"req-7"}, Text: "..."})
 //	lines := r.About("req-7")
-package story
+package decisionlog
 
 import (
 	"fmt"
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap"
 
 	"gradetiller.example/config"
+	"gradetiller.example/internal/core/decisionlog"
 	"gradetiller.example/internal/core/locate"
 	"gradetiller.example/internal/core/run"
-	"gradetiller.example/internal/core/story"
 	"gradetiller.example/internal/endpoints"
 	"gradetiller.example/internal/wire"
 )
@@ -41,7 +41,7 @@
 
 	mu        sync.Mutex
 	engine    *run.Engine
-	story     *story.Ring
+	story     *decisionlog.Ring
 	waiters   map[run.ID]*stream
 	calls     map[run.AttemptID]context.CancelFunc
 	byRequest map[requestKey]run.ID
@@ -80,7 +80,7 @@
 		metrics:   newMeters(),
 		exchanges: newExchanges(),
 		engine:    run.New(id.Incarnation),
-		story:     story.NewRing(storySize),
+		story:     decisionlog.NewRing(storySize),
 		waiters:   make(map[run.ID]*stream),
 		calls:     make(map[run.AttemptID]context.CancelFunc),
 		byRequest: make(map[requestKey]run.ID),
@@ -173,7 +173,7 @@
 
 func (n *Node) decided(now time.Time, d run.Decision) {
 	n.metrics.decided(d)
-	n.story.Add(story.Event{
+	n.story.Add(decisionlog.Event{
 		At:       now,
 		Subjects: [3]string{d.RequestID, d.Endpoint, d.Stage},
 		Name:     string(d.Name),
