--- a/internal/core/run/action.go
+++ b/internal/core/run/action.go
@@ -6,16 +6,16 @@
 	"gradetiller.example/failure"
 )
 
-// ID names a run on this node.
+// ID identifies a run on this node.
 type ID uint64
 
-// AttemptID names one stage call on this node.
+// AttemptID identifies one stage call on this node.
 type AttemptID uint64
 
-// Action is something for the shell to do.
+// Action is a side effect that the caller of the engine carries out.
 type Action interface{ action() }
 
-// Call asks the shell to send a stage call.
+// Call requests that a stage call be sent.
 type Call struct {
 	Attempt   AttemptID
 	Run       ID
@@ -25,32 +25,31 @@
 	Endpoint  string
 	Address   string
 	Streams   bool
-	// LastStage is true for the pipeline's last stage, whose tokens go to the
-	// caller as they come.
+	// LastStage is true for the pipeline's last stage, whose tokens are
+	// streamed to the client.
 	LastStage  bool
 	Version    string
 	MaxTokens  int
 	Repeatable bool
-	// Priority is 0 (most slack) to MaxPriority (least).
+	// Priority ranges from 0 (most slack) to MaxPriority (least slack).
 	Priority int
 	Deadline time.Time
 	// IdleTimeout bounds the gap between two tokens; 0 means no bound.
 	IdleTimeout time.Duration
-	// ResumeFrom is the number of tokens that the run has already; the
-	// endpoint goes on behind them.
+	// ResumeFrom is the number of tokens that the run already has; the
+	// endpoint continues after them.
 	ResumeFrom int
 	Input      []byte
 }
 
-// MaxPriority is the priority of a call without slack.
+// MaxPriority is the priority of a call with no slack.
 const MaxPriority = 9
 
-// CancelCall asks the shell to give a call up and to cancel it at the
-// endpoint.
+// CancelCall requests that a call be abandoned and canceled at the endpoint.
 type CancelCall struct{ Attempt AttemptID }
 
-// Record asks the shell to store the started record of a run that may run at
-// most once, and to answer with Engine.Recorded.
+// Record requests that the started record of an at-most-once run be stored.
+// The result is passed to Engine.Recorded.
 type Record struct {
 	Run       ID
 	Account   string
@@ -58,15 +57,15 @@
 	Deadline  time.Time
 }
 
-// Abandon asks the shell to mark a started record as not run, so that the
-// caller can ask again with the same request id.
+// Abandon requests that a started record be marked as not run, so that the
+// client can retry with the same request id.
 type Abandon struct {
 	Run       ID
 	Account   string
 	RequestID string
 }
 
-// Finish ends a run. Err is nil for a whole answer.
+// Finish ends a run. Err is nil for a complete answer.
 type Finish struct {
 	Run     ID
 	Output  []byte
@@ -74,7 +73,7 @@
 	Summary Summary
 }
 
-// CallCost tells the cost of one ended call, also of calls whose result was
+// CallCost reports the cost of one ended call, including calls whose result was
 // dropped.
 type CallCost struct {
 	Pipeline string
@@ -85,7 +84,8 @@
 	Took     time.Duration
 }
 
-// Decision is one decision that changed something, for logs and explain.
+// Decision is a decision that affected a run or an endpoint, for logs and
+// the explain command.
 type Decision struct {
 	Name      DecisionName
 	RequestID string
@@ -96,7 +96,7 @@
 	Reason    string
 }
 
-// DecisionName is the closed list of decisions.
+// DecisionName identifies a kind of decision.
 type DecisionName string
 
 // The decisions.
@@ -121,7 +121,7 @@
 func (CallCost) action()   {}
 func (Decision) action()   {}
 
-// Summary tells how a run went.
+// Summary describes a finished run.
 type Summary struct {
 	RequestID string
 	Account   string
@@ -133,7 +133,7 @@
 	Stages    []StageSummary
 }
 
-// StageSummary tells how one stage of a run went.
+// StageSummary describes one stage of a finished run.
 type StageSummary struct {
 	Name     string
 	Endpoint string
--- a/internal/core/run/bench_test.go
+++ b/internal/core/run/bench_test.go
@@ -8,8 +8,8 @@
 	"gradetiller.example/internal/core/attempt"
 )
 
-// BenchmarkRun is the processor time of the decisions of one single-stage
-// request, without input and output, while others are in flight.
+// BenchmarkRun measures the CPU time of the engine for one single-stage
+// request, without I/O, while other runs are in flight.
 func BenchmarkRun(b *testing.B) {
 	for _, inFlight := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(inFlight), func(b *testing.B) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// serve takes one request through its stages.
+// serve submits one request and completes its calls.
 func serve(b *testing.B, e *Engine, now time.Time) {
 	_, actions := e.Submit(now, Request{Account: "b", Pipeline: "single", RequestID: "r", Repeatable: true, Input: []byte("in")})
 	for len(actions) > 0 {
--- a/internal/core/run/call.go
+++ b/internal/core/run/call.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// hedgeQuantile and hedgeFactor: a second call is sent when the first
-	// takes longer than this many times what nearly all calls take.
+	// A hedged call is sent once the first call has taken hedgeFactor times
+	// the hedgeQuantile of the call times.
 	hedgeQuantile = 0.95
 	hedgeFactor   = 1.5
-	leastHedge    = 10 * time.Millisecond
-	// maxTries bounds the calls of one stage of one run.
-	maxTries = 4
-	// idleFactor and leastIdle bound the gap between two tokens.
-	idleFactor = 20
-	leastIdle  = 250 * time.Millisecond
+	minHedgeDelay = 10 * time.Millisecond
+	// maxAttempts bounds the calls of one stage of one run, hedges included.
+	maxAttempts = 4
+	// The idle timeout between two tokens is idleFactor times the expected
+	// gap, and at least minIdleTimeout.
+	idleFactor     = 20
+	minIdleTimeout = 250 * time.Millisecond
 )
 
-func (e *Engine) start(now time.Time, r *activeRun, p *pool, endpoint int) {
+func (e *Engine) startCall(now time.Time, r *activeRun, p *pool, endpoint int) {
 	e.lastCall++
-	c := &call{id: e.lastCall, run: r, pool: p, endpoint: endpoint, stage: r.stage, started: now, once: !r.repeatable()}
-	// The shell may send from here on, so the call counts as sent.
+	c := &call{id: e.lastCall, run: r, pool: p, endpoint: endpoint, stage: r.stage, started: now, atMostOnce: !r.repeatable()}
+	// The call may be sent from here on, so it counts as sent.
 	_ = c.machine.Apply(attempt.Send)
 	e.calls[c.id] = c
 	r.calls = append(r.calls, c)
-	if r.tries == 0 {
+	if r.attempts == 0 {
 		p.retries.AddRequest()
 	}
-	r.tries++
+	r.attempts++
 	req := e.placeRequest(r)
 	p.place.Start(now, endpoint, req)
 	spec := p.place.At(endpoint).Spec()
@@ -53,34 +54,35 @@
 		Repeatable:  r.repeatable(),
 		Priority:    e.priority(now, r),
 		Deadline:    r.deadline,
-		IdleTimeout: e.idle(now, r),
+		IdleTimeout: e.idleTimeout(now, r),
 		ResumeFrom:  r.tokens,
 		Input:       r.input,
 	})
 	if e.mayHedge(r) {
 		if d := e.hedgeDelay(now, r); d > 0 {
-			e.after(now.Add(d), timer{kind: timerHedge, run: r.id, call: c.id})
+			e.schedule(now.Add(d), timer{kind: timerHedge, run: r.id, call: c.id})
 		}
 	}
 }
 
-// priority follows the slack: a run whose needs fill its time is urgent.
+// priority returns the share of the time left that the remaining stages need,
+// scaled to MaxPriority.
 func (e *Engine) priority(now time.Time, r *activeRun) int {
 	left := r.deadline.Sub(now)
 	if left <= 0 {
 		return MaxPriority
 	}
-	need := e.needed(now, r.pipeline, r.stage)
+	need := e.remainingTime(now, r.pipeline, r.stage)
 	return min(MaxPriority, int(float64(MaxPriority)*float64(need)/float64(left)))
 }
 
-func (e *Engine) idle(now time.Time, r *activeRun) time.Duration {
+func (e *Engine) idleTimeout(now time.Time, r *activeRun) time.Duration {
 	if !r.current().Streams() || e.cfg.Policies().PlainRetry() {
 		return 0
 	}
-	took := e.estimate(now, r.pipeline.Name(), r.current().Name()).took.Quantile(now, hedgeQuantile)
+	took := e.estimate(now, r.pipeline.Name(), r.current().Name()).callTimes.Quantile(now, hedgeQuantile)
 	gap := took / time.Duration(max(r.current().MaxTokens(), 1))
-	return max(idleFactor*gap, leastIdle)
+	return max(idleFactor*gap, minIdleTimeout)
 }
 
 func (e *Engine) mayHedge(r *activeRun) bool {
@@ -89,19 +91,20 @@
 
 func (e *Engine) hedgeDelay(now time.Time, r *activeRun) time.Duration {
 	est := e.estimate(now, r.pipeline.Name(), r.current().Name())
-	measured := est.took
+	measured := est.callTimes
 	if r.current().Streams() {
-		measured = est.first
+		measured = est.firstTokenTimes
 	}
 	q := measured.Quantile(now, hedgeQuantile)
 	if q == 0 {
 		return 0
 	}
-	return max(time.Duration(hedgeFactor*float64(q)), leastHedge)
+	return max(time.Duration(hedgeFactor*float64(q)), minHedgeDelay)
 }
 
-// hedge is called when a call is late: its endpoint looks slower from now on,
-// and a second call goes elsewhere if the retry budget allows it.
+// hedge handles a call that exceeded its hedge delay: it lowers the speed
+// estimate of the endpoint and sends a second call to another endpoint if the
+// retry budget allows it.
 func (e *Engine) hedge(now time.Time, c *call) {
 	r := c.run
 	if c.dropped || c.machine.State().Final() {
@@ -111,7 +114,7 @@
 		return
 	}
 	c.pool.place.Late(now, c.endpoint, now.Sub(c.started))
-	if len(r.calls) > 1 || r.tries >= maxTries {
+	if len(r.calls) > 1 || r.attempts >= maxAttempts {
 		return
 	}
 	r.exclude = c.endpoint
@@ -121,24 +124,24 @@
 	}
 	e.counters.Hedges++
 	e.emit(Decision{Name: DecideHedge, RequestID: r.req.RequestID, Run: r.id, Stage: r.current().Name(), Endpoint: c.pool.place.At(i).Spec().Name, Reason: "the first call is late"})
-	e.start(now, r, c.pool, i)
+	e.startCall(now, r, c.pool, i)
 }
 
-// FirstToken tells that the first token of a call has come. It reports whether
-// the call's tokens are to be taken; the other calls of the stage are then
-// canceled.
+// FirstToken records the arrival of a call's first token. It reports whether the
+// call's tokens are used; if so, the other calls of the stage are canceled.
 func (e *Engine) FirstToken(now time.Time, id AttemptID) (bool, []Action) {
 	c, ok := e.calls[id]
 	if !ok || c.dropped {
-		return false, e.take()
+		return false, e.takeActions()
 	}
 	if c.machine.Apply(attempt.FirstByte) != nil {
-		return false, e.take()
+		return false, e.takeActions()
 	}
 	r := c.run
 	if r.tokens == 0 {
-		// A resumed stream says nothing about the time to a first token.
-		e.estimate(now, r.pipeline.Name(), r.current().Name()).first.Observe(now, now.Sub(c.started))
+		// The first token of a resumed stream is no measure of the time to
+		// first token of a new one.
+		e.estimate(now, r.pipeline.Name(), r.current().Name()).firstTokenTimes.Observe(now, now.Sub(c.started))
 	}
 	for _, other := range r.calls {
 		if other != c {
@@ -146,14 +149,14 @@
 		}
 	}
 	r.calls = append(r.calls[:0], c)
-	return true, e.take()
+	return true, e.takeActions()
 }
 
-// drop gives a call up; its end will only be counted.
+// drop cancels a call; its result is counted but not delivered.
 func (e *Engine) drop(c *call) {
 	c.dropped = true
 	if c.machine.State().MayHaveRun() {
-		c.sentBytes()
+		c.markMayHaveRun()
 	}
 	e.emit(CancelCall{Attempt: c.id})
 }
@@ -166,13 +169,13 @@
 }
 
 func (e *Engine) leaveQueue(r *activeRun) {
-	if r.waiting != nil {
-		r.waitPool.queue.Remove(r.waiting)
-		r.waiting = nil
+	if r.queued != nil {
+		r.queuedIn.queue.Remove(r.queued)
+		r.queued = nil
 	}
 }
 
-func (r *activeRun) remove(c *call) {
+func (r *activeRun) removeCall(c *call) {
 	for i, other := range r.calls {
 		if other == c {
 			r.calls = append(r.calls[:i], r.calls[i+1:]...)
--- a/internal/core/run/engine.go
+++ b/internal/core/run/engine.go
@@ -13,7 +13,7 @@
 	"gradetiller.example/internal/core/place"
 )
 
-// Counters count what the engine did since its start.
+// Counters holds cumulative counts since the engine was created.
 type Counters struct {
 	Admitted, Refused, Finished, Hedges, Retries, Resumes, Skips, LateAnswers, Ejections uint64
 }
@@ -25,83 +25,84 @@
 	nodes    int
 	seed     uint64
 	accounts []*limit.Account
-	// accountIndex finds an account's index by its name.
+	// accountIndex maps an account's name to its index.
 	accountIndex map[string]int
 	// rateShare is each account's share of its rate on this node.
 	rateShare func(account int) float64
-	// sharesFor is the configuration whose account indices rateShare knows.
-	sharesFor *config.Config
-	pools     map[string]*pool
-	byIndex   []*pool
-	runs      map[ID]*activeRun
-	calls     map[AttemptID]*call
-	recording map[ID]recordKey
-	estimates map[stageKey]*estimate
-	timers    timerHeap
-	lastRun   ID
-	lastCall  AttemptID
-	lastProbe time.Time
-	// window is what is left of the process's time once a stop has begun.
+	// rateShareConfig is the configuration that rateShare's account indices
+	// refer to.
+	rateShareConfig *config.Config
+	pools           map[string]*pool
+	poolsByIndex    []*pool
+	runs            map[ID]*activeRun
+	calls           map[AttemptID]*call
+	pendingRecords  map[ID]recordKey
+	estimates       map[stageKey]*estimate
+	timers          timerHeap
+	lastRun         ID
+	lastCall        AttemptID
+	lastProbe       time.Time
+	// window ends when the process does; it is set once a stop has begun.
 	window   drain.Window
 	counters Counters
-	out      []Action
+	actions  []Action
 }
 
 // pool is the state of one pool on this node.
 type pool struct {
-	conf    *config.Pool
-	place   *place.Pool
-	queue   *order.Queue[*activeRun]
-	ordered string
-	retries *attempt.RetryBudget
-	took    *budget.Estimator
-	// pumpAt is when the queue is looked at again although nothing ended.
-	pumpAt time.Time
+	conf        *config.Pool
+	place       *place.Pool
+	queue       *order.Queue[*activeRun]
+	orderPolicy string
+	retries     *attempt.RetryBudget
+	callTimes   *budget.Estimator
+	// nextPump is when the queue is next retried without an event.
+	nextPump time.Time
 }
 
 type stageKey struct{ pipeline, stage string }
 
-// estimate holds what is measured of one stage of one pipeline.
+// estimate holds the measured times of one stage of one pipeline.
 type estimate struct {
-	took  *budget.Estimator
-	first *budget.Estimator
+	callTimes       *budget.Estimator
+	firstTokenTimes *budget.Estimator
 }
 
-// New returns an engine without configuration; it refuses every request as
-// not ready until Configure.
+// New returns an engine without a configuration; it refuses every request as
+// not ready until Configure is called.
 func New(seed uint64) *Engine {
 	return &Engine{
-		seed:      seed,
-		nodes:     1,
-		pools:     make(map[string]*pool),
-		runs:      make(map[ID]*activeRun),
-		calls:     make(map[AttemptID]*call),
-		recording: make(map[ID]recordKey),
-		estimates: make(map[stageKey]*estimate),
-		rateShare: func(int) float64 { return 1 },
+		seed:           seed,
+		nodes:          1,
+		pools:          make(map[string]*pool),
+		runs:           make(map[ID]*activeRun),
+		calls:          make(map[AttemptID]*call),
+		pendingRecords: make(map[ID]recordKey),
+		estimates:      make(map[stageKey]*estimate),
+		rateShare:      func(int) float64 { return 1 },
 	}
 }
 
 // Counters returns a copy of the counters.
 func (e *Engine) Counters() Counters { return e.counters }
 
-// InFlight returns the number of runs that are not finished.
+// InFlight returns the number of unfinished runs.
 func (e *Engine) InFlight() int { return len(e.runs) }
 
-// Config returns the configuration in force, or nil.
+// Config returns the active configuration, or nil.
 func (e *Engine) Config() *config.Config { return e.cfg }
 
-// slotOvercommit is by how much the nodes together may exceed an endpoint's
-// slots, so that one node's idle share is not lost to the others.
+// slotOvercommit is the factor by which the nodes together may exceed an
+// endpoint's slots, so that the unused share of one node is not lost.
 const slotOvercommit = 1.5
 
-// Configure puts a configuration in force. nodes is the number of entry nodes
-// that share the endpoints. Runs in flight keep the pipeline they started
-// with; their pools are found by name, so that a pool that is gone still
-// receives the ends of its calls.
+// Configure applies a configuration. nodes is the number of entry nodes that
+// share the endpoints. Runs in flight keep the pipeline they started with;
+// their pools are looked up by name, so that a removed pool still receives the
+// results of its calls.
 func (e *Engine) Configure(now time.Time, cfg *config.Config, nodes int) error {
 	e.nodes = max(nodes, 1)
-	e.byIndex = make([]*pool, len(cfg.Pools()))
+	e.poolsByIndex = make([]*pool, len(cfg.Pools()))
 	kept := make(map[string]bool)
 	for i := range cfg.Pools() {
 		conf := &cfg.Pools()[i]
@@ -109,7 +110,7 @@
 		if err != nil {
 			return err
 		}
-		e.byIndex[i] = p
+		e.poolsByIndex[i] = p
 		kept[conf.Name()] = true
 	}
 	for name, p := range e.pools {
@@ -117,8 +118,8 @@
 			p.place.Update(nil)
 		}
 	}
-	// The shares' indices belong to the earlier configuration.
-	e.sharesFor = nil
+	// The account indices of the shares refer to the previous configuration.
+	e.rateShareConfig = nil
 	e.configureAccounts(now, cfg)
 	e.cfg = cfg
 	return nil
@@ -131,7 +132,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p = &pool{place: placed, took: budget.NewEstimator(now), retries: newRetries(cfg.Policies())}
+		p = &pool{place: placed, callTimes: budget.NewEstimator(now), retries: newRetries(cfg.Policies())}
 		e.pools[conf.Name()] = p
 	}
 	if p.conf == nil || p.conf.Place() != conf.Place() {
@@ -139,13 +140,13 @@
 			return nil, err
 		}
 	}
-	if p.ordered != conf.Order() {
+	if p.orderPolicy != conf.Order() {
 		if err := p.reorder(conf.Order()); err != nil {
 			return nil, err
 		}
 	}
 	p.conf = conf
-	p.place.Update(e.specs(cfg, conf))
+	p.place.Update(e.endpointSpecs(cfg, conf))
 	return p, nil
 }
 
@@ -156,7 +157,7 @@
 	return attempt.NewRetryBudget(policies.RetryShare())
 }
 
-// reorder moves the waiting runs into a queue under another policy.
+// reorder moves the queued runs to a queue with the named policy.
 func (p *pool) reorder(name string) error {
 	q, err := order.New[*activeRun](name)
 	if err != nil {
@@ -164,16 +165,16 @@
 	}
 	if p.queue != nil {
 		for r, ok := p.queue.Pop(); ok; r, ok = p.queue.Pop() {
-			r.waiting = q.Push(r, r.item)
+			r.queued = q.Push(r, r.item)
 		}
 	}
 	p.queue = q
-	p.ordered = name
+	p.orderPolicy = name
 	return nil
 }
 
-// specs lists the endpoints of a pool to which calls go.
-func (e *Engine) specs(cfg *config.Config, conf *config.Pool) []place.Spec {
+// endpointSpecs returns the endpoints of a pool that accept calls.
+func (e *Engine) endpointSpecs(cfg *config.Config, conf *config.Pool) []place.Spec {
 	specs := make([]place.Spec, 0, len(conf.Endpoints()))
 	for i := range conf.Endpoints() {
 		ep := &conf.Endpoints()[i]
@@ -184,7 +185,7 @@
 			Name:     ep.Name(),
 			Address:  ep.Address(),
 			Domain:   ep.Domain(),
-			Slots:    e.nodeSlots(ep.Slots()),
+			Slots:    e.slotShare(ep.Slots()),
 			Cost:     ep.Cost(),
 			Versions: ep.Versions(),
 		})
@@ -192,7 +193,7 @@
 	return specs
 }
 
-func (e *Engine) nodeSlots(slots int) int {
+func (e *Engine) slotShare(slots int) int {
 	if e.nodes == 1 {
 		return slots
 	}
@@ -224,7 +225,7 @@
 
 func (e *Engine) limits(conf *config.Account, i int) limit.Settings {
 	share := 1.0
-	if e.sharesFor == e.cfg {
+	if e.rateShareConfig == e.cfg {
 		share = e.rateShare(i)
 	}
 	return limit.Settings{
@@ -234,11 +235,11 @@
 	}
 }
 
-// SetRateShares puts new shares of the accounts' rates in force on this node;
-// share returns 0 to 1 for an account's index.
+// SetRateShares sets this node's share of each account's rate; share returns a
+// value from 0 to 1 for an account's index.
 func (e *Engine) SetRateShares(now time.Time, share func(account int) float64) {
 	e.rateShare = share
-	e.sharesFor = e.cfg
+	e.rateShareConfig = e.cfg
 	if e.cfg == nil {
 		return
 	}
@@ -247,8 +248,8 @@
 	}
 }
 
-// SetDraining tells that an endpoint of a pool is leaving and must get no new
-// work, or that it is back.
+// SetDraining marks an endpoint of a pool as draining, so that it gets no new
+// calls, or as back in service.
 func (e *Engine) SetDraining(poolName, endpoint string, leaving bool) []Action {
 	p, ok := e.pools[poolName]
 	if !ok {
@@ -258,20 +259,20 @@
 	switch {
 	case i == place.None:
 	case leaving:
-		e.leave(p, i)
+		e.drainEndpoint(p, i)
 	default:
 		p.place.Return(i)
 	}
-	return e.take()
+	return e.takeActions()
 }
 
-func (e *Engine) leave(p *pool, i int) {
+func (e *Engine) drainEndpoint(p *pool, i int) {
 	if p.place.Leave(i) {
 		e.emit(Decision{Name: DecideDrain, Endpoint: p.place.At(i).Spec().Name})
 	}
 }
 
-// Queued returns the number of stage calls that wait for the named pool.
+// Queued returns the number of stage calls queued for the named pool.
 func (e *Engine) Queued(poolName string) int {
 	if p, ok := e.pools[poolName]; ok {
 		return p.queue.Len()
@@ -279,11 +280,11 @@
 	return 0
 }
 
-func (e *Engine) emit(a Action) { e.out = append(e.out, a) }
+func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
 
-func (e *Engine) take() []Action {
-	out := e.out
-	e.out = nil
+func (e *Engine) takeActions() []Action {
+	out := e.actions
+	e.actions = nil
 	return out
 }
 
--- a/internal/core/run/engine_test.go
+++ b/internal/core/run/engine_test.go
@@ -14,8 +14,8 @@
 	_ "gradetiller.example/internal/fixedseed"
 )
 
-// parseConfig returns a configuration with two pools and three pipelines; more
-// is put behind the policies.
+// parseConfig returns a configuration with two pools, three pipelines and the
+// given policies.
 func parseConfig(t interface{ Fatal(...any) }, policies string) *config.Config {
 	text := fmt.Sprintf(`
 format: 1
@@ -56,25 +56,25 @@
 	return cfg
 }
 
-// trace follows an engine and checks its invariants from the actions alone.
+// trace drives an engine and checks its invariants from the emitted actions.
 type trace struct {
-	t        *rapid.T
-	engine   *Engine
-	now      time.Time
-	plain    bool
-	requests map[ID]Request
-	stored   map[ID]bool
-	finished map[ID]*Finish
-	abandons map[ID]int
-	free     map[ID]bool // no call that may not be repeated may have run
-	calls    map[AttemptID]*tracedCall
-	open     []AttemptID
-	records  []ID
-	last     map[ID]string // expected input of the next stage
-	repeats  int
-	fresh    int
-	seen     map[string]bool
-	ends     time.Time // of the process; zero means that no stop is under way
+	t           *rapid.T
+	engine      *Engine
+	now         time.Time
+	plain       bool
+	requests    map[ID]Request
+	stored      map[ID]bool
+	finished    map[ID]*Finish
+	abandons    map[ID]int
+	notRunOnce  map[ID]bool // finished with an error, and no non-repeatable call may have run
+	calls       map[AttemptID]*tracedCall
+	open        []AttemptID
+	records     []ID
+	wantInput   map[ID]string // expected input of the next stage
+	repeatCalls int
+	firstCalls  int
+	seen        map[string]bool
+	stopAt      time.Time // when the process ends; zero if it is not stopping
 }
 
 type tracedCall struct {
@@ -82,7 +82,7 @@
 	notRun bool
 }
 
-func (tr *trace) take(actions []Action) {
+func (tr *trace) handle(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Call:
@@ -100,14 +100,13 @@
 	}
 }
 
-// call checks that a call that may not be repeated is sent only after its
-// record is stored and after every earlier call of its stage is proven not to
-// have run.
+// call checks that a non-repeatable call is sent only after its record is
+// stored and every earlier call of its stage is proven not to have run.
 func (tr *trace) call(c Call) {
 	if tr.finished[c.Run] != nil {
 		tr.t.Fatalf("call for run %d after its finish", c.Run)
 	}
-	if want := tr.last[c.Run]; string(c.Input) != want {
+	if want := tr.wantInput[c.Run]; string(c.Input) != want {
 		tr.t.Fatalf("run %d stage %s got input %q, want %q", c.Run, c.Stage, c.Input, want)
 	}
 	if !c.Repeatable {
@@ -122,9 +121,9 @@
 	}
 	key := fmt.Sprint(c.Run, c.Stage)
 	if tr.seen[key] {
-		tr.repeats++
+		tr.repeatCalls++
 	} else {
-		tr.fresh++
+		tr.firstCalls++
 	}
 	tr.seen[key] = true
 	tr.calls[c.Attempt] = &tracedCall{Call: c}
@@ -142,10 +141,10 @@
 		tr.t.Fatalf("run %d finished twice", f.Run)
 	}
 	tr.finished[f.Run] = &f
-	tr.free[f.Run] = f.Err != nil && !tr.onceMayHaveRun(f.Run)
+	tr.notRunOnce[f.Run] = f.Err != nil && !tr.onceMayHaveRun(f.Run)
 	if f.Err == nil {
-		if string(f.Output) != tr.last[f.Run] {
-			tr.t.Fatalf("run %d answered %q, want %q", f.Run, f.Output, tr.last[f.Run])
+		if string(f.Output) != tr.wantInput[f.Run] {
+			tr.t.Fatalf("run %d answered %q, want %q", f.Run, f.Output, tr.wantInput[f.Run])
 		}
 		return
 	}
@@ -154,7 +153,7 @@
 	}
 	for _, c := range tr.calls {
 		if c.Run == f.Run && !c.notRun {
-			tr.t.Fatalf("run %d was told %v although stage %s may have run", f.Run, f.Err, c.Stage)
+			tr.t.Fatalf("run %d got %v although stage %s may have run", f.Run, f.Err, c.Stage)
 		}
 	}
 }
@@ -166,9 +165,10 @@
 		RequestID: fmt.Sprint("r", len(tr.requests)), Repeatable: rapid.Bool().Draw(tr.t, "repeatable"), Input: []byte("in"),
 		Timeout: time.Duration(rapid.IntRange(1, 1000).Draw(tr.t, "left")) * time.Millisecond,
 	}
-	// The engine numbers runs in order; the input is known before it acts.
+	// Runs are numbered in order, so the expected input can be set before the
+	// engine emits the first call.
 	next := tr.engine.lastRun + 1
-	tr.last[next] = "in"
+	tr.wantInput[next] = "in"
 	tr.requests[next] = req
 	id, actions := tr.engine.Submit(tr.now, req)
 	if id == 0 {
@@ -176,10 +176,10 @@
 	}
 	conf, _ := tr.engine.Config().Pipeline(pipeline)
 	deadline := tr.now.Add(min(req.Timeout, conf.Deadline()))
-	if id != 0 && !tr.ends.IsZero() && deadline.After(tr.ends) {
-		tr.t.Fatalf("run %d was taken although its deadline lies %v behind the end", id, deadline.Sub(tr.ends))
+	if id != 0 && !tr.stopAt.IsZero() && deadline.After(tr.stopAt) {
+		tr.t.Fatalf("run %d was admitted although its deadline is %v after the process ends", id, deadline.Sub(tr.stopAt))
 	}
-	tr.take(actions)
+	tr.handle(actions)
 }
 
 func (tr *trace) end() {
@@ -197,7 +197,7 @@
 	if event == attempt.Complete {
 		end.Output = []byte(out)
 		if !tr.engine.calls[c.Attempt].dropped {
-			tr.last[c.Run] = out
+			tr.wantInput[c.Run] = out
 		}
 	}
 	if c.Streams && event == attempt.NoResponse {
@@ -205,10 +205,10 @@
 	}
 	c.notRun = event == attempt.NotSent || event == attempt.Rejected
 	if tr.engine.calls[c.Attempt].machine.State() == attempt.Answering {
-		// An answer that has begun cannot turn into "not run".
+		// A call that has started to answer can't end as "not run".
 		c.notRun = false
 	}
-	tr.take(tr.engine.CallEnded(tr.now, c.Attempt, end))
+	tr.handle(tr.engine.CallEnded(tr.now, c.Attempt, end))
 }
 
 func (tr *trace) record() {
@@ -219,7 +219,7 @@
 	tr.records = tr.records[1:]
 	result := rapid.SampledFrom([]RecordResult{RecordStored, RecordStored, RecordDuplicate, RecordUnavailable}).Draw(tr.t, "record")
 	tr.stored[id] = result == RecordStored
-	tr.take(tr.engine.Recorded(tr.now, id, result))
+	tr.handle(tr.engine.Recorded(tr.now, id, result))
 }
 
 func (tr *trace) step() {
@@ -232,7 +232,7 @@
 	case 6, 7:
 		tr.record()
 	case 8:
-		tr.take(tr.engine.Tick(tr.now))
+		tr.handle(tr.engine.Tick(tr.now))
 	case 9:
 		tr.other()
 	}
@@ -242,15 +242,15 @@
 	switch rapid.IntRange(0, 2).Draw(tr.t, "other") {
 	case 0:
 		if n := len(tr.requests); n > 0 {
-			tr.take(tr.engine.Cancel(tr.now, ID(rapid.IntRange(1, n).Draw(tr.t, "run"))))
+			tr.handle(tr.engine.Cancel(tr.now, ID(rapid.IntRange(1, n).Draw(tr.t, "run"))))
 		}
 	case 1:
-		tr.take(tr.engine.SetDraining("p", "p1", rapid.Bool().Draw(tr.t, "leaving")))
+		tr.handle(tr.engine.SetDraining("p", "p1", rapid.Bool().Draw(tr.t, "leaving")))
 	case 2:
 		if len(tr.open) > 0 {
 			i := rapid.IntRange(0, len(tr.open)-1).Draw(tr.t, "answering")
 			_, actions := tr.engine.FirstToken(tr.now, tr.open[i])
-			tr.take(actions)
+			tr.handle(actions)
 		}
 	}
 }
@@ -264,27 +264,28 @@
 	return false
 }
 
-// stop has the process stop at a time that is known, and end there or sooner.
-// From the end on no run is under way and none is taken.
+// stop announces a stop time and terminates the engine at that time or before.
+// From then on no run is in flight and none is admitted.
 func (tr *trace) stop() {
-	tr.ends = tr.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(tr.t, "stop")) * time.Millisecond)
-	tr.engine.StopAt(tr.ends)
+	tr.stopAt = tr.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(tr.t, "stop")) * time.Millisecond)
+	tr.engine.StopAt(tr.stopAt)
 	for range rapid.IntRange(0, 30).Draw(tr.t, "steps of the stop") {
 		tr.step()
 	}
-	tr.ends = tr.now
-	tr.take(tr.engine.Terminate(tr.now))
+	tr.stopAt = tr.now
+	tr.handle(tr.engine.Terminate(tr.now))
 	if n := tr.engine.InFlight(); n != 0 {
-		tr.t.Fatalf("%d runs are under way after the end", n)
+		tr.t.Fatalf("%d runs in flight after Terminate", n)
 	}
 	tr.submit()
 	if n := tr.engine.InFlight(); n != 0 {
-		tr.t.Fatal("a request was taken after the end")
+		tr.t.Fatal("a request was admitted after Terminate")
 	}
 }
 
-// settle lets all time pass and checks that nothing is left over.
-func (tr *trace) settle() {
+// runToCompletion advances time until all runs have ended and checks that no queued
+// call, outstanding call or record is left.
+func (tr *trace) runToCompletion() {
 	for len(tr.records) > 0 {
 		tr.record()
 	}
@@ -293,7 +294,7 @@
 			break
 		}
 		tr.now = tr.now.Add(50 * time.Millisecond)
-		tr.take(tr.engine.Tick(tr.now))
+		tr.handle(tr.engine.Tick(tr.now))
 		for len(tr.records) > 0 {
 			tr.record()
 		}
@@ -304,8 +305,8 @@
 		if f == nil {
 			tr.t.Fatalf("run %d never finished", id)
 		}
-		if tr.stored[id] && tr.free[id] != (tr.abandons[id] == 1) {
-			tr.t.Fatalf("run %d ended with %v and its record was abandoned %d times", id, f.Err, tr.abandons[id])
+		if tr.stored[id] && tr.notRunOnce[id] != (tr.abandons[id] == 1) {
+			tr.t.Fatalf("run %d ended with %v but its record was abandoned %d times", id, f.Err, tr.abandons[id])
 		}
 	}
 	for name, p := range tr.engine.pools {
@@ -318,16 +319,16 @@
 			}
 		}
 	}
-	if !tr.plain && float64(tr.repeats) > 0.1*float64(tr.fresh)+6 {
-		tr.t.Fatalf("%d repeats for %d fresh calls", tr.repeats, tr.fresh)
+	if !tr.plain && float64(tr.repeatCalls) > 0.1*float64(tr.firstCalls)+6 {
+		tr.t.Fatalf("%d repeated calls for %d first calls", tr.repeatCalls, tr.firstCalls)
 	}
 }
 
-// TestInvariants drives the engine with random events, faults among them, and
-// checks from its actions what must always hold: one finish for each run, "not
-// run" only if no call may have run, at most one send of a call that may not
-// be repeated, the right input and output for each stage, no run taken that may
-// be under way when the process ends, and no leftovers.
+// TestInvariants drives the engine with random events and faults and checks the
+// invariants from its actions: one Finish for each run, "not run" only if no
+// call may have run, at most one send of a non-repeatable call, the right input
+// and output for each stage, no run admitted that may be in flight when the
+// process ends, and no state left behind.
 func TestInvariants(t *testing.T) {
 	for _, policies := range []string{"", "retry: plain, admission: none, order: fifo, place: round_robin", "order: least_slack, place: power_of_two"} {
 		t.Run(strings.ReplaceAll(policies, " ", ""), func(t *testing.T) {
@@ -335,8 +336,8 @@
 				tr := &trace{
 					t: t, engine: New(1), now: time.Unix(1000, 0), plain: strings.Contains(policies, "plain"),
 					requests: make(map[ID]Request), stored: make(map[ID]bool),
-					finished: make(map[ID]*Finish), abandons: make(map[ID]int), free: make(map[ID]bool), calls: make(map[AttemptID]*tracedCall),
-					last: make(map[ID]string), seen: make(map[string]bool),
+					finished: make(map[ID]*Finish), abandons: make(map[ID]int), notRunOnce: make(map[ID]bool), calls: make(map[AttemptID]*tracedCall),
+					wantInput: make(map[ID]string), seen: make(map[string]bool),
 				}
 				if err := tr.engine.Configure(tr.now, parseConfig(t, policies), 1); err != nil {
 					t.Fatal(err)
@@ -347,7 +348,7 @@
 				if rapid.Bool().Draw(t, "stops") {
 					tr.stop()
 				}
-				tr.settle()
+				tr.runToCompletion()
 			})
 		})
 	}
--- a/internal/core/run/evacuated_test.go
+++ b/internal/core/run/evacuated_test.go
@@ -7,8 +7,9 @@
 	"gradetiller.example/config"
 )
 
-// TestEvacuatedEndpointsGetNoCalls puts a configuration in force that evacuates a failure
-// domain, and then one that does no more: only the others' endpoints may be chosen meanwhile.
+// TestEvacuatedEndpointsGetNoCalls applies a configuration that evacuates a failure
+// domain: only endpoints of other failure domains may be chosen, until a configuration
+// without the evacuation is applied.
 func TestEvacuatedEndpointsGetNoCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	open := parseConfig(t, "")
@@ -29,7 +30,7 @@
 			t.Fatal(err)
 		}
 		used := make(map[string]bool)
-		for _, p := range e.byIndex {
+		for _, p := range e.poolsByIndex {
 			for i := range p.place.Len() {
 				if name := p.place.At(i).Spec().Name; p.place.Find(name) == i {
 					used[name] = true
@@ -37,11 +38,11 @@
 			}
 		}
 		if len(used) != len(step.want) {
-			t.Errorf("endpoints to use: %v, want %v", used, step.want)
+			t.Errorf("eligible endpoints: %v, want %v", used, step.want)
 		}
 		for _, name := range step.want {
 			if !used[name] {
-				t.Errorf("%s is not used", name)
+				t.Errorf("%s is not eligible", name)
 			}
 		}
 	}
--- a/internal/core/run/outcome.go
+++ b/internal/core/run/outcome.go
@@ -9,25 +9,25 @@
 	"gradetiller.example/internal/core/place"
 )
 
-// CallEnded tells that a call came to its end.
+// CallEnded records the end of a call.
 func (e *Engine) CallEnded(now time.Time, id AttemptID, end CallResult) []Action {
 	c, ok := e.calls[id]
 	if !ok {
 		e.counters.LateAnswers++
-		return e.take()
+		return e.takeActions()
 	}
 	delete(e.calls, id)
 	e.release(now, c, end)
 	if c.dropped {
-		e.late(c, end)
+		e.dropLate(c, end)
 	} else {
-		e.settle(now, c, end)
+		e.finishCall(now, c, end)
 	}
 	e.pump(now, c.pool)
-	return e.take()
+	return e.takeActions()
 }
 
-// release gives the call's place at its endpoint back and accounts for it.
+// release frees the call's slot at its endpoint and records its result and cost.
 func (e *Engine) release(now time.Time, c *call, end CallResult) {
 	took := now.Sub(c.started)
 	spec := c.pool.place.At(c.endpoint).Spec()
@@ -42,7 +42,7 @@
 		e.emit(Decision{Name: DecideEject, Endpoint: spec.Name, Stage: c.run.pipeline.Stages()[c.stage].Name(), Reason: end.Reason})
 	}
 	if end.Draining {
-		e.leave(c.pool, c.endpoint)
+		e.drainEndpoint(c.pool, c.endpoint)
 	}
 	if end.Event == attempt.NotSent {
 		return
@@ -57,7 +57,7 @@
 	})
 }
 
-func (e *Engine) late(c *call, end CallResult) {
+func (e *Engine) dropLate(c *call, end CallResult) {
 	if end.Event != attempt.Complete {
 		return
 	}
@@ -65,51 +65,51 @@
 	e.emit(Decision{Name: DecideDropLate, RequestID: c.run.req.RequestID, Run: c.run.id, Stage: c.run.pipeline.Stages()[c.stage].Name(), Reason: "the run went on without this call"})
 }
 
-func (e *Engine) settle(now time.Time, c *call, end CallResult) {
+func (e *Engine) finishCall(now time.Time, c *call, end CallResult) {
 	r := c.run
-	r.remove(c)
+	r.removeCall(c)
 	if err := c.machine.Apply(end.Event); err != nil {
 		end.Event = attempt.NoResponse
 		end.Reason = err.Error()
 		_ = c.machine.Apply(end.Event)
 	}
 	if c.machine.State().MayHaveRun() {
-		c.sentBytes()
+		c.markMayHaveRun()
 	}
 	if c.machine.State() == attempt.Done {
-		e.complete(now, c, end)
+		e.completeStage(now, c, end)
 		return
 	}
 	if end.Tokens > r.tokens {
 		r.tokens = end.Tokens
 	}
 	if len(r.calls) > 0 {
-		// The other call of a hedged stage goes on.
+		// The other call of a hedged stage is still in flight.
 		return
 	}
-	e.again(now, c, end)
+	e.retry(now, c, end)
 }
 
-func (e *Engine) complete(now time.Time, c *call, end CallResult) {
+func (e *Engine) completeStage(now time.Time, c *call, end CallResult) {
 	r := c.run
 	took := now.Sub(c.started)
-	e.estimate(now, r.pipeline.Name(), r.current().Name()).took.Observe(now, took)
-	c.pool.took.Observe(now, took)
+	e.estimate(now, r.pipeline.Name(), r.current().Name()).callTimes.Observe(now, took)
+	c.pool.callTimes.Observe(now, took)
 	e.dropCalls(r)
 	r.input = end.Output
-	e.next(now, r)
+	e.advance(now, r)
 }
 
-// again sends a failed call once more, or ends the run.
-func (e *Engine) again(now time.Time, c *call, end CallResult) {
+// retry resends a failed call, or ends the run.
+func (e *Engine) retry(now time.Time, c *call, end CallResult) {
 	r := c.run
 	state := c.machine.State()
 	if state != attempt.NotRun && !r.repeatable() {
-		e.endFailed(now, r, state, end.Reason)
+		e.failStage(now, r, state, end.Reason)
 		return
 	}
-	if r.tries >= maxTries || !c.pool.retries.TryAcquire() {
-		e.endFailed(now, r, state, end.Reason)
+	if r.attempts >= maxAttempts || !c.pool.retries.TryAcquire() {
+		e.failStage(now, r, state, end.Reason)
 		return
 	}
 	r.exclude = c.endpoint
@@ -126,9 +126,9 @@
 	e.enqueue(now, r)
 }
 
-func (e *Engine) endFailed(now time.Time, r *activeRun, state attempt.State, reason string) {
+func (e *Engine) failStage(now time.Time, r *activeRun, state attempt.State, reason string) {
 	if r.current().Optional() && r.tokens == 0 {
-		e.skip(now, r, reason)
+		e.skipStage(now, r, reason)
 		return
 	}
 	kind := failure.StageUnknown
@@ -141,12 +141,12 @@
 	if r.mayHaveRun && state == attempt.NotRun {
 		kind = failure.StageUnknown
 	}
-	e.finish(now, r, nil, failure.New(kind, reason, failure.WithStage(r.current().Name()), failure.WithRetryAfter(fullQueueRetry)))
+	e.finish(now, r, nil, failure.New(kind, reason, failure.WithStage(r.current().Name()), failure.WithRetryAfter(overloadRetryAfter)))
 }
 
-// fail ends a run that could not go on by a decision of this node. The given
-// kind says "not run"; a run that may have run gets the answer for that.
-func (e *Engine) fail(now time.Time, r *activeRun, kind failure.Kind, message string) {
+// failLocally ends a run that this node can't continue. The given kind means "not
+// run"; it is replaced if an earlier call of the run may have run.
+func (e *Engine) failLocally(now time.Time, r *activeRun, kind failure.Kind, message string) {
 	if r.mayHaveRun {
 		message = fmt.Sprintf("%s: %s", kind, message)
 		kind = failure.StageUnknown
@@ -154,20 +154,20 @@
 			kind = failure.DeadlineExceeded
 		}
 	}
-	e.finish(now, r, nil, failure.New(kind, message, failure.WithStage(r.current().Name()), failure.WithRetryAfter(fullQueueRetry)))
+	e.finish(now, r, nil, failure.New(kind, message, failure.WithStage(r.current().Name()), failure.WithRetryAfter(overloadRetryAfter)))
 }
 
-// Cancel ends a run because its caller went away.
+// Cancel ends a run because its client disconnected.
 func (e *Engine) Cancel(now time.Time, id ID) []Action {
 	r, ok := e.runs[id]
 	if !ok {
-		return e.take()
+		return e.takeActions()
 	}
-	e.giveUp(now, r, failure.CanceledNotRun, failure.Canceled, "the caller canceled")
-	return e.take()
+	e.abort(now, r, failure.CanceledNotRun, failure.Canceled, "the caller canceled")
+	return e.takeActions()
 }
 
-func (e *Engine) giveUp(now time.Time, r *activeRun, notRun, unknown failure.Kind, message string, opts ...failure.Option) {
+func (e *Engine) abort(now time.Time, r *activeRun, notRun, unknown failure.Kind, message string, opts ...failure.Option) {
 	e.leaveQueue(r)
 	e.dropCalls(r)
 	kind := notRun
@@ -177,14 +177,14 @@
 	e.finish(now, r, nil, failure.New(kind, message, append(opts, failure.WithStage(r.current().Name()))...))
 }
 
-// finish ends a run; it is the only place that does.
+// finish ends a run. Every run ends here.
 func (e *Engine) finish(now time.Time, r *activeRun, output []byte, err *failure.Error) {
 	e.leaveQueue(r)
 	e.dropCalls(r)
 	delete(e.runs, r.id)
 	r.account.Release()
 	e.counters.Finished++
-	if err != nil && r.recorded && !r.onceMayHaveRun {
+	if err != nil && r.recorded && !r.atMostOnceMayHaveRun {
 		e.emit(Abandon{Run: r.id, Account: r.req.Account, RequestID: r.req.RequestID})
 	}
 	reason := "whole"
--- a/internal/core/run/run.go
+++ b/internal/core/run/run.go
@@ -11,21 +11,21 @@
 	"gradetiller.example/internal/core/place"
 )
 
-// activeRun is one request under way.
+// activeRun is a request in flight.
 type activeRun struct {
 	id       ID
 	req      Request
 	pipeline *config.Pipeline
 	account  *limit.Account
-	// index is the account's place in the configuration at the start; it is
-	// only a key for fair shares.
-	index    int
-	weight   int
-	arm      string
-	policy   place.Policy
-	hash     uint64
-	started  time.Time
-	deadline time.Time
+	// accountIndex is the account's index in the configuration at the start; it
+	// only serves as a key for fair shares.
+	accountIndex int
+	weight       int
+	arm          string
+	policy       place.Policy
+	hash         uint64
+	started      time.Time
+	deadline     time.Time
 
 	stage      int
 	stageStart time.Time
@@ -33,52 +33,52 @@
 	input      []byte
 	tokens     int
 	calls      []*call
-	tries      int
+	attempts   int
 	exclude    int
-	waiting    *order.Handle[*activeRun]
-	waitPool   *pool
+	queued     *order.Handle[*activeRun]
+	queuedIn   *pool
 	item       order.Item
 
 	recorded   bool
 	mayHaveRun bool
-	// onceMayHaveRun is about calls that may not be repeated only; the started
-	// record stays in force exactly if it is true.
-	onceMayHaveRun bool
-	stages         []StageSummary
+	// atMostOnceMayHaveRun covers only calls that are not repeatable; the
+	// started record is kept if and only if it is true.
+	atMostOnceMayHaveRun bool
+	stages               []StageSummary
 }
 
 func (r *activeRun) current() *config.Stage { return &r.pipeline.Stages()[r.stage] }
 
-// repeatable reports whether a call of the present stage may be sent again
-// after it may have run.
+// repeatable reports whether a call of the current stage may be resent after
+// it may have run.
 func (r *activeRun) repeatable() bool { return r.req.Repeatable && r.current().Repeatable() }
 
-// recordKey names a started record that is being stored.
+// recordKey identifies a started record that is being stored.
 type recordKey struct{ account, requestID string }
 
-// sentBytes notes that a call may have run.
-func (c *call) sentBytes() {
+// markMayHaveRun records that the call may have run.
+func (c *call) markMayHaveRun() {
 	c.run.mayHaveRun = true
-	if c.once {
-		c.run.onceMayHaveRun = true
+	if c.atMostOnce {
+		c.run.atMostOnceMayHaveRun = true
 	}
 }
 
 // call is one stage call in flight.
 type call struct {
-	id       AttemptID
-	run      *activeRun
-	pool     *pool
-	endpoint int
-	stage    int
-	started  time.Time
-	machine  attempt.Machine
-	once     bool // may not be repeated
-	// dropped calls belong to a stage or run that went on without them.
+	id         AttemptID
+	run        *activeRun
+	pool       *pool
+	endpoint   int
+	stage      int
+	started    time.Time
+	machine    attempt.Machine
+	atMostOnce bool
+	// dropped is true if the stage or run continued without this call.
 	dropped bool
 }
 
-// assignArm gives the run its arm of the pipeline's experiment.
+// assignArm assigns the run to an arm of the pipeline's experiment.
 func (r *activeRun) assignArm(accountName string) {
 	exp := r.pipeline.Experiment()
 	if exp == nil {
--- a/internal/core/run/stage.go
+++ b/internal/core/run/stage.go
@@ -10,60 +10,62 @@
 	"gradetiller.example/internal/core/place"
 )
 
-// splitQuantile of the stage times is what the time left is divided by.
+// splitQuantile is the quantile of the stage times in proportion to which the
+// time left is divided.
 const splitQuantile = 0.9
 
-// pumpGap is how soon a queue that found no endpoint is looked at again.
-const pumpGap = 25 * time.Millisecond
+// pumpInterval is how soon a queue is retried after no endpoint was available.
+const pumpInterval = 25 * time.Millisecond
 
-// fullQueueRetry is told to callers when a pool's queue is full.
-const fullQueueRetry = 100 * time.Millisecond
+// overloadRetryAfter is the Retry-After of runs that failed or were refused by a
+// full queue.
+const overloadRetryAfter = 100 * time.Millisecond
 
 func (e *Engine) enterStage(now time.Time, r *activeRun) {
 	r.stageStart = now
-	r.tries = 0
+	r.attempts = 0
 	r.tokens = 0
 	r.exclude = place.None
 	r.stages = append(r.stages, StageSummary{Name: r.current().Name()})
 	e.splitBudget(now, r)
 	if !r.repeatable() && !r.recorded {
-		e.recording[r.id] = recordKey{r.req.Account, r.req.RequestID}
+		e.pendingRecords[r.id] = recordKey{r.req.Account, r.req.RequestID}
 		e.emit(Record{Run: r.id, Account: r.req.Account, RequestID: r.req.RequestID, Deadline: r.deadline})
 		return
 	}
 	e.enqueue(now, r)
 }
 
-// splitBudget divides the time left over the stages left, and sets the time
-// at which an optional stage is skipped.
+// splitBudget divides the time left among the remaining stages and sets the
+// time at which an optional stage is skipped.
 func (e *Engine) splitBudget(now time.Time, r *activeRun) {
 	stages := r.pipeline.Stages()
 	expected := make([]time.Duration, 0, len(stages)-r.stage)
 	for i := r.stage; i < len(stages); i++ {
-		expected = append(expected, e.estimate(now, r.pipeline.Name(), stages[i].Name()).took.Quantile(now, splitQuantile))
+		expected = append(expected, e.estimate(now, r.pipeline.Name(), stages[i].Name()).callTimes.Quantile(now, splitQuantile))
 	}
 	shares, _ := budget.Split(r.deadline.Sub(now), expected)
 	r.stageDue = now.Add(shares[0])
 	if r.current().Optional() {
-		e.after(r.stageDue, timer{kind: timerStage, run: r.id, stage: r.stage})
+		e.schedule(r.stageDue, timer{kind: timerStage, run: r.id, stage: r.stage})
 	}
 }
 
-// Recorded answers a Record action.
+// Recorded passes in the result of a Record action.
 func (e *Engine) Recorded(now time.Time, id ID, result RecordResult) []Action {
-	key, ok := e.recording[id]
+	key, ok := e.pendingRecords[id]
 	if !ok {
-		return e.take()
+		return e.takeActions()
 	}
-	delete(e.recording, id)
+	delete(e.pendingRecords, id)
 	r, ok := e.runs[id]
 	if !ok {
 		if result == RecordStored {
-			// The run ended while its record was being stored, and its
-			// Finish said "not run", so the record is taken back.
+			// The run ended as "not run" while its record was being stored,
+			// so the record is abandoned.
 			e.emit(Abandon{Run: id, Account: key.account, RequestID: key.requestID})
 		}
-		return e.take()
+		return e.takeActions()
 	}
 	switch result {
 	case RecordStored:
@@ -72,52 +74,52 @@
 	case RecordDuplicate:
 		e.finish(now, r, nil, failure.New(failure.AlreadyStarted, "a run with this request id was started before", failure.WithStage(r.current().Name())))
 	default:
-		e.finish(now, r, nil, e.storeAway(r))
+		e.finish(now, r, nil, e.storeUnavailable(r))
 	}
-	return e.take()
+	return e.takeActions()
 }
 
-func (e *Engine) storeAway(r *activeRun) *failure.Error {
+func (e *Engine) storeUnavailable(r *activeRun) *failure.Error {
 	kind := failure.StoreAway
 	if r.mayHaveRun {
 		kind = failure.StageUnknown
 	}
-	return failure.New(kind, "the store that keeps at-most-once records does not answer",
+	return failure.New(kind, "the store for at-most-once records did not answer",
 		failure.WithStage(r.current().Name()), failure.WithRetryAfter(time.Second))
 }
 
 func (e *Engine) enqueue(now time.Time, r *activeRun) {
 	p, ok := e.pools[r.current().PoolName()]
 	if !ok || p.place.Len() == 0 {
-		e.fail(now, r, failure.NoEndpoint, "the pool has no endpoint")
+		e.failLocally(now, r, failure.NoEndpoint, "the pool has no endpoint")
 		return
 	}
 	if p.queue.Len() >= p.conf.Queue() {
-		e.fail(now, r, failure.Overloaded, "the pool's queue is full")
+		e.failLocally(now, r, failure.Overloaded, "the pool's queue is full")
 		return
 	}
 	r.item = order.Item{
 		Deadline:  r.deadline,
-		Remaining: e.needed(now, r.pipeline, r.stage),
-		Account:   r.index,
+		Remaining: e.remainingTime(now, r.pipeline, r.stage),
+		Account:   r.accountIndex,
 		Weight:    r.weight,
 	}
-	r.waitPool = p
-	r.waiting = p.queue.Push(r, r.item)
+	r.queuedIn = p
+	r.queued = p.queue.Push(r, r.item)
 	e.pump(now, p)
 }
 
-// pump sends waiting runs to endpoints while there is room.
+// pump sends queued calls while endpoints are available.
 func (e *Engine) pump(now time.Time, p *pool) {
 	for {
 		r, ok := p.queue.Peek()
 		if !ok {
 			return
 		}
-		if e.hopeless(now, r) {
+		if e.missesDeadline(now, r) {
 			p.queue.Pop()
-			r.waiting = nil
-			e.fail(now, r, failure.DeadlineUnreachable, "the time left is less than the stages need")
+			r.queued = nil
+			e.failLocally(now, r, failure.DeadlineUnreachable, "the time left is less than the stages need")
 			continue
 		}
 		req := e.placeRequest(r)
@@ -127,30 +129,30 @@
 			return
 		}
 		p.queue.Pop()
-		r.waiting = nil
-		e.start(now, r, p, i)
+		r.queued = nil
+		e.startCall(now, r, p, i)
 	}
 }
 
-// pumpLater has the queue looked at again soon, since an endpoint that was set
-// aside comes back by time alone.
+// pumpLater schedules a retry of the queue, since an ejected endpoint returns after a
+// time without any event.
 func (e *Engine) pumpLater(now time.Time, p *pool) {
-	if p.pumpAt.After(now) {
+	if p.nextPump.After(now) {
 		return
 	}
-	p.pumpAt = now.Add(pumpGap)
-	e.after(p.pumpAt, timer{kind: timerPump, pool: p})
+	p.nextPump = now.Add(pumpInterval)
+	e.schedule(p.nextPump, timer{kind: timerPump, pool: p})
 }
 
-func (e *Engine) hopeless(now time.Time, r *activeRun) bool {
+func (e *Engine) missesDeadline(now time.Time, r *activeRun) bool {
 	if !e.cfg.Policies().EarlyRefusal() {
 		return !now.Before(r.deadline)
 	}
 	left := r.deadline.Sub(now)
-	if e.neededAt(now, r.pipeline, r.stage, startQuantile) <= left {
+	if e.remainingTimeAt(now, r.pipeline, r.stage, dispatchQuantile) <= left {
 		return false
 	}
-	if now.Sub(e.lastProbe) >= probeGap {
+	if now.Sub(e.lastProbe) >= probeInterval {
 		e.lastProbe = now
 		return left <= 0
 	}
@@ -172,17 +174,17 @@
 	return req
 }
 
-func (e *Engine) skip(now time.Time, r *activeRun, reason string) {
+func (e *Engine) skipStage(now time.Time, r *activeRun, reason string) {
 	e.counters.Skips++
 	e.emit(Decision{Name: DecideSkip, RequestID: r.req.RequestID, Run: r.id, Stage: r.current().Name(), Reason: reason})
 	e.leaveQueue(r)
 	e.dropCalls(r)
 	r.stages[len(r.stages)-1].Skipped = true
-	e.next(now, r)
+	e.advance(now, r)
 }
 
-// next goes on to the following stage, or finishes the run.
-func (e *Engine) next(now time.Time, r *activeRun) {
+// advance starts the next stage, or finishes the run.
+func (e *Engine) advance(now time.Time, r *activeRun) {
 	r.stages[len(r.stages)-1].Took = now.Sub(r.stageStart)
 	if r.stage+1 == len(r.pipeline.Stages()) {
 		e.finish(now, r, r.input, nil)
--- a/internal/core/run/stop.go
+++ b/internal/core/run/stop.go
@@ -9,30 +9,30 @@
 	"gradetiller.example/internal/core/drain"
 )
 
-// drainRetry is told to callers whom a stopping node refuses: another node can
-// take the request at once, so it only keeps them from asking in a loop.
-const drainRetry = 50 * time.Millisecond
+// drainRetryAfter is the Retry-After of requests that a stopping node refuses.
+// Another node can serve them at once, so it only prevents tight retry loops.
+const drainRetryAfter = 50 * time.Millisecond
 
-// StopAt tells that the process ends at a time. A run is over by its deadline,
-// so one that is admitted from now on is over when the process ends.
+// StopAt announces when the process ends. From then on a run is admitted only
+// if its deadline is before that time, so that it has ended by then.
 func (e *Engine) StopAt(ends time.Time) { e.window = drain.Until(ends) }
 
-// fits refuses a request that may still be under way when the process ends:
-// nothing of it has run yet, so "not run" is true now and might not be then.
-func (e *Engine) fits(now time.Time, req Request) *failure.Error {
+// checkStop refuses a request that may still be in flight when the process ends.
+// It can be refused as "not run" now, but perhaps no longer at that time.
+func (e *Engine) checkStop(now time.Time, req Request) *failure.Error {
 	if e.window.Fits(now, req.Timeout) {
 		return nil
 	}
-	return failure.New(failure.Draining, "this node is stopping; ask another", failure.WithRetryAfter(drainRetry))
+	return failure.New(failure.Draining, "this node is stopping; retry on another node", failure.WithRetryAfter(drainRetryAfter))
 }
 
-// Terminate ends every run that is still under way, because the process ends now,
-// and has every later request refused.
+// Terminate ends every run in flight because the process ends now. All later
+// requests are refused.
 func (e *Engine) Terminate(now time.Time) []Action {
 	e.StopAt(now)
 	for _, id := range slices.Sorted(maps.Keys(e.runs)) {
-		e.giveUp(now, e.runs[id], failure.Draining, failure.StageUnknown, "this node stopped before the request was done",
-			failure.WithRetryAfter(drainRetry))
+		e.abort(now, e.runs[id], failure.Draining, failure.StageUnknown, "this node stopped before the request was done",
+			failure.WithRetryAfter(drainRetryAfter))
 	}
-	return e.take()
+	return e.takeActions()
 }
--- a/internal/core/run/stop_test.go
+++ b/internal/core/run/stop_test.go
@@ -8,10 +8,10 @@
 	"gradetiller.example/failure"
 )
 
-// TestEndTellsWhatRan ends an engine with one run whose call was sent, one
-// that waits for an endpoint and one whose started record is being stored:
-// only the first may have run. The record is taken back once it is stored.
-func TestEndTellsWhatRan(t *testing.T) {
+// TestTerminateReportsWhetherCallsRan terminates an engine with runs whose call was sent, one
+// that is queued and one whose started record is being stored: only the first
+// may have run. The record is abandoned once it is stored.
+func TestTerminateReportsWhetherCallsRan(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := New(1)
 	if err := e.Configure(now, parseConfig(t, ""), 1); err != nil {
@@ -38,15 +38,15 @@
 			continue
 		}
 		if f.Err.Kind() != want[f.Run] || f.Err.RetryAfter() <= 0 {
-			t.Errorf("%s: answer %v, want %v and a time to come back", f.Summary.RequestID, f.Err, want[f.Run])
+			t.Errorf("%s: answer %v, want %v with a Retry-After", f.Summary.RequestID, f.Err, want[f.Run])
 		}
 		delete(want, f.Run)
 	}
 	if len(want) != 0 || e.InFlight() != 0 {
-		t.Fatalf("not ended: %v, in flight %d", want, e.InFlight())
+		t.Fatalf("runs not ended: %v, in flight %d", want, e.InFlight())
 	}
 	actions := e.Recorded(now, recording, RecordStored)
 	if len(actions) != 1 || actions[0] != (Abandon{Run: recording, Account: "a", RequestID: "recording"}) {
-		t.Fatalf("a record that was stored after the end: %v", actions)
+		t.Fatalf("actions for a record stored after Terminate: %v", actions)
 	}
 }
--- a/internal/core/run/timer.go
+++ b/internal/core/run/timer.go
@@ -17,7 +17,7 @@
 	timerPump
 )
 
-// timer names what it is for; a timer whose run or call is gone does nothing.
+// timer is a scheduled event. A timer whose run or call has ended does nothing.
 type timer struct {
 	at    time.Time
 	kind  timerKind
@@ -41,13 +41,13 @@
 	return t
 }
 
-func (e *Engine) after(at time.Time, t timer) {
+func (e *Engine) schedule(at time.Time, t timer) {
 	t.at = at
 	heap.Push(&e.timers, t)
 }
 
-// NextTimer returns when Tick is next needed; false means that nothing waits
-// for the time.
+// NextTimer returns when Tick must next be called; false means that no timer is
+// pending.
 func (e *Engine) NextTimer() (time.Time, bool) {
 	if len(e.timers) == 0 {
 		return time.Time{}, false
@@ -55,22 +55,22 @@
 	return e.timers[0].at, true
 }
 
-// Tick fires every timer that is due, and sends waiting runs to endpoints
-// whose time aside has passed.
+// Tick fires every timer that is due, and sends queued calls to endpoints whose
+// ejection has expired.
 func (e *Engine) Tick(now time.Time) []Action {
 	for len(e.timers) > 0 && !e.timers[0].at.After(now) {
 		e.fire(now, heap.Pop(&e.timers).(timer))
 	}
-	for _, p := range e.byIndex {
+	for _, p := range e.poolsByIndex {
 		e.pump(now, p)
 	}
-	return e.take()
+	return e.takeActions()
 }
 
 func (e *Engine) fire(now time.Time, t timer) {
 	if t.kind == timerPump {
-		// Tick pumps every pool behind the timers.
-		t.pool.pumpAt = time.Time{}
+		// Tick pumps every pool after the timers.
+		t.pool.nextPump = time.Time{}
 		return
 	}
 	r, ok := e.runs[t.run]
@@ -79,14 +79,14 @@
 	}
 	switch t.kind {
 	case timerDeadline:
-		e.giveUp(now, r, failure.DeadlineNotRun, failure.DeadlineExceeded, "the deadline passed")
+		e.abort(now, r, failure.DeadlineNotRun, failure.DeadlineExceeded, "the deadline passed")
 	case timerHedge:
 		if c, ok := e.calls[t.call]; ok {
 			e.hedge(now, c)
 		}
 	case timerStage:
 		if r.stage == t.stage && r.current().Optional() && !e.cfg.Policies().PlainRetry() {
-			e.skip(now, r, "the stage used up its share of the time")
+			e.skipStage(now, r, "the stage used up its share of the time")
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	key := stageKey{pipeline, stage}
 	est, ok := e.estimates[key]
 	if !ok {
-		est = &estimate{took: budget.NewEstimator(now), first: budget.NewEstimator(now)}
+		est = &estimate{callTimes: budget.NewEstimator(now), firstTokenTimes: budget.NewEstimator(now)}
 		e.estimates[key] = est
 	}
 	return est
