--- a/internal/core/ledger/batcher.go
+++ b/internal/core/ledger/batcher.go
@@ -8,53 +8,53 @@
 const (
 	// maxBatch bounds the records of one transaction.
 	maxBatch = 64
-	// maxSends bounds how often a start is sent before its caller is told
-	// that the store is away.
+	// maxSends bounds how often a start is sent before it fails as
+	// Unavailable.
 	maxSends = 3
-	// maxRepairs bounds the abandoned marks that wait for the store; further
-	// ones are dropped, which costs their callers a repeat, never safety.
+	// maxRepairs bounds the pending abandoned marks. Further ones are dropped,
+	// in which case the client's retry is refused; safety isn't affected.
 	maxRepairs     = 4096
 	repairInterval = time.Second
-	// maxKnown bounds the index of records seen.
-	maxKnown = 8192
+	// maxStoredTokens bounds the index of stored records.
+	maxStoredTokens = 8192
 )
 
-// item is one record on its way.
-type item struct {
+// entry is one record to be written.
+type entry struct {
 	id      uint64
 	put     Put
 	sends   int
-	own     bool // of this node
-	repair  bool // marks a record abandoned; nobody waits for it
-	ready   bool // the row was read and the repair may be written
-	inDoubt bool // a send may take effect yet
+	local   bool // requested by this node
+	repair  bool // marks a record abandoned; has no caller to answer
+	ready   bool // the row was read, so the repair can be written
+	inDoubt bool // an earlier send may still take effect
 }
 
-// Batcher gathers records. It is not safe for concurrent use.
+// Batcher groups records into transactions. It is not safe for concurrent use.
 type Batcher struct {
-	gap       time.Duration
-	notBefore time.Time
-	// nextRepair is when repairs are due; they go before starts then, so that
-	// a steady stream of starts cannot hold them up.
+	writeInterval time.Duration
+	notBefore     time.Time
+	// nextRepair is when repairs are due. They take precedence over starts
+	// then, so that a steady stream of starts can't starve them.
 	nextRepair time.Time
-	pending    []*item
-	repairs    []*item
-	busy       []*item
-	// known holds the tokens of records that this book stored.
-	known map[string]string
+	pending    []*entry
+	repairs    []*entry
+	inFlight   []*entry
+	// storedTokens maps the keys of records that this node stored to their tokens.
+	storedTokens map[string]string
 }
 
-// New returns an empty book.
-func New() *Batcher { return &Batcher{known: make(map[string]string)} }
+// New returns an empty Batcher.
+func New() *Batcher { return &Batcher{storedTokens: make(map[string]string)} }
 
-// PendingStarts returns the number of starts that wait for an answer.
-func (b *Batcher) PendingStarts() int { return len(b.pending) + len(b.busy) }
+// PendingStarts returns the number of unanswered starts.
+func (b *Batcher) PendingStarts() int { return len(b.pending) + len(b.inFlight) }
 
 // PendingRepairs returns the keys of the abandoned marks that the store has not
-// confirmed, those of the Read or Write under way among them.
+// confirmed, including those of the Read or Write in flight.
 func (b *Batcher) PendingRepairs() []string {
 	var keys []string
-	for _, it := range slices.Concat(b.repairs, b.busy) {
+	for _, it := range slices.Concat(b.repairs, b.inFlight) {
 		if it.repair {
 			keys = append(keys, it.put.Key)
 		}
@@ -62,15 +62,15 @@
 	return keys
 }
 
-// SetWriteInterval sets the least time between two transactions, which keeps all nodes
-// together within the store's budget of writes.
-func (b *Batcher) SetWriteInterval(d time.Duration) { b.gap = d }
+// SetWriteInterval sets the minimum time between two transactions, which keeps all
+// nodes together within the store's write budget.
+func (b *Batcher) SetWriteInterval(d time.Duration) { b.writeInterval = d }
 
-// NextTick returns when Tick is next needed; false means that nothing waits for
-// the time.
+// NextTick returns when Tick must next be called; false means that no call is
+// needed.
 func (b *Batcher) NextTick() (time.Time, bool) {
 	switch {
-	case b.busy != nil:
+	case b.inFlight != nil:
 		return time.Time{}, false
 	case len(b.repairs) > 0 && (len(b.pending) == 0 || b.nextRepair.Before(b.notBefore)):
 		return b.nextRepair, true
@@ -78,36 +78,36 @@
 	return b.notBefore, len(b.pending) > 0
 }
 
-// Start asks to store a record of this node. A key that this node holds is
-// answered from memory.
+// Start requests that a record of this node be stored. A key whose record this
+// node stored is answered from memory.
 func (b *Batcher) Start(now time.Time, id uint64, key, token string) []Action {
-	if holder, ok := b.known[key]; ok && holder != token {
+	if holder, ok := b.storedTokens[key]; ok && holder != token {
 		return []Action{Answer{ID: id, Result: Duplicate}}
 	}
-	return b.start(now, &item{id: id, own: true, put: Put{Key: key, Record: Record{Token: token, Expires: now.Add(RecordTTL)}}})
+	return b.enqueue(now, &entry{id: id, local: true, put: Put{Key: key, Record: Record{Token: token, Expires: now.Add(RecordTTL)}}})
 }
 
-// StartForwarded asks to store a record of another node.
+// StartForwarded requests that a record of another node be stored.
 func (b *Batcher) StartForwarded(now time.Time, id uint64, key, token string) []Action {
-	return b.start(now, &item{id: id, put: Put{Key: key, Record: Record{Token: token, Expires: now.Add(RecordTTL)}}})
+	return b.enqueue(now, &entry{id: id, put: Put{Key: key, Record: Record{Token: token, Expires: now.Add(RecordTTL)}}})
 }
 
-func (b *Batcher) start(now time.Time, it *item) []Action {
+func (b *Batcher) enqueue(now time.Time, it *entry) []Action {
 	b.pending = append(b.pending, it)
 	return b.pump(now)
 }
 
 // Abandon marks a record as not run.
 func (b *Batcher) Abandon(now time.Time, key, token string) []Action {
-	delete(b.known, key)
-	b.repair(now, key, token)
+	delete(b.storedTokens, key)
+	b.addRepair(now, key, token)
 	return b.pump(now)
 }
 
-// Tick tries repairs again when they are due, else sends what waited for the
-// gap. The shell calls it at Next.
+// Tick retries repairs that are due, or else sends the starts that waited for
+// the write interval. It must be called at the time that NextTick returns.
 func (b *Batcher) Tick(now time.Time) []Action {
-	if b.busy != nil {
+	if b.inFlight != nil {
 		return nil
 	}
 	if len(b.repairs) == 0 || now.Before(b.nextRepair) {
@@ -115,43 +115,43 @@
 	}
 	b.nextRepair = now.Add(repairInterval)
 	n := min(len(b.repairs), maxBatch)
-	b.busy = b.repairs[:n:n]
+	b.inFlight = b.repairs[:n:n]
 	b.repairs = b.repairs[n:]
-	return []Action{readOf(b.busy)}
+	return []Action{newRead(b.inFlight)}
 }
 
-func (b *Batcher) repair(now time.Time, key, token string) {
+func (b *Batcher) addRepair(now time.Time, key, token string) {
 	if len(b.repairs) >= maxRepairs {
 		return
 	}
-	b.repairs = append(b.repairs, &item{
+	b.repairs = append(b.repairs, &entry{
 		repair: true,
 		put:    Put{Key: key, Record: Record{Token: token, Abandoned: true, Expires: now.Add(RecordTTL)}},
 	})
 }
 
-// pump sends the next batch when none is under way: at once when the table is
-// idle, gathered otherwise.
+// pump sends the next batch unless one is in flight or the write interval has
+// not passed, during which starts accumulate.
 func (b *Batcher) pump(now time.Time) []Action {
-	if b.busy != nil || len(b.pending) == 0 || now.Before(b.notBefore) {
+	if b.inFlight != nil || len(b.pending) == 0 || now.Before(b.notBefore) {
 		return nil
 	}
-	b.notBefore = now.Add(b.gap)
+	b.notBefore = now.Add(b.writeInterval)
 	keys := make(map[string]bool)
-	var rest []*item
+	var rest []*entry
 	for _, it := range b.pending {
-		if len(b.busy) == maxBatch || keys[it.put.Key] {
+		if len(b.inFlight) == maxBatch || keys[it.put.Key] {
 			rest = append(rest, it)
 			continue
 		}
 		keys[it.put.Key] = true
-		b.busy = append(b.busy, it)
+		b.inFlight = append(b.inFlight, it)
 	}
 	b.pending = rest
-	return []Action{writeOf(b.busy)}
+	return []Action{newWrite(b.inFlight)}
 }
 
-func writeOf(items []*item) Write {
+func newWrite(items []*entry) Write {
 	w := Write{Puts: make([]Put, len(items))}
 	for i, it := range items {
 		it.sends++
@@ -160,7 +160,7 @@
 	return w
 }
 
-func readOf(items []*item) Read {
+func newRead(items []*entry) Read {
 	r := Read{Keys: make([]string, len(items))}
 	for i, it := range items {
 		r.Keys[i] = it.put.Key
@@ -168,56 +168,56 @@
 	return r
 }
 
-// WriteDone tells the end of the Write under way.
+// WriteDone passes in the result of the Write in flight.
 func (b *Batcher) WriteDone(now time.Time, res WriteResult) []Action {
-	items := b.busy
+	items := b.inFlight
 	var out []Action
 	switch res.Kind {
 	case WriteOK:
-		b.busy = nil
+		b.inFlight = nil
 		for _, it := range items {
-			out = b.stored(out, it)
+			out = b.complete(out, it)
 		}
 	case WriteConflict:
-		b.busy = nil
-		out = b.judgeConflicts(now, items, res.Rows)
+		b.inFlight = nil
+		out = b.resolveConflicts(now, items, res.Rows)
 	case WriteRefused:
-		b.busy = nil
+		b.inFlight = nil
 		for _, it := range items {
-			out = b.giveUp(now, out, it)
+			out = b.fail(now, out, it)
 		}
 	case WriteUnknown:
 		for _, it := range items {
 			it.inDoubt = true
 		}
-		return []Action{readOf(items)}
+		return []Action{newRead(items)}
 	}
 	return append(out, b.pump(now)...)
 }
 
-// ReadDone tells the rows of the Read under way; ok is false when the table
-// did not answer.
+// ReadDone passes in the rows of the Read in flight; ok is false if the table did
+// not answer.
 func (b *Batcher) ReadDone(now time.Time, rows []Row, ok bool) []Action {
-	items := b.busy
-	b.busy = nil
+	items := b.inFlight
+	b.inFlight = nil
 	var out []Action
 	for i, it := range items {
 		if !ok {
-			out = b.giveUp(now, out, it)
+			out = b.fail(now, out, it)
 			continue
 		}
-		out = b.judge(now, out, it, rows[i])
+		out = b.resolve(now, out, it, rows[i])
 	}
-	if repairs := b.readyRepairs(items); len(repairs) > 0 && b.busy == nil {
-		b.busy = repairs
-		return append(out, writeOf(repairs))
+	if repairs := b.takeReadyRepairs(items); len(repairs) > 0 && b.inFlight == nil {
+		b.inFlight = repairs
+		return append(out, newWrite(repairs))
 	}
 	return append(out, b.pump(now)...)
 }
 
-// readyRepairs takes the repairs out of items whose row is known by now.
-func (b *Batcher) readyRepairs(items []*item) []*item {
-	var ready []*item
+// takeReadyRepairs returns the repairs among items whose row has been read.
+func (b *Batcher) takeReadyRepairs(items []*entry) []*entry {
+	var ready []*entry
 	for _, it := range items {
 		if it.repair && it.ready {
 			it.ready = false
@@ -227,7 +227,7 @@
 	return ready
 }
 
-func (b *Batcher) judgeConflicts(now time.Time, items []*item, rows []Row) []Action {
+func (b *Batcher) resolveConflicts(now time.Time, items []*entry, rows []Row) []Action {
 	byKey := make(map[string]Row, len(rows))
 	for _, r := range rows {
 		byKey[r.Key] = r
@@ -239,7 +239,7 @@
 		case conflicted && it.repair:
 			b.repairs = append(b.repairs, it)
 		case conflicted:
-			out = b.judge(now, out, it, row)
+			out = b.resolve(now, out, it, row)
 		case it.repair:
 			b.repairs = append(b.repairs, it)
 		default:
@@ -250,35 +250,35 @@
 	return out
 }
 
-// judge decides by the row what became of an item.
-func (b *Batcher) judge(now time.Time, out []Action, it *item, row Row) []Action {
+// resolve decides from its row what happens to an entry.
+func (b *Batcher) resolve(now time.Time, out []Action, it *entry, row Row) []Action {
 	if it.repair {
-		b.judgeRepair(it, row)
+		b.resolveRepair(it, row)
 		return out
 	}
 	switch {
 	case row.Version == 0:
 		if it.sends >= maxSends {
-			return b.giveUp(now, out, it)
+			return b.fail(now, out, it)
 		}
 		it.put.IfVersion = 0
 		b.pending = append(b.pending, it)
 		return out
 	case row.Record.Token == it.put.Record.Token && !row.Record.Abandoned:
-		return b.stored(out, it)
+		return b.complete(out, it)
 	case row.Record.Abandoned || now.After(row.Record.Expires):
 		it.put.IfVersion = row.Version
 		b.pending = append(b.pending, it)
 		return out
 	}
-	// Another node's record is not remembered: that node may abandon it.
+	// A record of another node is not cached, since that node may abandon it.
 	return append(out, Answer{ID: it.id, Result: Duplicate})
 }
 
-// judgeRepair keeps a repair only while the row is absent or still holds the
-// token: an absent row may be written yet by a send whose answer was lost, and
-// an abandoned row in its place stops that.
-func (b *Batcher) judgeRepair(it *item, row Row) {
+// resolveRepair keeps a repair only if the row is absent or still holds the token.
+// An absent row may still be written by a send whose answer was lost; an
+// abandoned row in its place prevents that.
+func (b *Batcher) resolveRepair(it *entry, row Row) {
 	if row.Version > 0 && (row.Record.Token != it.put.Record.Token || row.Record.Abandoned) {
 		return
 	}
@@ -286,37 +286,37 @@
 	it.ready = true
 }
 
-func (b *Batcher) stored(out []Action, it *item) []Action {
+func (b *Batcher) complete(out []Action, it *entry) []Action {
 	if it.repair {
 		return out
 	}
-	if it.own {
+	if it.local {
 		b.remember(it.put.Key, it.put.Record.Token)
 	}
 	return append(out, Answer{ID: it.id, Result: Stored})
 }
 
-// giveUp tells the caller that the store is away. A start that was sent may
-// take effect yet, so a repair follows it.
-func (b *Batcher) giveUp(now time.Time, out []Action, it *item) []Action {
+// fail answers that the store is unavailable. A start in doubt may still take effect,
+// so a repair is added for it.
+func (b *Batcher) fail(now time.Time, out []Action, it *entry) []Action {
 	if it.repair {
 		b.repairs = append(b.repairs, it)
 		return out
 	}
 	if it.inDoubt {
-		b.repair(now, it.put.Key, it.put.Record.Token)
+		b.addRepair(now, it.put.Key, it.put.Record.Token)
 	}
 	return append(out, Answer{ID: it.id, Result: Unavailable})
 }
 
-// remember keeps the index bounded by dropping any entry; the index only
-// saves writes.
+// remember adds to the index of stored tokens. A full index drops an arbitrary
+// entry, since it only saves writes.
 func (b *Batcher) remember(key, token string) {
-	if len(b.known) >= maxKnown {
-		for k := range b.known {
-			delete(b.known, k)
+	if len(b.storedTokens) >= maxStoredTokens {
+		for k := range b.storedTokens {
+			delete(b.storedTokens, k)
 			break
 		}
 	}
-	b.known[key] = token
+	b.storedTokens[key] = token
 }
--- a/internal/core/ledger/batcher_test.go
+++ b/internal/core/ledger/batcher_test.go
@@ -11,8 +11,7 @@
 	"gradetiller.example/internal/naive"
 )
 
-// table is a transactional table whose answers may be lost and whose writes
-// may arrive late.
+// table is a transactional table that may lose answers and apply writes late.
 type table struct {
 	rows    map[string]Row
 	delayed []Write
@@ -37,20 +36,20 @@
 	return nil
 }
 
-// node is one book with the action that it waits for.
+// node is one Batcher with the actions that it waits for.
 type node struct {
-	book    *Batcher
+	batcher *Batcher
 	waiting []Action
 }
 
 type world struct {
-	t       *rapid.T
-	table   *table
-	nodes   []*node
-	now     time.Time
-	keys    map[uint64]string // by start id
-	granted naive.Ledger      // key to the id that may run, as answered
-	left    map[uint64]bool   // starts without an answer
+	t          *rapid.T
+	table      *table
+	nodes      []*node
+	now        time.Time
+	keys       map[uint64]string // by start id
+	granted    naive.Ledger      // key to the start id that was granted
+	unanswered map[uint64]bool   // ids of starts
 }
 
 func (w *world) take(n *node, actions []Action) {
@@ -60,17 +59,17 @@
 			n.waiting = append(n.waiting, a)
 			continue
 		}
-		if !w.left[answer.ID] {
+		if !w.unanswered[answer.ID] {
 			w.t.Fatalf("start %d answered twice", answer.ID)
 		}
-		delete(w.left, answer.ID)
+		delete(w.unanswered, answer.ID)
 		if answer.Result == Stored && !w.granted.Start(w.keys[answer.ID], fmt.Sprint(answer.ID)) {
 			w.t.Fatalf("key %s was granted to start %d and to %s", w.keys[answer.ID], answer.ID, w.granted[w.keys[answer.ID]])
 		}
 	}
 }
 
-// answer carries out the action that a node waits for, with a drawn fate.
+// answer carries out a node's next action, with a random outcome.
 func (w *world) answer(n *node, reliable bool) {
 	if len(n.waiting) == 0 {
 		return
@@ -83,14 +82,14 @@
 	}
 	switch a := a.(type) {
 	case Write:
-		w.take(n, n.book.WriteDone(w.now, w.write(a, fate)))
+		w.take(n, n.batcher.WriteDone(w.now, w.write(a, fate)))
 	case Read:
 		rows := make([]Row, len(a.Keys))
 		for i, k := range a.Keys {
 			rows[i] = w.table.rows[k]
 			rows[i].Key = k
 		}
-		w.take(n, n.book.ReadDone(w.now, rows, fate != 1))
+		w.take(n, n.batcher.ReadDone(w.now, rows, fate != 1))
 	}
 }
 
@@ -113,35 +112,35 @@
 	return WriteResult{Kind: WriteOK}
 }
 
-// TestOneRunForEachKey starts the same few request ids on several nodes
-// against a table that refuses, loses answers and applies writes late. A key
-// is granted at most once (no grant is ever abandoned here, so none may follow
-// another), every start is answered once, and a key whose starts were all told
-// that the store was away becomes free again.
+// TestOneRunForEachKey starts the same few request ids on several nodes against
+// a table that refuses writes, loses answers and applies writes late. A key is
+// granted at most once (no grant is abandoned in this test, so a second grant is
+// a fault), every start is answered once, and a key whose starts were all
+// answered as Unavailable becomes free again.
 func TestOneRunForEachKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{
 			t: t, now: time.Unix(1000, 0), table: &table{rows: make(map[string]Row)},
-			keys: make(map[uint64]string), granted: make(naive.Ledger), left: make(map[uint64]bool),
+			keys: make(map[uint64]string), granted: make(naive.Ledger), unanswered: make(map[uint64]bool),
 		}
 		for range 3 {
-			w.nodes = append(w.nodes, &node{book: New()})
+			w.nodes = append(w.nodes, &node{batcher: New()})
 		}
 		for id := range uint64(rapid.IntRange(1, 120).Draw(t, "steps")) {
 			n := w.nodes[rapid.IntRange(0, 2).Draw(t, "node")]
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				w.keys[id] = fmt.Sprint("k", rapid.IntRange(0, 3).Draw(t, "key"))
-				w.left[id] = true
-				start := n.book.Start
+				w.unanswered[id] = true
+				start := n.batcher.Start
 				if rapid.Bool().Draw(t, "forwarded") {
-					start = n.book.StartForwarded
+					start = n.batcher.StartForwarded
 				}
 				w.take(n, start(w.now, id, w.keys[id], fmt.Sprint("t", id)))
 			case 2:
 				w.answer(n, false)
 			case 3:
-				w.take(n, n.book.Tick(w.now))
+				w.take(n, n.batcher.Tick(w.now))
 			case 4:
 				if len(w.table.delayed) > 0 {
 					w.table.apply(w.table.delayed[0])
@@ -160,33 +159,33 @@
 	for range 2000 {
 		w.now = w.now.Add(repairInterval)
 		for _, n := range w.nodes {
-			w.take(n, n.book.Tick(w.now))
+			w.take(n, n.batcher.Tick(w.now))
 			w.answer(n, true)
 		}
 	}
-	if len(w.left) > 0 {
-		w.t.Fatalf("%d starts were never answered", len(w.left))
+	if len(w.unanswered) > 0 {
+		w.t.Fatalf("%d starts were never answered", len(w.unanswered))
 	}
 	for key, row := range w.table.rows {
 		_, granted := w.granted[key]
 		if !granted && !row.Record.Abandoned {
-			w.t.Fatalf("key %s is held by %s, whose caller was told that it did not run", key, row.Record.Token)
+			w.t.Fatalf("key %s is held by %s, which was answered as not run", key, row.Record.Token)
 		}
 	}
 	for _, n := range w.nodes {
-		if len(n.book.PendingRepairs()) > 0 || n.book.PendingStarts() > 0 {
-			w.t.Fatalf("%d repairs and %d starts are left", len(n.book.PendingRepairs()), n.book.PendingStarts())
+		if len(n.batcher.PendingRepairs()) > 0 || n.batcher.PendingStarts() > 0 {
+			w.t.Fatalf("%d repairs and %d starts are still pending", len(n.batcher.PendingRepairs()), n.batcher.PendingStarts())
 		}
 	}
 }
 
-// TestAbandonedKeyRunsAgain checks that a request told "not run" may be asked
-// for again, and once only.
+// TestAbandonedKeyRunsAgain checks that a request answered as "not run" can be
+// retried, and then runs at most once.
 func TestAbandonedKeyRunsAgain(t *testing.T) {
-	w := &world{now: time.Unix(1000, 0), table: &table{rows: make(map[string]Row)}, keys: make(map[uint64]string), granted: make(naive.Ledger), left: make(map[uint64]bool)}
-	n := &node{book: New()}
+	w := &world{now: time.Unix(1000, 0), table: &table{rows: make(map[string]Row)}, keys: make(map[uint64]string), granted: make(naive.Ledger), unanswered: make(map[uint64]bool)}
+	n := &node{batcher: New()}
 	run := func(id uint64) Result {
-		n.waiting = n.book.Start(w.now, id, "k", fmt.Sprint("t", id))
+		n.waiting = n.batcher.Start(w.now, id, "k", fmt.Sprint("t", id))
 		for range 10 {
 			for len(n.waiting) > 0 {
 				if a, ok := n.waiting[0].(Answer); ok {
@@ -205,10 +204,10 @@
 	if got := run(2); got != Duplicate {
 		t.Fatalf("second start: %v", got)
 	}
-	n.waiting = n.book.Abandon(w.now, "k", "t1")
+	n.waiting = n.batcher.Abandon(w.now, "k", "t1")
 	for range 4 {
 		w.now = w.now.Add(repairInterval)
-		n.waiting = append(n.waiting, n.book.Tick(w.now)...)
+		n.waiting = append(n.waiting, n.batcher.Tick(w.now)...)
 		for len(n.waiting) > 0 {
 			w.answerPlain(n)
 		}
@@ -217,7 +216,7 @@
 		t.Fatalf("start after abandon: %v", got)
 	}
 	if got := run(4); got != Duplicate {
-		t.Fatalf("start after the key was taken again: %v", got)
+		t.Fatalf("start after the second grant: %v", got)
 	}
 }
 
@@ -226,18 +225,18 @@
 	n.waiting = n.waiting[1:]
 	switch a := a.(type) {
 	case Write:
-		n.waiting = append(n.waiting, n.book.WriteDone(w.now, w.write(a, 0))...)
+		n.waiting = append(n.waiting, n.batcher.WriteDone(w.now, w.write(a, 0))...)
 	case Read:
 		rows := make([]Row, len(a.Keys))
 		for i, k := range a.Keys {
 			rows[i] = w.table.rows[k]
 			rows[i].Key = k
 		}
-		n.waiting = append(n.waiting, n.book.ReadDone(w.now, rows, true)...)
+		n.waiting = append(n.waiting, n.batcher.ReadDone(w.now, rows, true)...)
 	}
 }
 
-// TestGroupCommit checks that starts which come while a write is under way
+// TestGroupCommit checks that starts which arrive while a write is in flight
 // share the next transaction.
 func TestGroupCommit(t *testing.T) {
 	b := New()
@@ -247,7 +246,7 @@
 	}
 	for id := uint64(1); id <= 40; id++ {
 		if got := b.Start(now, id, fmt.Sprint("k", id), "t"); len(got) != 0 {
-			t.Fatalf("start %d was written while a write is under way", id)
+			t.Fatalf("start %d was written while a write was in flight", id)
 		}
 	}
 	actions := b.WriteDone(now, WriteResult{Kind: WriteOK})
--- a/internal/core/ledger/shard.go
+++ b/internal/core/ledger/shard.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// Shards is how many nodes write records at most; with more nodes, each
-	// key's shard has one writer.
+	// Shards is the maximum number of nodes that write records. With more
+	// nodes, keys are sharded and each shard has one writer.
 	Shards = 8
-	// writesPerSecond is the part of the store's budget that records may use.
+	// writesPerSecond is the part of the store's write budget for records.
 	writesPerSecond = 40
 )
 
-// Writer names the node that writes a key's record. With up to Shards nodes
-// each writes for itself. Nodes whose views differ may name different writers;
-// that costs a transaction and never safety, which rests on the insert.
+// Writer returns the node that writes a key's record. With up to Shards nodes
+// each node writes its own records. Nodes with different views may choose
+// different writers; that costs a transaction but not safety, which relies on the
+// conditional insert.
 func Writer(key, self string, nodes []string) string {
 	if len(nodes) <= Shards {
 		return self
@@ -31,8 +32,8 @@
 	return writer
 }
 
-// WriteInterval returns the least time between two transactions of one node, so that
-// all writers together keep to their part of the store's budget.
+// WriteInterval returns the minimum time between two transactions of one node, so
+// that all writers together stay within writesPerSecond.
 func WriteInterval(nodes int) time.Duration {
 	return time.Duration(min(nodes, Shards)) * time.Second / writesPerSecond
 }
--- a/internal/core/ledger/types.go
+++ b/internal/core/ledger/types.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RecordTTL is how long a record keeps a request id from running again. It is far
-// longer than any caller asks again.
+// RecordTTL is how long a record prevents a request id from running again. It is far
+// longer than any client retries.
 const RecordTTL = 24 * time.Hour
 
 // Record is the value of a row.
@@ -13,7 +13,7 @@
 	Expires   time.Time `json:"expires"`
 }
 
-// Row is a row as the table tells it; version 0 means absent.
+// Row is a row as read from the table; version 0 means that it is absent.
 type Row struct {
 	Key     string
 	Version int64
@@ -27,29 +27,29 @@
 	Record    Record
 }
 
-// Result is the answer to a Start.
+// Result is the result of a Start.
 type Result int
 
 // The results.
 const (
 	Stored Result = iota
 	Duplicate
-	// Unavailable means that the store could not tell in time. A record that took
-	// effect all the same is abandoned later.
+	// Unavailable means that the store did not answer in time. If the record took
+	// effect nevertheless, it is abandoned later.
 	Unavailable
 )
 
-// Action is something for the shell to do. At most one Write or Read is under
-// way at a time.
+// Action is a side effect that the caller carries out. At most one Write or Read
+// is in flight at a time.
 type Action interface{ action() }
 
-// Write asks for one transaction: all puts or none.
+// Write requests one transaction that applies all puts or none.
 type Write struct{ Puts []Put }
 
-// Read asks for rows, in the order of the keys.
+// Read requests rows, in the order of the keys.
 type Read struct{ Keys []string }
 
-// Answer answers the Start with this id.
+// Answer reports the result of the Start with this id.
 type Answer struct {
 	ID     uint64
 	Result Result
@@ -59,21 +59,22 @@
 func (Read) action()   {}
 func (Answer) action() {}
 
-// WriteKind is what came back of a Write.
+// WriteKind classifies the result of a Write.
 type WriteKind int
 
 // The kinds.
 const (
 	WriteOK WriteKind = iota
-	// WriteConflict: nothing was written; the rows that differ are told.
+	// WriteConflict means that nothing was written because some rows have
+	// another version; those rows are in WriteResult.Rows.
 	WriteConflict
-	// WriteRefused: nothing was written.
+	// WriteRefused means that nothing was written.
 	WriteRefused
-	// WriteUnknown: the write may have taken effect, or may still.
+	// WriteUnknown means that the write may have taken effect or may still do so.
 	WriteUnknown
 )
 
-// WriteResult is the end of a Write.
+// WriteResult is the result of a Write.
 type WriteResult struct {
 	Kind WriteKind
 	Rows []Row
