--- a/internal/core/gossip/gossip.go
+++ b/internal/core/gossip/gossip.go
@@ -1,17 +1,17 @@
-// Package gossip keeps, for each peer, which changes of a set it was told, so that
-// heartbeats carry what is new and nothing else.
+// Package gossip tracks which changes of a set have been sent to each peer, so that
+// heartbeats carry only the changes that a peer has not been sent yet.
 //
-// The set itself, and what a sum over it is, belong to its owner. Nodes compare sums with
-// each heartbeat: a peer with another one although it was told everything has begun anew, or
-// lost some of it on the way, and is told all again.
+// The set and its checksum belong to the caller. Nodes compare checksums with each
+// heartbeat. A peer whose checksum differs although it was sent every change has restarted
+// or lost a message, and is sent the whole set again.
 //
 // # Usage
 //
-//	log := gossip.NewLog[string]()
-//	log.Changed(key)
-//	keys := log.News(peer, most)
-//	if sum != own && log.Differs(now, peer) {
-//		// answer with News
+//	log := gossip.NewChangeLog[string]()
+//	log.MarkChanged(key)
+//	keys := log.NextUpdates(peer, maxKeys)
+//	if sum != own && log.HandleMismatch(now, peer) {
+//		// answer with NextUpdates
 //	}
 package gossip
 
@@ -22,87 +22,87 @@
 )
 
 const (
-	// resendGap is how long after a peer was told everything it may be told so again, and
-	// resendEach what each key adds to that: 1,024 entries of 30 bytes are sent at most
-	// each 12 s to a peer that goes on to know others.
-	resendGap  = 2 * time.Second
-	resendEach = 10 * time.Millisecond
+	// minResendInterval is the minimum time between two transfers of the whole set to a peer,
+	// and resendIntervalPerKey is added to it for each key: 1,024 entries of 30 bytes are sent
+	// at most every 12 s to a peer whose checksum stays different.
+	minResendInterval    = 2 * time.Second
+	resendIntervalPerKey = 10 * time.Millisecond
 )
 
-// ChangeLog is the order of the last changes of a set's keys, and up to which of them each peer was
-// told. It is not safe for concurrent use.
+// ChangeLog holds the order of the last changes of a set's keys, and the last change that was sent to
+// each peer. It is not safe for concurrent use.
 type ChangeLog[K comparable] struct {
-	last    uint64
-	changes map[K]uint64
-	peers   map[string]*peer
+	lastChange uint64
+	changes    map[K]uint64
+	peers      map[string]*peer
 }
 
-// peer is what another node was told.
+// peer is the state of the updates sent to one peer.
 type peer struct {
-	upTo   uint64
-	resent time.Time
+	sentUpTo   uint64
+	lastResend time.Time
 }
 
-// NewChangeLog returns a log without changes.
+// NewChangeLog returns an empty log.
 func NewChangeLog[K comparable]() *ChangeLog[K] {
 	return &ChangeLog[K]{changes: make(map[K]uint64), peers: make(map[string]*peer)}
 }
 
-// MarkChanged notes that a key is new in the set, or what it stands for is.
+// MarkChanged records that a key was added to the set or that its value changed.
 func (l *ChangeLog[K]) MarkChanged(key K) {
-	l.last++
-	l.changes[key] = l.last
+	l.lastChange++
+	l.changes[key] = l.lastChange
 }
 
-// Remove forgets a key that is not in the set any more.
+// Remove removes a key that is no longer in the set.
 func (l *ChangeLog[K]) Remove(key K) { delete(l.changes, key) }
 
-// NextUpdates returns the keys whose last change a peer was not told yet, most at a time, the
-// oldest changes first. They count as told.
-func (l *ChangeLog[K]) NextUpdates(to string, most int) []K {
-	if l.last == 0 {
+// NextUpdates returns up to limit keys whose last change was not sent to a peer yet, the ones
+// with the oldest changes if there are more, and marks them as sent.
+func (l *ChangeLog[K]) NextUpdates(to string, limit int) []K {
+	if l.lastChange == 0 {
 		return nil
 	}
 	p := l.peer(to)
-	if p.upTo == l.last {
+	if p.sentUpTo == l.lastChange {
 		return nil
 	}
 	var keys []K
 	for key, change := range l.changes {
-		if change > p.upTo {
+		if change > p.sentUpTo {
 			keys = append(keys, key)
 		}
 	}
-	if len(keys) <= most {
-		p.upTo = l.last
+	if len(keys) <= limit {
+		p.sentUpTo = l.lastChange
 		return keys
 	}
 	slices.SortFunc(keys, func(a, b K) int { return cmp.Compare(l.changes[a], l.changes[b]) })
-	keys = keys[:most]
-	p.upTo = l.changes[keys[most-1]]
+	keys = keys[:limit]
+	p.sentUpTo = l.changes[keys[limit-1]]
 	return keys
 }
 
-// HandleMismatch takes in that a peer knows another set, and reports whether there is anything to
-// tell it.
+// HandleMismatch handles a peer whose checksum differs, and reports whether there is anything to
+// send to it now.
 func (l *ChangeLog[K]) HandleMismatch(now time.Time, from string) bool {
-	if l.last == 0 {
+	if l.lastChange == 0 {
 		return false
 	}
 	p := l.peer(from)
-	if p.upTo < l.last {
+	if p.sentUpTo < l.lastChange {
 		return true
 	}
-	gap := resendGap + time.Duration(len(l.changes))*resendEach
-	if !p.resent.IsZero() && now.Sub(p.resent) < gap {
+	gap := minResendInterval + time.Duration(len(l.changes))*resendIntervalPerKey
+	if !p.lastResend.IsZero() && now.Sub(p.lastResend) < gap {
 		return false
 	}
-	p.resent = now
-	p.upTo = 0
+	p.lastResend = now
+	p.sentUpTo = 0
 	return true
 }
 
-// ForgetPeers drops what is known of peers that are gone.
+// ForgetPeers removes the state of the peers for which gone returns true.
 func (l *ChangeLog[K]) ForgetPeers(gone func(peer string) bool) {
 	for name := range l.peers {
 		if gone(name) {
