--- a/internal/core/condwrite/condwrite.go
+++ b/internal/core/condwrite/condwrite.go
@@ -1,56 +1,56 @@
-// Package condwrite finds out what became of a conditional write whose answer
+// Package condwrite determines the outcome of a conditional write whose response
 // may be lost.
 //
-// Every write carries a fresh write id that is stored in the row. After a
-// lost answer the row tells: the id there means done; a higher version
-// without it means that another writer won; the old version means that the
-// write may still be under way, and only sending the same conditional write
-// again settles it, because at most one of the two can take effect.
+// Every write carries a unique write id that is stored in the row. After a lost
+// response the row is read back: if it holds the id, the write was applied; a
+// higher version without the id means that another writer won; the base version
+// means that the write may still be in flight. In that case the same conditional
+// write is sent again, since at most one of the two can take effect.
 //
 // # Usage
 //
 //	w := condwrite.New(base)
 //	for step := w.Next(); step != condwrite.Stop; step = w.Next() {
-//		// send or read as step says, and tell the result:
-//		w.Written(condwrite.AnswerLost) // or w.Read(version, mine)
+//		// carry out the step and pass in its result:
+//		w.WriteDone(condwrite.ResponseLost) // or w.ReadDone(version, mine)
 //	}
 //	w.Outcome()
 package condwrite
 
-// Step is what the caller does next.
+// Step is the next operation of the caller.
 type Step int
 
 // The steps.
 const (
-	// Send the conditional write.
+	// Send means that the conditional write must be sent.
 	Send Step = iota
-	// ReadBack the row.
+	// ReadBack means that the row must be read.
 	ReadBack
-	// Stop: Outcome is final.
+	// Stop means that Outcome is final.
 	Stop
 )
 
-// WriteResult is what came back of a write.
+// WriteResult is the store's response to a write.
 type WriteResult int
 
-// The answers.
+// The results.
 const (
 	// Accepted means that the write took effect.
 	Accepted WriteResult = iota
 	// Conflict means that the row had another version.
 	Conflict
-	// Refused means that the store did nothing, as when it throttles.
+	// Refused means that the store did nothing, for example because it throttles.
 	Refused
-	// ResponseLost means that the write may have taken effect, or may still.
+	// ResponseLost means that the write may have taken effect or may still do so.
 	ResponseLost
 )
 
-// Outcome is what became of the write.
+// Outcome is the outcome of a write.
 type Outcome int
 
 // The outcomes.
 const (
-	// Unknown means that it is not settled yet; after a caller gave up, the
+	// Unknown means that the outcome is not known; if the caller gives up, the
 	// write may still take effect.
 	Unknown Outcome = iota
 	Applied
@@ -63,8 +63,8 @@
 	return [...]string{"unknown", "done", "lost", "not_done"}[o]
 }
 
-// Write is the state of one write. A write that was only ever refused is
-// NotDone when the caller gives up; one whose answer was lost stays Open.
+// Write is the state of one write. If the caller gives up, a write that was only
+// refused is NotApplied, and one whose response was lost is Unknown.
 type Write struct {
 	base    int64
 	step    Step
@@ -78,22 +78,23 @@
 // Next returns the next step.
 func (w *Write) Next() Step { return w.step }
 
-// Outcome returns what is known now.
+// Outcome returns the outcome as known so far.
 func (w *Write) Outcome() Outcome { return w.outcome }
 
-// WriteDone tells what came back of a Send.
+// WriteDone passes in the result of a Send.
 func (w *Write) WriteDone(a WriteResult) {
 	switch a {
 	case Accepted:
-		w.end(Applied)
+		w.finish(Applied)
 	case Refused:
-		// The same step again, when the caller likes.
+		// The caller may retry the same step.
 	case Conflict:
 		if !w.inDoubt {
-			w.end(Superseded)
+			w.finish(Superseded)
 			return
 		}
-		// The row changed: by this write's earlier sending or by another.
+		// The row was changed by an earlier send of this write or by another
+		// writer.
 		w.step = ReadBack
 	case ResponseLost:
 		w.inDoubt = true
@@ -102,19 +103,19 @@
 	}
 }
 
-// ReadDone tells the row's version and whether it holds this write's id.
+// ReadDone passes in the row's version and whether it holds this write's id.
 func (w *Write) ReadDone(version int64, mine bool) {
 	switch {
 	case mine:
-		w.end(Applied)
+		w.finish(Applied)
 	case version > w.base:
-		w.end(Superseded)
+		w.finish(Superseded)
 	default:
 		w.step = Send
 	}
 }
 
-func (w *Write) end(o Outcome) {
+func (w *Write) finish(o Outcome) {
 	w.outcome = o
 	w.step = Stop
 }
--- a/internal/core/condwrite/condwrite_test.go
+++ b/internal/core/condwrite/condwrite_test.go
@@ -8,7 +8,7 @@
 	_ "gradetiller.example/internal/fixedseed"
 )
 
-// store is a row with a history, and writes that arrive late.
+// store is a row with its history, and delayed writes.
 type store struct {
 	version int64
 	history []int // writer of each version
@@ -33,10 +33,10 @@
 	return false
 }
 
-// TestOutcomeMatchesHistory runs two writers on one base version against a
-// store that refuses, loses answers before or after the effect, and delivers
-// writes late. What a writer is told is what the history shows, at once and
-// after every delayed write has arrived.
+// TestOutcomeMatchesHistory runs two writers on one base version against a store
+// that refuses writes, loses responses before or after the effect, and delays
+// writes. The outcome of each writer must match the row's history, also after
+// every delayed write has arrived.
 func TestOutcomeMatchesHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &store{}
@@ -49,19 +49,19 @@
 			me := rapid.IntRange(0, 1).Draw(t, "writer")
 			step(t, s, writers[me], me)
 		}
-		told := make([]Outcome, len(writers))
+		outcomes := make([]Outcome, len(writers))
 		for i, w := range writers {
-			told[i] = w.Outcome()
+			outcomes[i] = w.Outcome()
 		}
 		for _, deliver := range s.delayed {
 			deliver()
 		}
-		for i, o := range told {
+		for i, o := range outcomes {
 			if o == Applied && !s.holds(i) {
-				t.Fatalf("writer %d was told done, history %v", i, s.history)
+				t.Fatalf("writer %d has outcome done, history %v", i, s.history)
 			}
 			if (o == Superseded || o == NotApplied) && s.holds(i) {
-				t.Fatalf("writer %d was told %v, history %v", i, o, s.history)
+				t.Fatalf("writer %d has outcome %v, history %v", i, o, s.history)
 			}
 		}
 		if len(s.history) > 1 {
