--- a/internal/core/decisionlog/ring.go
+++ b/internal/core/decisionlog/ring.go
@@ -1,11 +1,11 @@
-// Package decisionlog keeps the latest decisions of a process in a bounded ring, so
-// that it can explain what it did.
+// Package decisionlog keeps the latest decisions of a process in a ring buffer, for
+// the explain command.
 //
 // # Usage
 //
 //	r := decisionlog.NewRing(4096)
-//	r.Add(decisionlog.Event{At: now, Subjects: []string{"req-7"}, Text: "..."})
-//	lines := r.About("req-7")
+//	r.Add(decisionlog.Event{At: now, Subjects: [3]string{"req-7"}, Text: "..."})
+//	lines := r.BySubject("req-7")
 package decisionlog
 
 import (
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// Event is one decision.
+// Event is a recorded decision.
 type Event struct {
 	At time.Time
-	// Subjects are the names under which the decision is found: a request id,
-	// an endpoint, a lease, a version.
+	// Subjects are the names that the decision can be looked up by, such as a
+	// request id, an endpoint, a lease or a version.
 	Subjects [3]string
 	Name     string
 	Text     string
@@ -29,16 +29,16 @@
 	return fmt.Sprintf("%s %s %s", e.At.UTC().Format("2006-01-02T15:04:05.000Z"), e.Name, e.Text)
 }
 
-// Ring holds the latest events. It is not safe for concurrent use.
+// Ring is a ring buffer of events. It is not safe for concurrent use.
 type Ring struct {
 	events []Event
 	next   int
 }
 
-// NewRing returns a ring for n events.
+// NewRing returns a ring with room for n events.
 func NewRing(n int) *Ring { return &Ring{events: make([]Event, 0, n)} }
 
-// Add puts an event in, in place of the oldest when the ring is full.
+// Add adds an event, replacing the oldest one if the ring is full.
 func (r *Ring) Add(e Event) {
 	if len(r.events) < cap(r.events) {
 		r.events = append(r.events, e)
@@ -48,7 +48,7 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// BySubject returns the events that name the subject, oldest first.
+// BySubject returns the events that have the subject, oldest first.
 func (r *Ring) BySubject(subject string) []Event {
 	var found []Event
 	for i := range r.events {
