--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -5,9 +5,10 @@
 const (
 	// DefaultTerm is how long a lease lasts without renewal.
 	DefaultTerm = 9 * time.Second
-	// renewals in a term, and the part of the term that is the margin.
-	renewals   = 3
-	marginPart = 6
+	// A lease is renewed renewalsPerTerm times in a term. The margin is the
+	// term divided by marginDivisor.
+	renewalsPerTerm = 3
+	marginDivisor   = 6
 )
 
 // Row is the value of a lease's row.
@@ -17,24 +18,24 @@
 	WriteID string `json:"write_id"`
 }
 
-// Kind is what the shell does next.
+// Kind is the kind of a step.
 type Kind int
 
-// The kinds of steps.
+// The kinds.
 const (
 	Wait Kind = iota
 	Read
 	Write
 )
 
-// Step is what the shell does next; IfVersion and Row are those of a Write.
+// Step is the next operation of the caller; IfVersion and Row are set for a Write.
 type Step struct {
 	Kind      Kind
 	IfVersion int64
 	Row       Row
 }
 
-// WriteResult is what came back of a Write.
+// WriteResult is the table's response to a Write.
 type WriteResult int
 
 // The results.
@@ -47,32 +48,32 @@
 
 // Lease is one node's view of a lease. It is not safe for concurrent use.
 type Lease struct {
-	self     string
-	term     time.Duration
-	margin   time.Duration
-	version  int64
-	row      Row
-	seen     time.Time // when the row was first seen as it is
-	read     time.Time // when it was last read
-	known    bool
-	sent     time.Time // when the write under way was sent
-	pending  string    // its id
-	base     int64     // its version
-	wrote    Row
-	until    time.Time // until when the lease is trusted
-	lastSent time.Time // when the last accepted write was sent
+	self           string
+	term           time.Duration
+	margin         time.Duration
+	version        int64
+	row            Row
+	unchangedSince time.Time // when the row was first seen with its present version
+	lastRead       time.Time // when the row was last read
+	known          bool
+	writeSentAt    time.Time // when the write in flight was sent
+	writeID        string    // id of the write in flight
+	writeBase      int64     // version that the write in flight is based on
+	writeRow       Row
+	trustedUntil   time.Time // when the holder stops trusting the lease
+	lastRenewal    time.Time // when the last accepted write was sent
 }
 
-// New returns a lease as seen by a holder whose name is unique to one life of
-// one process.
+// New returns the view of the process named self, a name that must be unique to
+// one incarnation of a process.
 func New(self string, term time.Duration) *Lease {
-	return &Lease{self: self, term: term, margin: term / marginPart}
+	return &Lease{self: self, term: term, margin: term / marginDivisor}
 }
 
-// Holds returns the epoch while the lease is held. It must be asked right
-// before every act.
+// Holds returns the epoch if the lease is held. It must be called right before
+// every action that the lease protects.
 func (l *Lease) Holds(now time.Time) (uint64, bool) {
-	if l.row.Holder != l.self || !now.Before(l.until) {
+	if l.row.Holder != l.self || !now.Before(l.trustedUntil) {
 		return 0, false
 	}
 	return l.row.Epoch, true
@@ -81,60 +82,62 @@
 // Holder returns the holder and epoch as last read.
 func (l *Lease) Holder() (string, uint64) { return l.row.Holder, l.row.Epoch }
 
-// Next returns the next step; id must be fresh.
+// Next returns the next step; id must be unique to this call.
 func (l *Lease) Next(now time.Time, id string) Step {
 	switch {
 	case !l.known:
 		return Step{Kind: Read}
 	case l.row.Holder == l.self:
-		if now.Sub(l.lastSent) < l.term/renewals {
+		if now.Sub(l.lastRenewal) < l.term/renewalsPerTerm {
 			return Step{}
 		}
 		return l.write(now, Row{Holder: l.self, Epoch: l.row.Epoch, WriteID: id})
-	case l.version == 0 || now.Sub(l.seen) > l.term+l.margin:
-		if now.Sub(l.read) > l.margin {
+	case l.version == 0 || now.Sub(l.unchangedSince) > l.term+l.margin:
+		if now.Sub(l.lastRead) > l.margin {
 			// The row may have been renewed since it was read.
 			return Step{Kind: Read}
 		}
 		return l.write(now, Row{Holder: l.self, Epoch: l.row.Epoch + 1, WriteID: id})
-	case now.Sub(l.read) > l.term/renewals:
+	case now.Sub(l.lastRead) > l.term/renewalsPerTerm:
 		return Step{Kind: Read}
 	}
 	return Step{}
 }
 
 func (l *Lease) write(now time.Time, row Row) Step {
-	l.sent, l.pending, l.base, l.wrote = now, row.WriteID, l.version, row
+	l.writeSentAt, l.writeID, l.writeBase, l.writeRow = now, row.WriteID, l.version, row
 	return Step{Kind: Write, IfVersion: l.version, Row: row}
 }
 
-// WriteDone tells the end of a Write.
+// WriteDone passes in the result of a Write.
 func (l *Lease) WriteDone(now time.Time, r WriteResult) {
 	switch r {
 	case Accepted:
-		l.take(now, l.base+1, l.wrote)
+		l.observe(now, l.writeBase+1, l.writeRow)
 	case Refused:
-		// Nothing happened; a renewal is tried again at the next step.
+		// Nothing was written; the write is retried at the next step.
 	case Conflict, ResponseLost:
 		l.known = false
 	}
 }
 
-// ReadDone tells the row; it is not called when the table did not answer.
+// ReadDone passes in the row that was read; it is not called if the table did not
+// answer.
 func (l *Lease) ReadDone(now time.Time, version int64, row Row) {
 	l.known = true
-	l.read = now
-	l.take(now, version, row)
+	l.lastRead = now
+	l.observe(now, version, row)
 }
 
-func (l *Lease) take(now time.Time, version int64, row Row) {
-	if version != l.version || l.seen.IsZero() {
-		l.seen = now
+func (l *Lease) observe(now time.Time, version int64, row Row) {
+	if version != l.version || l.unchangedSince.IsZero() {
+		l.unchangedSince = now
 	}
 	l.version, l.row = version, row
-	if row.Holder == l.self && row.WriteID == l.pending {
-		// Trusted from the time of sending: the row may be that old.
-		l.until = l.sent.Add(l.term - l.margin)
-		l.lastSent = l.sent
+	if row.Holder == l.self && row.WriteID == l.writeID {
+		// The term counts from the time of sending, since the row may have been
+		// written then.
+		l.trustedUntil = l.writeSentAt.Add(l.term - l.margin)
+		l.lastRenewal = l.writeSentAt
 	}
 }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -10,7 +10,7 @@
 	_ "gradetiller.example/internal/fixedseed"
 )
 
-// world is the lease's row, two claimants, and writes that arrive late.
+// world is the lease's row, two claimants, and delayed writes.
 type world struct {
 	t       *rapid.T
 	now     time.Time
@@ -18,7 +18,7 @@
 	row     Row
 	delayed []func()
 	nodes   []*Lease
-	paused  []time.Time // until when a node is paused
+	paused  []time.Time // when the pause of a node ends
 	highest uint64
 	ids     int
 }
@@ -62,8 +62,8 @@
 	}
 }
 
-// act has every node that holds the lease act, and checks that no act carries
-// an epoch below one that was seen, and that no two nodes hold at once.
+// act lets every node that holds the lease act, and checks that epochs never
+// decrease and that no two nodes hold the lease at once.
 func (w *world) act() {
 	holders := 0
 	for i, n := range w.nodes {
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestOneHolder drives two claimants through pauses, outages, lost answers and
-// late writes: at no time do two hold the lease, and epochs never go back. A
-// paused node asks right before it acts and finds that its time is over.
+// TestOneHolder drives two claimants through pauses, outages, lost responses and
+// delayed writes: two nodes never hold the lease at once, and epochs never
+// decrease. A node that resumes after a pause must find its lease expired.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, now: time.Unix(1000, 0), paused: make([]time.Time, 2)}
@@ -107,8 +107,8 @@
 	})
 }
 
-// TestSuccession checks that a dead holder is followed within the term, the
-// margin and two reads, with a higher epoch.
+// TestSuccession checks that the lease of a dead holder is taken over within two
+// terms, with a higher epoch. A successor needs the term, the margin and two reads.
 func TestSuccession(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := New("a", DefaultTerm), New("b", DefaultTerm)
@@ -145,9 +145,9 @@
 			break
 		}
 		if now.Sub(died) > 2*DefaultTerm {
-			t.Fatal("nobody followed")
+			t.Fatal("the lease was not taken over")
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
-	t.Logf("followed after %v", now.Sub(died))
+	t.Logf("taken over after %v", now.Sub(died))
 }
