--- a/internal/core/lead/lead.go
+++ b/internal/core/lead/lead.go
@@ -1,16 +1,16 @@
-// Package lead tells which nodes lead a cell of stage endpoints and which ones
-// read the platform's store for the others. All nodes with the same view agree
+// Package lead determines which nodes lead a cell of stage endpoints and which ones
+// read the platform's store on behalf of all nodes. Nodes with the same view agree
 // on both without messages.
 //
-// Instances are of unlike size. Leading and reading cost processor time and
-// bytes for every node's sake, so the strong instances come first: those of at
-// least half of the largest one's processor share.
+// Instances differ in size. Leading and reading cost CPU time and bandwidth on
+// behalf of all nodes, so large instances are preferred: those with at least half
+// of the largest instance's CPU share.
 //
 // # Usage
 //
 //	order := lead.Rank(cell, entries)
-//	leader, ok := lead.First(cell, entries)
-//	strong, weak := lead.Split(entries)
+//	leader, ok := lead.Leader(cell, entries)
+//	large, small := lead.SplitBySize(entries)
 package lead
 
 import (
@@ -21,46 +21,47 @@
 	"gradetiller.example/internal/wire"
 )
 
-// mostCells bounds the cells that a node can claim.
-const mostCells = 64
+// maxCells is the number of cells that a node can claim.
+const maxCells = 64
 
-// CellBit returns the bit of wire.Entry.Leads that stands for a cell.
-func CellBit(cell int) uint64 { return 1 << (cell % mostCells) }
+// CellBit returns the bit of wire.Entry.Leads for a cell.
+func CellBit(cell int) uint64 { return 1 << (cell % maxCells) }
 
-// strongShare of the largest capacity makes an instance a strong one.
-const strongShare = 0.5
+// largeShare is the minimum capacity of a large instance, as a share of the largest
+// capacity.
+const largeShare = 0.5
 
-// SplitBySize separates the strong instances from the weak ones, in the order given.
-// Instances that tell no capacity are all alike.
-func SplitBySize(entries []wire.Entry) (strong, weak []wire.Entry) {
-	most := mostCapacity(entries)
+// SplitBySize separates large from small instances and preserves their order. If no
+// instance reports a capacity, all are large.
+func SplitBySize(entries []wire.Entry) (large, small []wire.Entry) {
+	largest := maxCapacity(entries)
 	for _, e := range entries {
-		if isStrong(e, most) {
-			strong = append(strong, e)
+		if isLarge(e, largest) {
+			large = append(large, e)
 		} else {
-			weak = append(weak, e)
+			small = append(small, e)
 		}
 	}
-	return strong, weak
+	return large, small
 }
 
-// Rank orders nodes by who leads a cell: strong instances first, among equals
-// those that claim the cell, then by rendezvous hashing. A node that comes back
-// therefore doesn't take its cell from the one that leads it by then, since
-// each change leaves two leaders at the same endpoints for a while.
+// Rank orders nodes by precedence as leader of a cell: large instances first, then
+// those that claim the cell, then by rendezvous hashing. A node that returns
+// therefore doesn't take its cell back from the current leader, since each change
+// leaves two leaders at the same endpoints for a while.
 func Rank(cell int, entries []wire.Entry) []wire.Entry {
-	strong, weak := SplitBySize(entries)
-	return append(rankAlike(cell, strong), rankAlike(cell, weak)...)
+	large, small := SplitBySize(entries)
+	return append(rankSameSize(cell, large), rankSameSize(cell, small)...)
 }
 
-// Leader returns the first of Rank without ordering the others, and false if there
-// is none. Every request with stages asks for it.
+// Leader returns the first node of Rank without ordering the others, or false if there
+// is none. It is called for every request with stages.
 func Leader(cell int, entries []wire.Entry) (wire.Entry, bool) {
-	most := mostCapacity(entries)
+	largest := maxCapacity(entries)
 	key, bit := cellKey(cell), CellBit(cell)
 	first, found, highest := wire.Entry{}, false, uint64(0)
 	for _, e := range entries {
-		if !isStrong(e, most) {
+		if !isLarge(e, largest) {
 			continue
 		}
 		weight := hash.Pair(key, hash.Of(e.Node))
@@ -75,26 +76,26 @@
 
 func cellKey(cell int) uint64 { return hash.Mix(uint64(cell) + 1) }
 
-func mostCapacity(entries []wire.Entry) int {
-	most := 0
+func maxCapacity(entries []wire.Entry) int {
+	largest := 0
 	for _, e := range entries {
-		most = max(most, e.Capacity)
+		largest = max(largest, e.Capacity)
 	}
-	return most
+	return largest
 }
 
-func isStrong(e wire.Entry, most int) bool { return IsLarge(e.Capacity, most) }
+func isLarge(e wire.Entry, largest int) bool { return IsLarge(e.Capacity, largest) }
 
-// IsLarge reports whether an instance of a capacity is a strong one where the largest
-// has most.
-func IsLarge(capacity, most int) bool { return float64(capacity) >= strongShare*float64(most) }
+// IsLarge reports whether an instance of the given capacity is large if the largest
+// capacity is largest.
+func IsLarge(capacity, largest int) bool { return float64(capacity) >= largeShare*float64(largest) }
 
-// CandidatesHash is one number for the set of nodes that may lead and read: the strong ones
-// that stay. Nodes that know the same ones have the same number.
+// CandidatesHash returns a hash of the set of nodes that may lead and read: the large
+// instances that are not leaving. Nodes that know the same set return the same hash.
 func CandidatesHash(entries []wire.Entry) uint64 {
-	strong, _ := SplitBySize(entries)
+	large, _ := SplitBySize(entries)
 	set := uint64(0)
-	for _, e := range strong {
+	for _, e := range large {
 		if !e.Leaving {
 			set ^= hash.Of(e.Node)
 		}
@@ -102,8 +103,8 @@
 	return set
 }
 
-// rankAlike orders instances of about one size.
-func rankAlike(cell int, entries []wire.Entry) []wire.Entry {
+// rankSameSize orders instances of the same size class.
+func rankSameSize(cell int, entries []wire.Entry) []wire.Entry {
 	names := make([]string, len(entries))
 	for i, e := range entries {
 		names[i] = e.Node
--- a/internal/core/lead/lead_test.go
+++ b/internal/core/lead/lead_test.go
@@ -17,10 +17,9 @@
 	return list
 }
 
-// TestStrongInstancesLead ranks ten small instances and two large ones: for
-// every cell the large ones come first, also before a small one that claims
-// the cell.
-func TestStrongInstancesLead(t *testing.T) {
+// TestLargeInstancesRankFirst ranks ten small instances and two large ones: for
+// every cell the large ones rank first, even if a small one claims the cell.
+func TestLargeInstancesRankFirst(t *testing.T) {
 	list := nodes(192, 192, 192, 800, 192, 192, 192, 192, 800, 192, 192, 192)
 	for cell := range 40 {
 		list[0].Leads |= CellBit(cell)
@@ -30,28 +29,29 @@
 		}
 		for i, e := range rank[:2] {
 			if e.Capacity != 800 {
-				t.Errorf("cell %d: place %d has %d thousandths of a core", cell, i, e.Capacity)
+				t.Errorf("cell %d: rank %d has %d thousandths of a core", cell, i, e.Capacity)
 			}
 		}
 		if rank[2].Node != "node-0" {
-			t.Errorf("cell %d: the weak node that claims it comes behind %s", cell, rank[2].Node)
+			t.Errorf("cell %d: the small node that claims it ranks behind %s", cell, rank[2].Node)
 		}
 	}
 }
 
-// TestClaimStays has each node of one size claim a cell: it comes first.
-func TestClaimStays(t *testing.T) {
+// TestClaimingNodeRanksFirst lets each of several equal nodes claim a cell: the
+// claiming node ranks first.
+func TestClaimingNodeRanksFirst(t *testing.T) {
 	for claims := range 7 {
 		list := nodes(400, 400, 400, 400, 400, 400, 400)
 		list[claims].Leads = CellBit(3)
 		if first := Rank(3, list)[0].Node; first != list[claims].Node {
-			t.Errorf("%s claims the cell, %s comes first", list[claims].Node, first)
+			t.Errorf("%s claims the cell, %s ranks first", list[claims].Node, first)
 		}
 	}
 }
 
-// TestCellsAreSpread checks that equal nodes share the cells about evenly, also
-// when none tells its capacity.
+// TestCellsAreSpread checks that equal nodes that report no capacity share the
+// cells about evenly.
 func TestCellsAreSpread(t *testing.T) {
 	led := make(map[string]int)
 	list := nodes(0, 0, 0, 0, 0, 0, 0, 0)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestFirstIsFirstOfRank checks First against Rank: nodes of two sizes, some of
-// which claim the cell, in all orders.
-func TestFirstIsFirstOfRank(t *testing.T) {
+// TestLeaderIsFirstOfRank checks Leader against Rank for nodes of several sizes, some of
+// which claim cells, in random order.
+func TestLeaderIsFirstOfRank(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var list []wire.Entry
 		for i := range rapid.IntRange(0, 12).Draw(rt, "nodes") {
@@ -88,8 +88,8 @@
 	})
 }
 
-// BenchmarkFirst finds the leader among 295 nodes of two sizes, and ranks them all.
-func BenchmarkFirst(b *testing.B) {
+// BenchmarkLeader compares Leader with Rank for 295 nodes of two sizes.
+func BenchmarkLeader(b *testing.B) {
 	list := nodes()
 	for i := range 295 {
 		capacity := 192
