--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,16 +1,14 @@
-// Package fleet decides which engines are ordered to load which model
-// versions.
+// Package fleet decides which engines are ordered to load which model versions.
 //
-// It is level-triggered: every round compares what the configuration wants
-// with what the engines report, so a round that was lost, or a holder that
-// died between two orders, costs time only. The configuration is the intent;
-// it is stored before any order goes out. Orders state the wanted set and carry
-// an operation id that is the same for the same wish, so an order that is sent
-// twice loads once.
+// It is level-triggered: every round compares the configuration with the status that
+// the engines report, so a lost round, or a lease holder that dies between two orders,
+// only costs time. The configuration is the desired state and is stored before any
+// order is sent. Orders state the complete set of versions and carry an operation id
+// that is the same for the same set, so an order that is sent twice loads once.
 //
 // # Usage
 //
-//	orders := fleet.Plan(version, engines, seen)
+//	orders := fleet.Plan(version, engines, statuses)
 package fleet
 
 import (
@@ -19,43 +17,43 @@
 	"slices"
 )
 
-// MaxLoads bounds the engines that load at the same time, since all load from
-// one rate-limited weight store.
+// MaxLoads bounds the number of engines that load at the same time, since all load
+// from one rate-limited weight store.
 const MaxLoads = 2
 
-// Engine is one engine and the versions that the configuration wants there.
+// Engine is an engine and the versions that the configuration assigns to it.
 type Engine struct {
 	Name    string
 	Address string
 	Wanted  []string
-	// ChecksEpoch is true if the engine refuses orders of an earlier epoch.
+	// ChecksEpoch is true if the engine rejects orders of an earlier epoch.
 	ChecksEpoch bool
 }
 
-// Status is an engine's own report.
+// Status is the status that an engine reports.
 type Status struct {
 	Versions []string
 	Loading  bool
 }
 
-// Order asks an engine to hold exactly a set of versions.
+// Order tells an engine to hold exactly Engine.Wanted.
 type Order struct {
 	Engine      Engine
 	OperationID string
 }
 
-// Plan returns the orders of this round, in the engines' order. Engines
-// without a report are left alone.
-func Plan(version uint64, engines []Engine, seen map[string]Status) []Order {
+// Plan returns the orders of this round, in the order of engines. Engines without a
+// status get no order.
+func Plan(version uint64, engines []Engine, statuses map[string]Status) []Order {
 	loading := 0
-	for _, s := range seen {
+	for _, s := range statuses {
 		if s.Loading {
 			loading++
 		}
 	}
 	var orders []Order
 	for _, e := range engines {
-		s, ok := seen[e.Name]
+		s, ok := statuses[e.Name]
 		if !ok || s.Loading || sameSet(s.Versions, e.Wanted) {
 			continue
 		}
@@ -75,8 +73,8 @@
 	return slices.Equal(a, b)
 }
 
-// operation names a wish: the same engine, versions and configuration give
-// the same id.
+// operation returns the operation id of an order: the same engine, versions and
+// configuration give the same id.
 func operation(version uint64, e Engine) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d/%s/%q", version, e.Name, e.Wanted)
