--- a/internal/core/mechanism/mechanism.go
+++ b/internal/core/mechanism/mechanism.go
@@ -1,12 +1,11 @@
-// Package mechanism names the parts of the system's decisions that can be switched
-// off, one by one, to measure what each is worth. With all of them on, which is the
-// default, nothing changes. A mechanism that is off is replaced by the naive choice
-// that its comment tells.
+// Package mechanism defines the mechanisms of the system that can be disabled
+// individually for ablation measurements. By default all are enabled. A disabled
+// mechanism is replaced by the naive behavior given in its comment.
 //
 // # Usage
 //
-//	off, err := mechanism.Parse([]string{"copies", "admission"})
-//	if off.Has(mechanism.Copies) { ... }
+//	disabled, err := mechanism.Parse([]string{"copies", "admission"})
+//	if disabled.Has(mechanism.Copies) { ... }
 package mechanism
 
 import (
@@ -15,57 +14,60 @@
 	"strings"
 )
 
-// Mechanism is the name of a part that can be switched off.
+// Mechanism is the name of a mechanism that can be disabled.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// Copies has engines copy parts of prompts from each other; without, they
-	// read them.
+	// Copies lets engines copy cached parts of prompts from each other. If
+	// disabled, engines prefill them.
 	Copies Mechanism = "copies"
-	// Lists has a new leader ask the engines what they hold; without, it knows
-	// only what it sends itself.
+	// Lists lets a new leader query the engines for their cached prompts. If
+	// disabled, it only knows the prompts that it sent itself.
 	Lists Mechanism = "lists"
-	// Holdings places prompts by what each engine holds; without, by the home
-	// of one part.
+	// Holdings places prompts by the cache contents of each engine. If
+	// disabled, prompts are placed by the home engine of one part.
 	Holdings Mechanism = "holdings"
-	// Placement has the leader place the prompts of all nodes; without, each
-	// node places its own by the hash of one part.
+	// Placement lets the leader place the prompts of all nodes. If disabled,
+	// each node places its own prompts by the hash of one part.
 	Placement Mechanism = "placement"
-	// Admission refuses tasks that would be late; without, all are taken.
+	// Admission refuses tasks that would miss their deadline. If disabled, all
+	// tasks are admitted.
 	Admission Mechanism = "admission"
-	// ForeignRoom remembers the room that others hold at stage endpoints;
-	// without, an endpoint is taken for empty again at once.
+	// ForeignRoom tracks the result capacity that other leaders use at stage
+	// endpoints. If disabled, an endpoint counts as empty again at once.
 	ForeignRoom Mechanism = "foreign_room"
-	// RoomRate has admission count on no more results than find room; without, on
-	// as many as full batches make.
+	// RoomRate limits the throughput that admission assumes to the results that
+	// fit into the endpoints. If disabled, admission assumes full batches.
 	RoomRate Mechanism = "room_rate"
-	// Forecast adds to a task's plan what such tasks took beyond theirs; without,
-	// admission goes by the plan alone.
+	// Forecast adds to a task's planned time the delay of similar tasks beyond
+	// their plans. If disabled, admission uses the planned time alone.
 	Forecast Mechanism = "forecast"
-	// Homes keeps stages in the failure domain of their big transfers; without,
-	// they go anywhere.
+	// Homes keeps stages in the failure domain of their large transfers. If
+	// disabled, they are placed in any failure domain.
 	Homes Mechanism = "homes"
-	// Priorities orders queues by the tasks' ranks too; without, by slack alone.
-	// Admission counts by rank in either case.
+	// Priorities orders queues by the tasks' priority as well as slack. If
+	// disabled, they are ordered by slack alone. Admission uses priorities in
+	// either case.
 	Priorities Mechanism = "priorities"
-	// EarlyFrees gives inputs up as soon as they are fetched where room is
-	// short; without, at the end of the call.
+	// EarlyFrees frees inputs as soon as they are fetched if result capacity is
+	// scarce. If disabled, inputs are freed at the end of the call.
 	EarlyFrees Mechanism = "early_frees"
-	// Speeds learns how fast each stage endpoint is; without, all count as
-	// alike.
+	// Speeds estimates the speed of each stage endpoint. If disabled, all
+	// endpoints are assumed to be equally fast.
 	Speeds Mechanism = "speeds"
-	// Overdue has pieces made elsewhere when their call takes far too long;
-	// without, the call's end is awaited.
+	// Overdue recomputes pieces at another endpoint if their call takes far too
+	// long. If disabled, the end of the call is awaited.
 	Overdue Mechanism = "overdue"
-	// Sizes lets prompts that are longer than usual miss their aim by as much;
-	// without, they are refused more often than others.
+	// Sizes extends the latency objective of prompts that are longer than usual
+	// by their excess length. If disabled, they are refused more often than
+	// others.
 	Sizes Mechanism = "sizes"
-	// Reading learns how long prompts take to read; without, the start values
-	// stay.
+	// Reading estimates the prefill time of prompts from measurements. If
+	// disabled, the initial estimates are used.
 	Reading Mechanism = "reading"
-	// Join has a started node wait until it knows the others before it leads;
-	// without, it leads at once.
+	// Join makes a started node wait until it knows the other members before
+	// it leads. If disabled, it leads at once.
 	Join Mechanism = "join"
 )
 
@@ -74,26 +76,26 @@
 	Copies, Lists, Holdings, Placement, Admission, ForeignRoom, RoomRate, Forecast, Homes, Priorities, EarlyFrees, Speeds, Overdue, Sizes, Reading, Join,
 }
 
-// Disabled is a set of mechanisms that are switched off.
+// Disabled is a set of disabled mechanisms.
 type Disabled map[Mechanism]bool
 
-// Has reports whether a mechanism is switched off.
+// Has reports whether a mechanism is disabled.
 func (o Disabled) Has(m Mechanism) bool { return o[m] }
 
-// Parse reads names of mechanisms to switch off.
+// Parse parses the names of mechanisms to disable.
 func Parse(names []string) (Disabled, error) {
-	off := make(Disabled, len(names))
+	disabled := make(Disabled, len(names))
 	for _, name := range names {
 		m := Mechanism(strings.TrimSpace(name))
 		if m == "" {
 			continue
 		}
 		if !slices.Contains(All, m) {
-			return nil, fmt.Errorf("unknown mechanism %q: the known ones are %s", name, known())
+			return nil, fmt.Errorf("unknown mechanism %q, want one of %s", name, known())
 		}
-		off[m] = true
+		disabled[m] = true
 	}
-	return off, nil
+	return disabled, nil
 }
 
 func known() string {
--- a/internal/core/mechanism/mechanism_test.go
+++ b/internal/core/mechanism/mechanism_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// TestParse checks that known names are taken and that an unknown one is told
-// with those that are known.
+// TestParse checks that known names are accepted and that the error for an unknown
+// name lists the known ones.
 func TestParse(t *testing.T) {
-	off, err := Parse([]string{"copies", " admission ", ""})
-	if err != nil || len(off) != 2 || !off.Has(Copies) || !off.Has(Admission) || off.Has(Lists) {
-		t.Errorf("%v, %v", off, err)
+	disabled, err := Parse([]string{"copies", " admission ", ""})
+	if err != nil || len(disabled) != 2 || !disabled.Has(Copies) || !disabled.Has(Admission) || disabled.Has(Lists) {
+		t.Errorf("%v, %v", disabled, err)
 	}
 	if _, err := Parse([]string{"copys"}); err == nil || !strings.Contains(err.Error(), `"copys"`) || !strings.Contains(err.Error(), string(Join)) {
-		t.Errorf("an unknown name: %v", err)
+		t.Errorf("error for an unknown name: %v", err)
 	}
-	if off, err := Parse(nil); err != nil || off.Has(Copies) {
-		t.Errorf("nothing off: %v, %v", off, err)
+	if disabled, err := Parse(nil); err != nil || disabled.Has(Copies) {
+		t.Errorf("no names: %v, %v", disabled, err)
 	}
 }
