--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// TestScripts runs each script of testdata: "size N" sets the bound on the size of
-// what follows, "done N D..." notes N times work that took so long, "ends D" sets the end
-// of the process, "at D WANT" asks at a moment whether work of the kind is still
-// taken. Times count from the request to stop.
+// TestScripts runs each script of testdata: "size N" sets the bound on the size of the
+// work that follows, "done N D..." observes N times work of each duration, "ends D" sets
+// the end of the process, "at D WANT" checks whether work is still accepted at that
+// time. Times count from the request to stop.
 func TestScripts(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(scripts) == 0 {
@@ -34,7 +34,7 @@
 	defer file.Close()
 	start := time.Unix(0, 0)
 	var window Window
-	var lately Predictor
+	var predictor Predictor
 	var size Size
 	lines := bufio.NewScanner(file)
 	for n := 1; lines.Scan(); n++ {
@@ -46,11 +46,11 @@
 		case "size":
 			size = Bound(number(t, words[1]))
 		case "done":
-			note(t, &lately, size, words[1], words[2:])
+			observe(t, &predictor, size, words[1], words[2:])
 		case "ends":
 			window = Until(start.Add(duration(t, words[1])))
 		case "at":
-			if got := answer(window, &lately, size, start.Add(duration(t, words[1]))); got != words[2] {
+			if got := answer(window, &predictor, size, start.Add(duration(t, words[1]))); got != words[2] {
 				t.Errorf("%s:%d: %s, want %s", name, n, got, words[2])
 			}
 		default:
@@ -62,7 +62,7 @@
 	}
 }
 
-func note(t *testing.T, d *Predictor, size Size, times string, list []string) {
+func observe(t *testing.T, d *Predictor, size Size, times string, list []string) {
 	for range number(t, times) {
 		for _, text := range list {
 			d.Observe(size, duration(t, text))
@@ -89,18 +89,18 @@
 	return "refused"
 }
 
-// TestLikely draws from a distribution with rare long durations, as streams have
-// it, with and without a rough estimate of their sizes: about one in six takes longer
-// than foretold, from the first ones on.
+// TestLikely draws from a distribution with rare long durations, like that of streams,
+// with and without estimates of their sizes: about one in six takes longer than
+// UpperEstimate, even after few observations.
 func TestLikely(t *testing.T) {
 	for _, known := range []bool{false, true} {
-		if share := longerThanForetold(known); share < 0.10 || share > 0.22 {
-			t.Errorf("sizes known %v: %.3f of the durations were longer than foretold", known, share)
+		if share := shareAbovePrediction(known); share < 0.10 || share > 0.22 {
+			t.Errorf("sizes known %v: %.3f of the durations exceeded UpperEstimate", known, share)
 		}
 	}
 }
 
-func longerThanForetold(sizes bool) float64 {
+func shareAbovePrediction(sizes bool) float64 {
 	const lives, each = 400, 20
 	random := rand.New(rand.NewPCG(1, 2))
 	longer := 0
@@ -130,7 +130,7 @@
 	return d
 }
 
-// TestFits asks for work of several lengths at several times of a stop.
+// TestFits checks work of several durations at several times of a stop.
 func TestFits(t *testing.T) {
 	start := time.Unix(1000, 0)
 	stop := Until(start.Add(time.Second))
@@ -154,9 +154,10 @@
 	}
 }
 
-// TestLongAfterManyShort has streams of events that come at a fixed pace, the first at
-// once: 92 events take 2.275 s, four take 75 ms, which is less in proportion. After many
-// short ones and a few long ones the bound for a long one is no less than what it takes.
+// TestLongAfterManyShort observes streams of events at a fixed interval whose first event
+// takes no time: 92 events take 2.275 s, four take 75 ms, which is less in proportion. After
+// many short streams and a few long ones, UpperEstimate of a long one must not be less
+// than its duration.
 func TestLongAfterManyShort(t *testing.T) {
 	const pause, tokens, long = 25 * time.Millisecond, 10, 92
 	takes := func(events int) time.Duration { return time.Duration(events-1) * pause }
@@ -169,6 +170,6 @@
 		d.Observe(Bound(events*tokens), takes(events))
 	}
 	if got, _ := d.UpperEstimate(Bound(long * tokens)); got < takes(long) {
-		t.Errorf("a stream of %d events that takes %v hardly exceeds %v", long, takes(long), got)
+		t.Errorf("a stream of %d events takes %v, UpperEstimate is %v", long, takes(long), got)
 	}
 }
