--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -11,8 +11,8 @@
 	_ "gradetiller.example/internal/fixedseed"
 )
 
-// TestQuantileMatchesSortedList compares the histogram with a sorted list;
-// they may differ by one bucket's width.
+// TestQuantileMatchesSortedList compares the histogram with a sorted list; they may
+// differ by one bucket's width.
 func TestQuantileMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -33,8 +33,8 @@
 	})
 }
 
-// TestOldTimesFade checks that a slow spell is forgotten.
-func TestOldTimesFade(t *testing.T) {
+// TestOldObservationsDecay checks that slow calls no longer count after 30 s.
+func TestOldObservationsDecay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := NewEstimator(now)
 	for range 100 {
@@ -48,12 +48,13 @@
 		t.Fatalf("median is still %v after 30 s", got)
 	}
 	if got := e.Quantile(later.Add(time.Hour), 0.5); got != 0 {
-		t.Fatalf("median %v is known after an hour without calls", got)
+		t.Fatalf("median is %v after an hour without calls, want 0", got)
 	}
 }
 
-// TestSplit checks that shares are in proportion, never exceed what is left,
-// and tell when it is too little.
+// TestSplit checks that shares never add up to more than the time left, that each
+// stage gets at least its expected time if there is enough, and that Split reports
+// whether there is.
 func TestSplit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		left := time.Duration(rapid.IntRange(1, 5000).Draw(t, "left")) * time.Millisecond
--- a/internal/core/budget/doc.go
+++ b/internal/core/budget/doc.go
@@ -1,9 +1,9 @@
-// Package budget divides the time left before a request's deadline over the
-// stages left, from measured stage times.
+// Package budget divides the time left before a request's deadline among its
+// remaining stages, by measured stage times.
 //
-// An Estimator keeps the recent times of one stage in a histogram with
-// exponential bucket bounds whose counts halve every half-life, so that a
-// slow pool shows within seconds and is forgotten as fast.
+// An Estimator keeps the recent times of one stage in a histogram with exponential
+// bucket bounds and counts that decay exponentially, so that estimates follow a
+// pool that becomes slow or fast within seconds.
 //
 // # Usage
 //
--- a/internal/core/budget/estimator.go
+++ b/internal/core/budget/estimator.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	numBuckets  = 72
-	firstBound  = 100 * time.Microsecond
-	growth      = 1.2
-	halfLife    = 5 * time.Second
-	decayStep   = time.Second
-	minimalMass = 0.5
+	numBuckets = 72
+	firstBound = 100 * time.Microsecond
+	growth     = 1.2
+	halfLife   = 5 * time.Second
+	decayStep  = time.Second
+	minWeight  = 0.5
 )
 
 var (
@@ -29,26 +29,26 @@
 
 // Estimator holds the decaying distribution of one stage's times.
 type Estimator struct {
-	counts  [numBuckets]float64
-	total   float64
-	decayed time.Time
+	counts    [numBuckets]float64
+	total     float64
+	lastDecay time.Time
 }
 
 // NewEstimator returns an estimator without observations.
-func NewEstimator(now time.Time) *Estimator { return &Estimator{decayed: now} }
+func NewEstimator(now time.Time) *Estimator { return &Estimator{lastDecay: now} }
 
-// Observe adds one measured time.
+// Observe adds a measured time.
 func (e *Estimator) Observe(now time.Time, d time.Duration) {
 	e.decay(now)
 	e.counts[bucket(d)]++
 	e.total++
 }
 
-// Quantile returns the time that the share q (0 to 1) of recent calls stayed
-// under, or 0 when nothing recent is known.
+// Quantile returns the q-quantile (0 to 1) of recent times, or 0 if there are no
+// recent observations.
 func (e *Estimator) Quantile(now time.Time, q float64) time.Duration {
 	e.decay(now)
-	if e.total < minimalMass {
+	if e.total < minWeight {
 		return 0
 	}
 	rank := q * e.total
@@ -62,11 +62,11 @@
 	return bounds[numBuckets-1]
 }
 
-// Mean returns the mean of recent times, or 0 when nothing recent is known. It
-// is too high by up to one bucket's width.
+// Mean returns the mean of recent times, or 0 if there are no recent
+// observations. It is too high by up to one bucket's width.
 func (e *Estimator) Mean(now time.Time) time.Duration {
 	e.decay(now)
-	if e.total < minimalMass {
+	if e.total < minWeight {
 		return 0
 	}
 	var sum float64
@@ -77,7 +77,7 @@
 }
 
 func (e *Estimator) decay(now time.Time) {
-	age := now.Sub(e.decayed)
+	age := now.Sub(e.lastDecay)
 	if age < decayStep {
 		return
 	}
@@ -87,7 +87,7 @@
 		e.counts[i] *= keep
 		e.total += e.counts[i]
 	}
-	e.decayed = now
+	e.lastDecay = now
 }
 
 func bucket(d time.Duration) int {
--- a/internal/core/budget/split.go
+++ b/internal/core/budget/split.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Split divides left over stages in proportion to their expected times. It
-// reports false when the expected times together exceed what is left; the
-// shares are then scaled down, so that the first stage cannot spend the time
-// of the later ones. Stages without an estimate share evenly in what the
-// others leave.
+// Split divides the time left among stages in proportion to their expected times. It
+// reports false if the sum of the expected times exceeds the time left; the shares
+// are then scaled down, so that the first stage can't use up the time of the later
+// ones. Stages without an estimate get equal shares of the time that the others
+// leave.
 func Split(left time.Duration, expected []time.Duration) ([]time.Duration, bool) {
 	shares := make([]time.Duration, len(expected))
 	if left <= 0 || len(expected) == 0 {
@@ -26,7 +26,7 @@
 		}
 		return shares, true
 	}
-	filler := fillerFor(left, sum, unknown)
+	filler := defaultEstimate(left, sum, unknown)
 	whole := sum + filler*time.Duration(unknown)
 	for i, d := range expected {
 		if d == 0 {
@@ -37,7 +37,7 @@
 	return shares, sum <= left
 }
 
-func fillerFor(left, sum time.Duration, unknown int) time.Duration {
+func defaultEstimate(left, sum time.Duration, unknown int) time.Duration {
 	if unknown == 0 {
 		return 0
 	}
