--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -7,50 +7,51 @@
 	"gradetiller.example/internal/core/intake"
 )
 
-// Kind tells what may be done with a request twice.
+// Kind classifies a route by whether its requests may run more than once.
 type Kind int
 
-// The kinds of route.
+// The kinds.
 const (
 	// Safe requests may run more than once.
 	Safe Kind = iota
 	// Unsafe requests run at most once.
 	Unsafe
-	// Streaming requests are answered by a series of events. Unless the route
-	// is resumable they run at most once.
+	// Streaming requests are answered by a stream of events. They run at most
+	// once unless the route is resumable.
 	Streaming
 )
 
-// Stage is work that must be done before a request can run.
+// Stage is work that must be completed before a request can run.
 type Stage struct {
 	Service string
-	// After lists the stages whose results this one needs.
+	// After lists the indices of the stages whose results this one needs.
 	After []int
 	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
 }
 
-// Backend is a service that gets a part of a route's requests.
+// Backend is a service that receives a share of a route's requests.
 type Backend struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of a host and path prefix go.
+// Route maps requests of a host and path prefix to services.
 type Route struct {
 	Name     string
 	Host     string
 	Prefix   string
 	Kind     Kind
 	Backends []Backend
-	// Timeout is the longest time that a request is held.
+	// Timeout bounds the time to answer a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer has its full worth.
+	// Objective is the latency objective; later answers are worth less.
 	Objective time.Duration
-	// MaxEventGap is the longest pause between events of a stream that is on time.
+	// MaxEventGap is the latency objective for the time between two events of a
+	// stream.
 	MaxEventGap time.Duration
 	MaxAttempts int
-	// Priority is 0 for the most urgent.
+	// Priority is 0 for the highest priority.
 	Priority  int
 	Public    bool
 	Resumable bool
@@ -69,18 +70,18 @@
 	Batch    int
 	CallTime time.Duration
 	ItemTime time.Duration
-	// ResultCapacity is the bytes of results that one worker holds.
+	// ResultCapacity is the number of bytes of results that one worker can hold.
 	ResultCapacity int64
-	// ResultTTL is how long a result lives after its call.
+	// ResultTTL is how long a worker keeps a result after the call.
 	ResultTTL time.Duration
 }
 
-// PromptCache describes the memory of prompts of a model engine.
+// PromptCache describes the prompt cache of a model engine.
 type PromptCache struct {
-	// Tokens is how many tokens an engine holds.
+	// Tokens is the capacity of one engine's cache in tokens.
 	Tokens int
-	// SupportsCopy tells that an engine can copy what another one holds instead of
-	// reading it.
+	// SupportsCopy is true if an engine can copy cached tokens from another
+	// engine instead of prefilling them.
 	SupportsCopy bool
 }
 
@@ -90,22 +91,22 @@
 	MaxConns int
 	// Model is true for a service of language model engines.
 	Model bool
-	// Slots is how many requests a model engine runs at once.
+	// Slots is the number of requests that a model engine runs concurrently.
 	Slots int
-	// PromptCache is the memory of each model engine.
+	// PromptCache is the cache of each model engine.
 	PromptCache PromptCache
-	// ColdTime is how long an endpoint stays cold after a start, and ColdPerSecond how many
-	// requests it handles in a second while it is, or 0 where that is not bounded.
+	// ColdTime is how long an endpoint is cold after its start. ColdRate is the number of
+	// requests per second that a cold endpoint can handle, or 0 if it is not limited.
 	ColdTime time.Duration
 	ColdRate float64
-	// Batching is nil for a service that is no stage.
+	// Batching is nil unless the service is a stage.
 	Batching *Batching
 }
 
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority takes precedence over the route's when HasPriority is true.
+	// Priority overrides the route's priority if HasPriority is true.
 	Priority    int
 	HasPriority bool
 }
@@ -118,21 +119,21 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the configuration. It is never changed after it
-// was built.
+// Config is one version of the configuration. It is immutable once BuildIndex was
+// called.
 type Config struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Accounts []Account
 	Limits   Limits
-	// Keys finds a client account's index by its key.
+	// Keys maps an API key to the index of its client account.
 	Keys    map[string]int
 	byHost  map[string][]int
 	placing map[string]intake.Placing
 }
 
-// BuildIndex prepares the look-ups; it is called once, before the first use.
+// BuildIndex builds the lookup tables; it must be called once before first use.
 func (c *Config) BuildIndex() {
 	c.byHost = make(map[string][]int)
 	c.placing = make(map[string]intake.Placing)
@@ -143,8 +144,8 @@
 	}
 }
 
-// indexPlacing notes who chooses the endpoints of a route's services: the leader that runs
-// its stages, or each node for itself.
+// indexPlacing records whether the endpoints of a route's services are chosen by the leader
+// of its stages or by each node.
 func (c *Config) indexPlacing(r *Route) {
 	way := intake.ByNodes
 	if len(r.Stages) > 0 {
@@ -167,8 +168,8 @@
 	return c.placing[service]
 }
 
-// Match finds the route of a host and path: the one with the longest prefix,
-// or nil.
+// Match returns the route with the longest prefix that matches a host and path, or
+// nil.
 func (c *Config) Match(host, path string) *Route {
 	var best *Route
 	for _, i := range c.byHost[host] {
@@ -180,7 +181,7 @@
 	return best
 }
 
-// Account finds the client account that holds a key, or nil.
+// Account returns the client account of an API key, or nil.
 func (c *Config) Account(key string) *Account {
 	i, ok := c.Keys[key]
 	if !ok || key == "" {
@@ -189,7 +190,8 @@
 	return &c.Accounts[i]
 }
 
-// PickBackend picks a backend by its weight; draw is any well-spread number.
+// PickBackend chooses a backend service by weight; draw is a uniformly distributed number
+// such as a hash.
 func (r *Route) PickBackend(draw uint64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -211,20 +213,20 @@
 	return r.Backends[len(r.Backends)-1].Service
 }
 
-// Endpoint is a worker as the platform lists it.
+// Endpoint is a worker as listed by the platform.
 type Endpoint struct {
-	// ID names one life of the worker: one that starts again under the name by which
-	// it knows itself is another endpoint. What is held of an endpoint goes by it.
+	// ID identifies one incarnation of the worker: after a restart under the same name
+	// it is a different endpoint. All state about an endpoint is keyed by ID.
 	ID       string
 	Service  string
 	Address  string
 	Domain   string
 	Slots    int
 	Draining bool
-	// ModRevision is the store's count of changes at which the entry took its present form,
-	// or 0 when that is not known. An entry that went and came back has a higher one.
+	// ModRevision is the store revision of the entry's last change, or 0 if unknown. An entry
+	// that was removed and added again has a higher one.
 	ModRevision Revision
-	// ColdRemaining is how much longer the endpoint was to stay cold when it wrote its entry, which
-	// it does with each heartbeat while it is.
+	// ColdRemaining is the remaining cold time at the time when the endpoint wrote its entry. A
+	// cold endpoint rewrites its entry with each heartbeat.
 	ColdRemaining time.Duration
 }
--- a/internal/core/catalog/doc.go
+++ b/internal/core/catalog/doc.go
@@ -1,9 +1,9 @@
-// Package catalog holds the routes, services, client accounts and endpoints
-// that a node serves by, as immutable values.
+// Package catalog defines the routes, services, client accounts and endpoints of a
+// node's configuration.
 //
 // # Usage
 //
-//	cfg.Index()
+//	cfg.BuildIndex()
 //	route := cfg.Match(host, path)
-//	service := route.Choose(hash.Of(requestID))
+//	service := route.PickBackend(hash.Of(requestID))
 package catalog
--- a/internal/core/catalog/incarnation.go
+++ b/internal/core/catalog/incarnation.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// IncarnationSeparator parts a worker's name from its start in the ID of one of its lives. A worker's
-// name that has the mark in it is followed by one in an ID without a start.
+// IncarnationSeparator separates a worker's name from its start time in an incarnation ID. A
+// worker name that contains the separator is followed by a separator in an ID without a
+// start time.
 const IncarnationSeparator = "/"
 
-// IncarnationID names one life of a worker, which began at a Unix millisecond. A worker may start
-// again under its name, and holds nothing of before then; all that is known of a life goes
-// by this ID, so it ends with the life.
+// IncarnationID returns the ID of the incarnation of a worker that started at the given Unix time
+// in milliseconds. A worker that restarts under the same name has lost all its state. State
+// about a worker is keyed by this ID, so it is not carried over to the next incarnation.
 func IncarnationID(worker string, born int64) string {
 	return worker + IncarnationSeparator + strconv.FormatInt(born, 10)
 }
 
-// WorkerName returns the name by which a worker knows itself, in any of its lives.
+// WorkerName returns the worker's name, which is the same for all its incarnations.
 func WorkerName(id string) string {
 	if at := strings.LastIndex(id, IncarnationSeparator); at >= 0 {
 		return id[:at]
--- a/internal/core/catalog/revision.go
+++ b/internal/core/catalog/revision.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// Revision orders what the platform's store tells. The store counts its changes; when it
-// came back from an older copy of itself, its era is one higher, and it gives counts out
-// again from that of the copy on. So all of a later era comes after all of an earlier one,
-// and counts of two eras are never compared. The zero value is before all others.
+// Revision orders changes of the platform's store, which numbers them with a version. When
+// the store is restored from a backup, its era is incremented and versions continue from that
+// of the backup. So all revisions of a later era are higher than those of an earlier one, and
+// versions of different eras are never compared. The zero value is the lowest.
 type Revision uint64
 
-// versionBits hold the count of changes, the bits above them the era. A store that takes
-// 1,200 writes a second counts 17 million million of them in 464 years.
+// The lowest versionBits hold the version, the bits above them the era. A store with 1,200
+// writes per second reaches 2^44 after 464 years.
 const (
 	versionBits = 44
-	mostVersion = 1<<versionBits - 1
-	// MaxEra is the highest era that a revision can hold.
+	maxVersion  = 1<<versionBits - 1
+	// MaxEra is the highest era that fits in a revision.
 	MaxEra = 1<<(64-versionBits) - 1
 )
 
-// NewRevision returns the revision of a count of changes in an era.
+// NewRevision returns the revision of a version in an era.
 func NewRevision(era, version uint64) Revision {
-	return Revision(min(era, MaxEra)<<versionBits | min(version, mostVersion))
+	return Revision(min(era, MaxEra)<<versionBits | min(version, maxVersion))
 }
 
-// Era is how often the store had come back from a copy.
+// Era returns the number of times that the store had been restored from a backup.
 func (r Revision) Era() uint64 { return uint64(r) >> versionBits }
 
-// Version is the store's count of changes, for the store itself.
-func (r Revision) Version() uint64 { return uint64(r) & mostVersion }
+// Version returns the store's own version number within the era.
+func (r Revision) Version() uint64 { return uint64(r) & maxVersion }
 
-// String returns the era and the count.
+// String returns the era and the version.
 func (r Revision) String() string { return fmt.Sprintf("%d.%d", r.Era(), r.Version()) }
