--- a/internal/core/limit/account.go
+++ b/internal/core/limit/account.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// concurrencyRetry is what a caller is told when all its places are taken:
-// the end of a running request can't be foreseen here, so it is a short fixed
-// time.
-const concurrencyRetry = 50 * time.Millisecond
+// concurrencyRetryAfter is the wait returned when the concurrency limit is reached. It
+// is a short fixed time, since the end of a running request can't be predicted here.
+const concurrencyRetryAfter = 50 * time.Millisecond
 
-// Settings are the limits in force for one account on this node.
+// Settings are the limits of one account on this node.
 type Settings struct {
-	// Rate is in requests a second; 0 means no limit.
+	// Rate is in requests per second; 0 means no limit.
 	Rate float64
-	// Burst is the number of requests that may come at once.
+	// Burst is the size of the token bucket.
 	Burst float64
-	// Concurrency is the number of requests in flight; 0 means no limit.
+	// Concurrency is the maximum number of requests in flight; 0 means no limit.
 	Concurrency int
 }
 
@@ -22,27 +21,27 @@
 type Account struct {
 	settings Settings
 	tokens   float64
-	filled   time.Time
+	lastFill time.Time
 	inFlight int
 }
 
 // NewAccount returns an account with a full bucket.
 func NewAccount(now time.Time, s Settings) *Account {
-	return &Account{settings: s, tokens: s.Burst, filled: now}
+	return &Account{settings: s, tokens: s.Burst, lastFill: now}
 }
 
-// Update puts new limits in force and keeps the requests in flight.
+// Update applies new limits and keeps the count of requests in flight.
 func (a *Account) Update(now time.Time, s Settings) {
 	a.fill(now)
 	a.settings = s
 	a.tokens = min(a.tokens, s.Burst)
 }
 
-// Admit takes one place. When it reports false, the duration says how long to
-// wait before asking again.
+// Admit admits one request, which must be ended with Release. If it reports false,
+// the request is refused and the duration is the time to wait before a retry.
 func (a *Account) Admit(now time.Time) (time.Duration, bool) {
 	if a.settings.Concurrency > 0 && a.inFlight >= a.settings.Concurrency {
-		return concurrencyRetry, false
+		return concurrencyRetryAfter, false
 	}
 	if a.settings.Rate > 0 {
 		a.fill(now)
@@ -56,7 +55,7 @@
 	return 0, true
 }
 
-// Release gives one place back.
+// Release ends an admitted request.
 func (a *Account) Release() {
 	if a.inFlight > 0 {
 		a.inFlight--
@@ -67,8 +66,8 @@
 func (a *Account) InFlight() int { return a.inFlight }
 
 func (a *Account) fill(now time.Time) {
-	if gap := now.Sub(a.filled); gap > 0 {
+	if gap := now.Sub(a.lastFill); gap > 0 {
 		a.tokens = min(a.settings.Burst, a.tokens+gap.Seconds()*a.settings.Rate)
-		a.filled = now
+		a.lastFill = now
 	}
 }
--- a/internal/core/limit/account_test.go
+++ b/internal/core/limit/account_test.go
@@ -11,8 +11,8 @@
 	"gradetiller.example/internal/naive"
 )
 
-// TestAdmitMatchesNaive compares the bucket with one that goes through all
-// admissions. Rates and times are powers of two, so that no rounding differs.
+// TestAdmitMatchesNaive compares the token bucket with a reference that replays all
+// admissions. Rates and time steps are powers of two, so that both round alike.
 func TestAdmitMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -26,13 +26,13 @@
 				t.Fatalf("admit = %v, naive %v", ok, want)
 			}
 			if !ok && wait <= 0 {
-				t.Fatalf("refused without a time to come back")
+				t.Fatalf("refused without a time to wait")
 			}
 		}
 	})
 }
 
-// TestRetryAfterIsEnough checks that a caller who waits as told is admitted.
+// TestRetryAfterIsEnough checks that a request is admitted after the returned wait.
 func TestRetryAfterIsEnough(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := NewAccount(now, Settings{Rate: 10, Burst: 1})
@@ -44,21 +44,21 @@
 		t.Fatal("second request admitted without a token")
 	}
 	if _, ok := a.Admit(now.Add(wait + time.Microsecond)); !ok {
-		t.Fatalf("refused after waiting %v as told", wait)
+		t.Fatalf("refused after waiting the returned %v", wait)
 	}
 }
 
-// TestConcurrency checks the bound on requests in flight.
+// TestConcurrency checks the limit of requests in flight.
 func TestConcurrency(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := NewAccount(now, Settings{Concurrency: 2})
 	for range 2 {
 		if _, ok := a.Admit(now); !ok {
-			t.Fatal("refused below the bound")
+			t.Fatal("refused below the limit")
 		}
 	}
 	if _, ok := a.Admit(now); ok {
-		t.Fatal("admitted above the bound")
+		t.Fatal("admitted above the limit")
 	}
 	a.Release()
 	if _, ok := a.Admit(now); !ok {
--- a/internal/core/limit/doc.go
+++ b/internal/core/limit/doc.go
@@ -1,5 +1,4 @@
-// Package limit holds a client account's rate and concurrency limits on one
-// node.
+// Package limit enforces a client account's rate and concurrency limits on one node.
 //
 // # Usage
 //
