--- a/internal/core/attempt/window.go
+++ b/internal/core/attempt/window.go
@@ -68,12 +68,12 @@
 // TryAcquire counts n retries, and reports false if the budget does not allow them.
 func (b *WindowBudget) TryAcquire(now time.Time, service string, n int) bool {
 	w, slot := b.current(now, service)
-	fresh, again := 0, 0
+	requests, retries := 0, 0
 	for i := range numBuckets {
-		fresh += w.requests[i]
-		again += w.retries[i]
+		requests += w.requests[i]
+		retries += w.retries[i]
 	}
-	if float64(again+n) > b.share*float64(fresh)+b.allowance {
+	if float64(retries+n) > b.share*float64(requests)+b.allowance {
 		return false
 	}
 	w.retries[slot] += n
--- a/internal/core/ledger/batcher.go
+++ b/internal/core/ledger/batcher.go
@@ -54,9 +54,9 @@
 // confirmed, including those of the Read or Write in flight.
 func (b *Batcher) PendingRepairs() []string {
 	var keys []string
-	for _, it := range slices.Concat(b.repairs, b.inFlight) {
-		if it.repair {
-			keys = append(keys, it.put.Key)
+	for _, e := range slices.Concat(b.repairs, b.inFlight) {
+		if e.repair {
+			keys = append(keys, e.put.Key)
 		}
 	}
 	return keys
@@ -92,8 +92,8 @@
 	return b.enqueue(now, &entry{id: id, put: Put{Key: key, Record: Record{Token: token, Expires: now.Add(RecordTTL)}}})
 }
 
-func (b *Batcher) enqueue(now time.Time, it *entry) []Action {
-	b.pending = append(b.pending, it)
+func (b *Batcher) enqueue(now time.Time, e *entry) []Action {
+	b.pending = append(b.pending, e)
 	return b.pump(now)
 }
 
@@ -139,58 +139,58 @@
 	b.notBefore = now.Add(b.writeInterval)
 	keys := make(map[string]bool)
 	var rest []*entry
-	for _, it := range b.pending {
-		if len(b.inFlight) == maxBatch || keys[it.put.Key] {
-			rest = append(rest, it)
+	for _, e := range b.pending {
+		if len(b.inFlight) == maxBatch || keys[e.put.Key] {
+			rest = append(rest, e)
 			continue
 		}
-		keys[it.put.Key] = true
-		b.inFlight = append(b.inFlight, it)
+		keys[e.put.Key] = true
+		b.inFlight = append(b.inFlight, e)
 	}
 	b.pending = rest
 	return []Action{newWrite(b.inFlight)}
 }
 
-func newWrite(items []*entry) Write {
-	w := Write{Puts: make([]Put, len(items))}
-	for i, it := range items {
-		it.sends++
-		w.Puts[i] = it.put
+func newWrite(entries []*entry) Write {
+	w := Write{Puts: make([]Put, len(entries))}
+	for i, e := range entries {
+		e.sends++
+		w.Puts[i] = e.put
 	}
 	return w
 }
 
-func newRead(items []*entry) Read {
-	r := Read{Keys: make([]string, len(items))}
-	for i, it := range items {
-		r.Keys[i] = it.put.Key
+func newRead(entries []*entry) Read {
+	r := Read{Keys: make([]string, len(entries))}
+	for i, e := range entries {
+		r.Keys[i] = e.put.Key
 	}
 	return r
 }
 
 // WriteDone passes in the result of the Write in flight.
 func (b *Batcher) WriteDone(now time.Time, res WriteResult) []Action {
-	items := b.inFlight
+	entries := b.inFlight
 	var out []Action
 	switch res.Kind {
 	case WriteOK:
 		b.inFlight = nil
-		for _, it := range items {
-			out = b.complete(out, it)
+		for _, e := range entries {
+			out = b.complete(out, e)
 		}
 	case WriteConflict:
 		b.inFlight = nil
-		out = b.resolveConflicts(now, items, res.Rows)
+		out = b.resolveConflicts(now, entries, res.Rows)
 	case WriteRefused:
 		b.inFlight = nil
-		for _, it := range items {
-			out = b.fail(now, out, it)
+		for _, e := range entries {
+			out = b.fail(now, out, e)
 		}
 	case WriteUnknown:
-		for _, it := range items {
-			it.inDoubt = true
+		for _, e := range entries {
+			e.inDoubt = true
 		}
-		return []Action{newRead(items)}
+		return []Action{newRead(entries)}
 	}
 	return append(out, b.pump(now)...)
 }
@@ -198,115 +198,115 @@
 // ReadDone passes in the rows of the Read in flight; ok is false if the table did
 // not answer.
 func (b *Batcher) ReadDone(now time.Time, rows []Row, ok bool) []Action {
-	items := b.inFlight
+	entries := b.inFlight
 	b.inFlight = nil
 	var out []Action
-	for i, it := range items {
+	for i, e := range entries {
 		if !ok {
-			out = b.fail(now, out, it)
+			out = b.fail(now, out, e)
 			continue
 		}
-		out = b.resolve(now, out, it, rows[i])
+		out = b.resolve(now, out, e, rows[i])
 	}
-	if repairs := b.takeReadyRepairs(items); len(repairs) > 0 && b.inFlight == nil {
+	if repairs := b.takeReadyRepairs(entries); len(repairs) > 0 && b.inFlight == nil {
 		b.inFlight = repairs
 		return append(out, newWrite(repairs))
 	}
 	return append(out, b.pump(now)...)
 }
 
-// takeReadyRepairs returns the repairs among items whose row has been read.
-func (b *Batcher) takeReadyRepairs(items []*entry) []*entry {
+// takeReadyRepairs returns the repairs among entries whose row has been read.
+func (b *Batcher) takeReadyRepairs(entries []*entry) []*entry {
 	var ready []*entry
-	for _, it := range items {
-		if it.repair && it.ready {
-			it.ready = false
-			ready = append(ready, it)
+	for _, e := range entries {
+		if e.repair && e.ready {
+			e.ready = false
+			ready = append(ready, e)
 		}
 	}
 	return ready
 }
 
-func (b *Batcher) resolveConflicts(now time.Time, items []*entry, rows []Row) []Action {
+func (b *Batcher) resolveConflicts(now time.Time, entries []*entry, rows []Row) []Action {
 	byKey := make(map[string]Row, len(rows))
 	for _, r := range rows {
 		byKey[r.Key] = r
 	}
 	var out []Action
-	for _, it := range items {
-		row, conflicted := byKey[it.put.Key]
+	for _, e := range entries {
+		row, conflicted := byKey[e.put.Key]
 		switch {
-		case conflicted && it.repair:
-			b.repairs = append(b.repairs, it)
+		case conflicted && e.repair:
+			b.repairs = append(b.repairs, e)
 		case conflicted:
-			out = b.resolve(now, out, it, row)
-		case it.repair:
-			b.repairs = append(b.repairs, it)
+			out = b.resolve(now, out, e, row)
+		case e.repair:
+			b.repairs = append(b.repairs, e)
 		default:
-			it.sends--
-			b.pending = append(b.pending, it)
+			e.sends--
+			b.pending = append(b.pending, e)
 		}
 	}
 	return out
 }
 
 // resolve decides from its row what happens to an entry.
-func (b *Batcher) resolve(now time.Time, out []Action, it *entry, row Row) []Action {
-	if it.repair {
-		b.resolveRepair(it, row)
+func (b *Batcher) resolve(now time.Time, out []Action, e *entry, row Row) []Action {
+	if e.repair {
+		b.resolveRepair(e, row)
 		return out
 	}
 	switch {
 	case row.Version == 0:
-		if it.sends >= maxSends {
-			return b.fail(now, out, it)
+		if e.sends >= maxSends {
+			return b.fail(now, out, e)
 		}
-		it.put.IfVersion = 0
-		b.pending = append(b.pending, it)
+		e.put.IfVersion = 0
+		b.pending = append(b.pending, e)
 		return out
-	case row.Record.Token == it.put.Record.Token && !row.Record.Abandoned:
-		return b.complete(out, it)
+	case row.Record.Token == e.put.Record.Token && !row.Record.Abandoned:
+		return b.complete(out, e)
 	case row.Record.Abandoned || now.After(row.Record.Expires):
-		it.put.IfVersion = row.Version
-		b.pending = append(b.pending, it)
+		e.put.IfVersion = row.Version
+		b.pending = append(b.pending, e)
 		return out
 	}
 	// A record of another node is not cached, since that node may abandon it.
-	return append(out, Answer{ID: it.id, Result: Duplicate})
+	return append(out, Answer{ID: e.id, Result: Duplicate})
 }
 
 // resolveRepair keeps a repair only if the row is absent or still holds the token.
 // An absent row may still be written by a send whose answer was lost; an
 // abandoned row in its place prevents that.
-func (b *Batcher) resolveRepair(it *entry, row Row) {
-	if row.Version > 0 && (row.Record.Token != it.put.Record.Token || row.Record.Abandoned) {
+func (b *Batcher) resolveRepair(e *entry, row Row) {
+	if row.Version > 0 && (row.Record.Token != e.put.Record.Token || row.Record.Abandoned) {
 		return
 	}
-	it.put.IfVersion = row.Version
-	it.ready = true
+	e.put.IfVersion = row.Version
+	e.ready = true
 }
 
-func (b *Batcher) complete(out []Action, it *entry) []Action {
-	if it.repair {
+func (b *Batcher) complete(out []Action, e *entry) []Action {
+	if e.repair {
 		return out
 	}
-	if it.local {
-		b.remember(it.put.Key, it.put.Record.Token)
+	if e.local {
+		b.remember(e.put.Key, e.put.Record.Token)
 	}
-	return append(out, Answer{ID: it.id, Result: Stored})
+	return append(out, Answer{ID: e.id, Result: Stored})
 }
 
 // fail answers that the store is unavailable. A start in doubt may still take effect,
 // so a repair is added for it.
-func (b *Batcher) fail(now time.Time, out []Action, it *entry) []Action {
-	if it.repair {
-		b.repairs = append(b.repairs, it)
+func (b *Batcher) fail(now time.Time, out []Action, e *entry) []Action {
+	if e.repair {
+		b.repairs = append(b.repairs, e)
 		return out
 	}
-	if it.inDoubt {
-		b.addRepair(now, it.put.Key, it.put.Record.Token)
+	if e.inDoubt {
+		b.addRepair(now, e.put.Key, e.put.Record.Token)
 	}
-	return append(out, Answer{ID: it.id, Result: Unavailable})
+	return append(out, Answer{ID: e.id, Result: Unavailable})
 }
 
 // remember adds to the index of stored tokens. A full index drops an arbitrary
--- a/internal/core/run/admit.go
+++ b/internal/core/run/admit.go
@@ -100,7 +100,7 @@
 	}
 	after := max(need-left, minRetryAfter)
 	return failure.New(failure.DeadlineUnreachable,
-		fmt.Sprintf("about %v is needed and %v is left", need.Round(time.Millisecond), left.Round(time.Millisecond)),
+		fmt.Sprintf("the stages need about %v, but the deadline is in %v", need.Round(time.Millisecond), left.Round(time.Millisecond)),
 		failure.WithRetryAfter(after))
 }
 
--- a/internal/core/run/engine_test.go
+++ b/internal/core/run/engine_test.go
@@ -234,11 +234,11 @@
 	case 8:
 		tr.handle(tr.engine.Tick(tr.now))
 	case 9:
-		tr.other()
+		tr.otherEvent()
 	}
 }
 
-func (tr *trace) other() {
+func (tr *trace) otherEvent() {
 	switch rapid.IntRange(0, 2).Draw(tr.t, "other") {
 	case 0:
 		if n := len(tr.requests); n > 0 {
--- a/internal/core/run/stage.go
+++ b/internal/core/run/stage.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// pumpLater schedules a retry of the queue, since an ejected endpoint returns after a
-// time without any event.
+// pumpLater schedules a retry of the queue, since the ejection of an endpoint
+// expires without an event.
 func (e *Engine) pumpLater(now time.Time, p *pool) {
 	if p.nextPump.After(now) {
 		return
