--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -10,8 +10,8 @@
 
 	"gradetiller.example/config"
 	"gradetiller.example/internal/core/assignment"
+	"gradetiller.example/internal/core/decisionlog"
 	"gradetiller.example/internal/core/run"
-	"gradetiller.example/internal/core/story"
 	"gradetiller.example/internal/endpoints"
 	"gradetiller.example/internal/wire"
 )
@@ -41,7 +41,7 @@
 
 	mu        sync.Mutex
 	engine    *run.Engine
-	story     *story.Ring
+	story     *decisionlog.Ring
 	waiters   map[run.ID]*stream
 	calls     map[run.AttemptID]context.CancelFunc
 	byRequest map[requestKey]run.ID
@@ -80,7 +80,7 @@
 		metrics:   newMeters(),
 		exchanges: newExchanges(),
 		engine:    run.New(id.Incarnation),
-		story:     story.NewRing(storySize),
+		story:     decisionlog.NewRing(storySize),
 		waiters:   make(map[run.ID]*stream),
 		calls:     make(map[run.AttemptID]context.CancelFunc),
 		byRequest: make(map[requestKey]run.ID),
@@ -150,7 +150,7 @@
 		n.records.abandon(a)
 	case run.Finish:
 		n.finish(a)
-	case run.Spend:
+	case run.CallCost:
 		n.metrics.spend(a)
 	case run.Decision:
 		n.decided(now, a)
@@ -173,7 +173,7 @@
 
 func (n *Node) decided(now time.Time, d run.Decision) {
 	n.metrics.decided(d)
-	n.story.Add(story.Event{
+	n.story.Add(decisionlog.Event{
 		At:       now,
 		Subjects: [3]string{d.RequestID, d.Endpoint, d.Stage},
 		Name:     string(d.Name),
@@ -196,7 +196,7 @@
 	end := n.caller.Call(ctx, c, sink)
 	n.step(func(now time.Time) []run.Action {
 		delete(n.calls, c.Attempt)
-		return n.engine.Ended(now, c.Attempt, end)
+		return n.engine.CallEnded(now, c.Attempt, end)
 	})
 }
 
@@ -253,7 +253,7 @@
 func (n *Node) Story(subject string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	events := n.story.About(subject)
+	events := n.story.BySubject(subject)
 	lines := make([]string, len(events))
 	for i, e := range events {
 		lines[i] = e.String()
