--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -129,13 +129,13 @@
 	// Keys finds a client account's index by its key.
 	Keys    map[string]int
 	byHost  map[string][]int
-	placing map[string]intake.Placing
+	placing map[string]intake.Placement
 }
 
 // Index prepares the look-ups; it is called once, before the first use.
 func (c *Config) Index() {
 	c.byHost = make(map[string][]int)
-	c.placing = make(map[string]intake.Placing)
+	c.placing = make(map[string]intake.Placement)
 	for i := range c.Routes {
 		host := c.Routes[i].Host
 		c.byHost[host] = append(c.byHost[host], i)
@@ -160,7 +160,7 @@
 }
 
 // Placing returns who chooses the endpoints of a service.
-func (c *Config) Placing(service string) intake.Placing {
+func (c *Config) Placing(service string) intake.Placement {
 	if s, ok := c.Services[service]; ok && s.Batching != nil {
 		return intake.ByLeaders
 	}
--- a/internal/core/intake/bound.go
+++ b/internal/core/intake/bound.go
@@ -24,9 +24,9 @@
 	coldMost  = 1.0 / 3
 )
 
-// Cold is what an endpoint of a service bears just after its start. The zero value sets no
+// ColdLimit is what an endpoint of a service bears just after its start. The zero value sets no
 // bound.
-type Cold struct {
+type ColdLimit struct {
 	// PerSecond is how many requests it handles in a second.
 	PerSecond float64
 	// Excess times PerSecond, and Slack more, is how many it may get in any second.
@@ -34,7 +34,7 @@
 }
 
 // rate is what is sent to a cold endpoint.
-func (c Cold) rate() Rate {
+func (c ColdLimit) rate() Rate {
 	if c.PerSecond <= 0 {
 		return Rate{}
 	}
@@ -61,7 +61,7 @@
 }
 
 // WithCold adds that the endpoint is cold until a moment.
-func (b Bound) WithCold(c Cold, until time.Time) Bound {
+func (b Bound) WithCold(c ColdLimit, until time.Time) Bound {
 	b.cold, b.coldUntil = c.rate(), until
 	return b
 }
--- a/internal/core/intake/cold_test.go
+++ b/internal/core/intake/cold_test.go
@@ -30,7 +30,7 @@
 	returning = 3
 )
 
-var cold = intake.Cold{PerSecond: perSecond, Excess: 1.5, Slack: 5}
+var cold = intake.ColdLimit{PerSecond: perSecond, Excess: 1.5, Slack: 5}
 
 // most is how many requests a cold endpoint may get in any second.
 const most = 20
@@ -149,14 +149,14 @@
 		if w.course.lost && node == w.course.parts {
 			crowded = since.Add(coldFor)
 		}
-		return intake.NewPace(bound, intake.LeaderPart(placing, 1, 1, crowded))
+		return intake.NewPace(bound, intake.LeaderShare(placing, 1, 1, crowded))
 	case w.how == shares:
-		return intake.NewPace(bound, intake.NodePart(placing, node, w.nodes, endpoint))
+		return intake.NewPace(bound, intake.NodeShare(placing, node, w.nodes, endpoint))
 	case w.how == owners && int(hash.Of(endpoint)%uint64(w.nodes)) == node:
-		return intake.NewPace(bound, intake.LeaderPart(intake.ByLeaders, 1, 1, time.Time{}))
+		return intake.NewPace(bound, intake.LeaderShare(intake.ByLeaders, 1, 1, time.Time{}))
 	}
 	// Not at all while it is cold.
-	return intake.NewPace(bound, intake.NodePart(placing, never/2, never, endpoint))
+	return intake.NewPace(bound, intake.NodeShare(placing, never/2, never, endpoint))
 }
 
 // leads reports whether a node places for others at any time: the first of each part, and
@@ -273,7 +273,7 @@
 		nodes, want int
 	}{{0, 59, 59}, {5 * time.Second, 3, 59}, {31 * time.Second, 3, 59}, {59 * time.Second, 4, 59}, {62 * time.Second, 4, 4}}
 	for _, s := range steps {
-		if got := p.See(start.Add(s.after), s.nodes); got != s.want {
+		if got := p.Observe(start.Add(s.after), s.nodes); got != s.want {
 			t.Errorf("after %v: %d, want %d", s.after, got, s.want)
 		}
 	}
--- a/internal/core/intake/connections.go
+++ b/internal/core/intake/connections.go
@@ -13,19 +13,19 @@
 	bounded bool
 }
 
-// ConnectionsOf divides what an endpoint takes among the nodes that send to it; 0 is no
+// NewConnections divides what an endpoint takes among the nodes that send to it; 0 is no
 // bound.
-func ConnectionsOf(most, nodes int) Connections {
+func NewConnections(most, nodes int) Connections {
 	if most <= 0 {
 		return Connections{}
 	}
 	return Connections{each: keptShare * float64(most) / float64(max(nodes, 1)), bounded: true}
 }
 
-// Keeps reports whether a connection may be kept open after its request, of which the node
+// MayKeep reports whether a connection may be kept open after its request, of which the node
 // has a number open, itself included. Where there are more nodes than connections to keep,
 // each keeps one now and then: draw is a random number from 0 to 1.
-func (c Connections) Keeps(open int, draw float64) bool {
+func (c Connections) MayKeep(open int, draw float64) bool {
 	whole, part := math.Modf(c.each)
 	switch {
 	case !c.bounded || open <= int(whole):
--- a/internal/core/intake/connections_test.go
+++ b/internal/core/intake/connections_test.go
@@ -13,11 +13,11 @@
 	const most, burst = 50, 8
 	draw := rand.New(rand.NewPCG(1, 2))
 	for _, nodes := range []int{1, 7, 59, 295} {
-		c := intake.ConnectionsOf(most, nodes)
+		c := intake.NewConnections(most, nodes)
 		kept := 0
 		for range nodes {
 			for open := range burst {
-				if c.Keeps(open+1, draw.Float64()) {
+				if c.MayKeep(open+1, draw.Float64()) {
 					kept++
 				}
 			}
@@ -27,7 +27,7 @@
 			t.Errorf("%d nodes keep %d connections, the endpoint takes %d", nodes, kept, most)
 		}
 	}
-	if !intake.ConnectionsOf(0, 3).Keeps(1000, 1) {
+	if !intake.NewConnections(0, 3).MayKeep(1000, 1) {
 		t.Error("an endpoint without a bound bounds what is kept")
 	}
 }
--- a/internal/core/intake/intaketest/rule.go
+++ b/internal/core/intake/intaketest/rule.go
@@ -11,30 +11,30 @@
 
 import "time"
 
-// From Contact after it first named a rate an endpoint may get, in any Span, Excess times what
+// From GracePeriod after it first named a rate an endpoint may get, in any Span, Excess times what
 // that allows, and Slack requests more, of nodes that have passed on an answer which bore its
-// word Told before.
+// word NodeReactionTime before.
 const (
-	Contact = 3 * time.Second
-	Span    = 4 * time.Second
-	Told    = 500 * time.Millisecond
-	Excess  = 1.5
-	Slack   = 5
+	GracePeriod      = 3 * time.Second
+	Span             = 4 * time.Second
+	NodeReactionTime = 500 * time.Millisecond
+	Excess           = 1.5
+	Slack            = 5
 )
 
 // Allowed is how many requests an endpoint may get in any Span that names the same rate
 // throughout.
-func Allowed(perSecond float64) int { return AllowedOf(perSecond * Span.Seconds()) }
+func Allowed(perSecond float64) int { return AllowedFor(perSecond * Span.Seconds()) }
 
-// AllowedOf is how many it may get in a span in which it took a number by what it named.
-func AllowedOf(named float64) int { return int(Excess*named) + Slack }
+// AllowedFor is how many it may get in a span in which it took a number by what it named.
+func AllowedFor(named float64) int { return int(Excess*named) + Slack }
 
-// Most is the most of some moments, in their order, that lie in any Span which ends at a moment
+// MaxInSpan is the most of some moments, in their order, that lie in any Span which ends at a moment
 // or later.
-func Most(times []time.Time, from time.Time) int { return mostIn(times, Span, from) }
+func MaxInSpan(times []time.Time, from time.Time) int { return mostIn(times, Span, from) }
 
-// MostIn is the most of some moments, in their order, that lie in any span of a length.
-func MostIn(times []time.Time, span time.Duration) int { return mostIn(times, span, time.Time{}) }
+// MaxIn is the most of some moments, in their order, that lie in any span of a length.
+func MaxIn(times []time.Time, span time.Duration) int { return mostIn(times, span, time.Time{}) }
 
 func mostIn(times []time.Time, span time.Duration, from time.Time) int {
 	highest, first := 0, 0
--- a/internal/core/intake/limits_test.go
+++ b/internal/core/intake/limits_test.go
@@ -35,7 +35,7 @@
 //
 // A part "leader" is the leader alone, and "named" those nodes that know of the word.
 type script struct {
-	placing            intake.Placing
+	placing            intake.Placement
 	mix                float64
 	traffic            float64
 	endpoints, limited int
@@ -74,7 +74,7 @@
 	}()
 	switch words[0] {
 	case "placing":
-		s.placing = map[string]intake.Placing{"leaders": intake.ByLeaders, "nodes": intake.ByNodes, "both": intake.ByBoth}[words[1]]
+		s.placing = map[string]intake.Placement{"leaders": intake.ByLeaders, "nodes": intake.ByNodes, "both": intake.ByBoth}[words[1]]
 	case "mix":
 		s.mix = number(words[1])
 	case "traffic":
@@ -152,7 +152,7 @@
 // allowed is how many requests an endpoint may get in the span before a moment while it names
 // a rate, or false when it has not named anything for long enough.
 func (s *script) allowed(at time.Duration) (int, bool) {
-	if len(s.words) == 0 || at < s.words[0].at+intaketest.Contact {
+	if len(s.words) == 0 || at < s.words[0].at+intaketest.GracePeriod {
 		return 0, false
 	}
 	const step = 10 * time.Millisecond
@@ -160,7 +160,7 @@
 	for k := at - intaketest.Span; k < at; k += step {
 		sum += max(s.named(k), 0) * step.Seconds()
 	}
-	return intaketest.AllowedOf(sum), true
+	return intaketest.AllowedFor(sum), true
 }
 
 var limitSeeds = flag.Uint64("limit-seeds", 1, "seeds with which each script of limits is played")
--- a/internal/core/intake/limitworld_test.go
+++ b/internal/core/intake/limitworld_test.go
@@ -97,18 +97,18 @@
 	n := w.nodes[k]
 	n.dirty = false
 	if w.script.placing != intake.ByLeaders {
-		n.chosen.Update(w.specs(n, func(endpoint string) intake.Part {
-			return intake.NodePart(w.script.placing, k, len(w.nodes), endpoint)
+		n.chosen.Update(w.specs(n, func(endpoint string) intake.Share {
+			return intake.NodeShare(w.script.placing, k, len(w.nodes), endpoint)
 		}))
 	}
 	if n.leads {
-		part := intake.LeaderPart(w.script.placing, 1, 1, n.since.Add(crowding))
-		n.placed.Update(w.specs(n, func(string) intake.Part { return part }))
+		part := intake.LeaderShare(w.script.placing, 1, 1, n.since.Add(crowding))
+		n.placed.Update(w.specs(n, func(string) intake.Share { return part }))
 	}
 }
 
 // specs are the endpoints as a node knows them, with its part of what each takes.
-func (w *limitWorld) specs(n *limitNode, part func(endpoint string) intake.Part) []place.Spec {
+func (w *limitWorld) specs(n *limitNode, part func(endpoint string) intake.Share) []place.Spec {
 	list := make([]place.Spec, w.script.endpoints)
 	for i := range list {
 		endpoint := name(i)
@@ -145,7 +145,7 @@
 	}
 	for _, k := range struck {
 		n := w.nodes[k]
-		n.troubled = now.Add(t.lasts + intaketest.Contact)
+		n.troubled = now.Add(t.lasts + intaketest.GracePeriod)
 		if t.kind == "cut" {
 			n.part = 1
 			w.after(now.Add(t.lasts), func(time.Time) { n.part = 0 })
@@ -281,7 +281,7 @@
 	}
 	rate := intake.Rate{}
 	if named := w.script.named(now.Sub(w.start)); i < w.script.limited && named >= 0 {
-		rate, _ = intake.RateOf(named)
+		rate, _ = intake.NewRate(named)
 		if _, ok := n.firstHeard[i]; !ok {
 			n.firstHeard[i] = now
 		}
@@ -346,16 +346,16 @@
 // could be told to all, or within intaketest.Told of its return, do not count among the latter.
 func (w *limitWorld) counted(i, last int) (told, all int) {
 	list := w.arrivals[i]
-	known := w.start.Add(w.script.words[0].at + intaketest.Contact/2)
+	known := w.start.Add(w.script.words[0].at + intaketest.GracePeriod/2)
 	for k := last; k >= 0 && list[last].at.Sub(list[k].at) <= intaketest.Span; k-- {
 		if list[k].troubled || w.script.named(list[k].at.Sub(w.start)) < 0 {
 			continue
 		}
 		heard, ok := w.nodes[list[k].node].firstHeard[i]
-		if ok && list[k].at.Sub(heard) >= intaketest.Told {
+		if ok && list[k].at.Sub(heard) >= intaketest.NodeReactionTime {
 			told++
 		}
-		if list[k].at.After(known) && w.script.named(list[k].at.Sub(w.start)-intaketest.Told) >= 0 {
+		if list[k].at.After(known) && w.script.named(list[k].at.Sub(w.start)-intaketest.NodeReactionTime) >= 0 {
 			all++
 		}
 	}
--- a/internal/core/intake/pace.go
+++ b/internal/core/intake/pace.go
@@ -20,11 +20,11 @@
 // of an endpoint that takes any number.
 type Pace struct {
 	bound Bound
-	part  Part
+	part  Share
 }
 
 // NewPace returns the pace of a part of a bound.
-func NewPace(b Bound, p Part) Pace { return Pace{bound: b, part: p} }
+func NewPace(b Bound, p Share) Pace { return Pace{bound: b, part: p} }
 
 // rate is how many requests a second this node may send, and whether that is bounded.
 func (p Pace) rate(now time.Time) (perSecond float64, bounded bool) {
@@ -61,12 +61,12 @@
 	return !bounded || !p.nextAt(now, r, s).After(now)
 }
 
-// Named reports whether the endpoint names a rate, or has until lately.
-func (p Pace) Named() bool { return p.bound.named.named || p.bound.from > 0 }
+// Advertised reports whether the endpoint names a rate, or has until lately.
+func (p Pace) Advertised() bool { return p.bound.named.named || p.bound.from > 0 }
 
-// Turn reports whether the node has a turn now that ends unused soon, at an endpoint that has
+// HasTurn reports whether the node has a turn now that ends unused soon, at an endpoint that has
 // named a rate. The turns of a cold one may pass: it is slow, and others serve better.
-func (p Pace) Turn(now time.Time, s *Sends) bool {
+func (p Pace) HasTurn(now time.Time, s *Sends) bool {
 	if !p.bound.eased(now).Bounded() || now.Before(p.bound.coldUntil) {
 		return false
 	}
@@ -83,8 +83,8 @@
 	return p.nextAt(now, r, s)
 }
 
-// Until is how many requests may go out until a moment, or false when that is not bounded.
-func (p Pace) Until(now, by time.Time, s *Sends) (int, bool) {
+// AllowedUntil is how many requests may go out until a moment, or false when that is not bounded.
+func (p Pace) AllowedUntil(now, by time.Time, s *Sends) (int, bool) {
 	r, bounded := p.rate(now)
 	if !bounded {
 		return 0, false
--- a/internal/core/intake/part.go
+++ b/internal/core/intake/part.go
@@ -6,13 +6,13 @@
 	"gradetiller.example/internal/core/hash"
 )
 
-// Placing is who chooses the endpoints of a service.
-type Placing int
+// Placement is who chooses the endpoints of a service.
+type Placement int
 
 // The ways of placing.
 const (
 	// ByNodes has each node choose for its own requests.
-	ByNodes Placing = iota
+	ByNodes Placement = iota
 	// ByLeaders has the leaders of the cells choose for all nodes. A node chooses only
 	// where no leader does, and for what is sent again.
 	ByLeaders
@@ -24,7 +24,7 @@
 // themselves, use.
 type shares struct{ leaders, nodes float64 }
 
-func (p Placing) shares() shares {
+func (p Placement) shares() shares {
 	switch p {
 	case ByLeaders:
 		return shares{leaders: 0.9, nodes: 0.1}
@@ -39,8 +39,8 @@
 // one and a half times the bound.
 const crowdedShare = 0.55
 
-// Part is how much of a bound one node uses, and at which times. The zero value is nothing.
-type Part struct {
+// Share is how much of a bound one node uses, and at which times. The zero value is nothing.
+type Share struct {
 	share float64
 	// crowded is until when only crowdedShare of it is used.
 	crowded time.Time
@@ -48,23 +48,23 @@
 	nodes, turn int
 }
 
-// LeaderPart is the part of a node that leads some of all cells. Until a moment another node
+// LeaderShare is the part of a node that leads some of all cells. Until a moment another node
 // may still be at work as their leader.
-func LeaderPart(p Placing, led, cells int, crowded time.Time) Part {
-	return Part{share: p.shares().leaders * float64(led) / float64(max(cells, 1)), crowded: crowded}
+func LeaderShare(p Placement, led, cells int, crowded time.Time) Share {
+	return Share{share: p.shares().leaders * float64(led) / float64(max(cells, 1)), crowded: crowded}
 }
 
-// NodePart is the part of one node among all, for an endpoint, by its rank in an order that
+// NodeShare is the part of one node among all, for an endpoint, by its rank in an order that
 // all know. The ranks of different endpoints differ, so that no node has all its turns at
 // once.
-func NodePart(p Placing, rank, nodes int, endpoint string) Part {
+func NodeShare(p Placement, rank, nodes int, endpoint string) Share {
 	nodes = max(nodes, 1)
 	turn := (uint64(rank) + hash.Of(endpoint)) % uint64(nodes)
-	return Part{share: p.shares().nodes, nodes: nodes, turn: int(turn)}
+	return Share{share: p.shares().nodes, nodes: nodes, turn: int(turn)}
 }
 
 // of is how many requests a second of a bound belong to this part.
-func (p Part) of(perSecond float64, now time.Time) float64 {
+func (p Share) of(perSecond float64, now time.Time) float64 {
 	share := p.share / float64(max(p.nodes, 1))
 	if now.Before(p.crowded) {
 		share *= crowdedShare
--- a/internal/core/intake/peak.go
+++ b/internal/core/intake/peak.go
@@ -12,8 +12,8 @@
 	turned      time.Time
 }
 
-// See takes a number of live nodes in and returns the largest of late.
-func (p *Peak) See(now time.Time, nodes int) int {
+// Observe takes a number of live nodes in and returns the largest of late.
+func (p *Peak) Observe(now time.Time, nodes int) int {
 	if now.Sub(p.turned) > peakLife {
 		p.before, p.now, p.turned = p.now, 0, now
 	}
--- a/internal/core/intake/rate.go
+++ b/internal/core/intake/rate.go
@@ -18,13 +18,13 @@
 	named     bool
 }
 
-// ErrRate is the error of a number that is no rate.
-var ErrRate = errors.New("a rate is a number of requests a second, 0 or above")
+// ErrInvalidRate is the error of a number that is no rate.
+var ErrInvalidRate = errors.New("a rate is a number of requests a second, 0 or above")
 
-// RateOf returns a rate, in requests a second. The error is ErrRate.
-func RateOf(perSecond float64) (Rate, error) {
+// NewRate returns a rate, in requests a second. The error is ErrRate.
+func NewRate(perSecond float64) (Rate, error) {
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
-		return Rate{}, fmt.Errorf("%w: %v", ErrRate, perSecond)
+		return Rate{}, fmt.Errorf("%w: %v", ErrInvalidRate, perSecond)
 	}
 	// Adding zero makes zero of its negative.
 	return Rate{perSecond: min(perSecond, mostPerSecond) + 0, named: true}, nil
--- a/internal/core/place/pool.go
+++ b/internal/core/place/pool.go
@@ -93,7 +93,7 @@
 	p.limited = false
 	for _, s := range specs {
 		wanted[s.Name] = s
-		p.limited = p.limited || s.Pace.Named()
+		p.limited = p.limited || s.Pace.Advertised()
 	}
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
--- a/internal/core/place/turns.go
+++ b/internal/core/place/turns.go
@@ -11,7 +11,7 @@
 	}
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if e.spec.Pace.Turn(now, &e.sends) && p.Accepts(now, i, req) {
+		if e.spec.Pace.HasTurn(now, &e.sends) && p.Accepts(now, i, req) {
 			return i
 		}
 	}
@@ -26,7 +26,7 @@
 		if !e.available(now, "") {
 			continue
 		}
-		n, ok := e.spec.Pace.Until(now, by, &e.sends)
+		n, ok := e.spec.Pace.AllowedUntil(now, by, &e.sends)
 		if !ok {
 			return 0, 0, false
 		}
--- a/internal/core/signal/limits_test.go
+++ b/internal/core/signal/limits_test.go
@@ -12,7 +12,7 @@
 )
 
 func rateIn(t interface{ Fatal(...any) }, n float64) intake.Rate {
-	r, err := intake.RateOf(n)
+	r, err := intake.NewRate(n)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,14 +122,14 @@
 				if k == struck && step > 500 && step < 1000 {
 					clock = now.Add(jump)
 				}
-				pace := intake.NewPace(limits.Bound("e"), intake.NodePart(intake.ByNodes, k, nodes, "e"))
+				pace := intake.NewPace(limits.Bound("e"), intake.NodeShare(intake.ByNodes, k, nodes, "e"))
 				if pace.Due(clock, &sends[k]) {
 					sends[k].Add(clock, pace)
 					sent = append(sent, now)
 				}
 			}
 		}
-		if got := intaketest.Most(sent, start); got > intaketest.Allowed(named) {
+		if got := intaketest.MaxInSpan(sent, start); got > intaketest.Allowed(named) {
 			rt.Fatalf("%d in %v of %v a second", got, intaketest.Span, named)
 		}
 	})
--- a/internal/core/signal/registry.go
+++ b/internal/core/signal/registry.go
@@ -93,9 +93,9 @@
 	return r.limits.Expire(now)
 }
 
-// Bounds reports whether a rate limit or a cold time bounds, or lately bounded, what any endpoint
+// HasBounds reports whether a rate limit or a cold time bounds, or lately bounded, what any endpoint
 // takes.
-func (r *Registry) Bounds() bool { return !r.limits.Empty() || len(r.coldUntil) > 0 }
+func (r *Registry) HasBounds() bool { return !r.limits.Empty() || len(r.coldUntil) > 0 }
 
 // ForgetPeers drops the state kept for peers that are gone.
 func (r *Registry) ForgetPeers(gone func(peer string) bool) {
--- a/internal/core/stagepool/admit.go
+++ b/internal/core/stagepool/admit.go
@@ -113,7 +113,7 @@
 // admit refuses a task that would be late because others wait. A task that
 // would be late even alone is taken as long as its deadline is safe.
 func (p *Pool) admit(now time.Time, t Task, finish time.Duration) (Verdict, bool) {
-	aim := t.Aim.Sub(now)
+	aim := t.SoftDeadline.Sub(now)
 	if p.off.Has(mechanism.Admission) || finish+finish/spareShare <= aim+t.Allowance {
 		return Verdict{}, false
 	}
@@ -123,5 +123,5 @@
 		return Verdict{}, false
 	}
 	again := finish - max(aim, alone)
-	return Verdict{Finish: finish, Again: min(max(again, shortestAgain), longestAgain)}, true
+	return Verdict{Finish: finish, RetryAfter: min(max(again, shortestAgain), longestAgain)}, true
 }
--- a/internal/core/stagepool/alone_test.go
+++ b/internal/core/stagepool/alone_test.go
@@ -43,7 +43,7 @@
 		}
 		asked++
 		p := a.pools[asked%len(a.pools)]
-		t := Task{RequestID: fmt.Sprintf("r%d", asked), Key: "k", Stages: testStages, Aim: a.now.Add(aim), Deadline: a.now.Add(15 * time.Second), Domain: "d0"}
+		t := Task{RequestID: fmt.Sprintf("r%d", asked), Key: "k", Stages: testStages, SoftDeadline: a.now.Add(aim), Deadline: a.now.Add(15 * time.Second), Domain: "d0"}
 		v, actions := p.Submit(a.now, t)
 		if v.Accepted {
 			a.tasks[v.ID] = t
@@ -62,7 +62,7 @@
 	a.after(0, tick)
 	a.run(d + 20*time.Second)
 	for id, t := range a.tasks {
-		if at, ok := a.done[id]; ok && !at.After(t.Aim) {
+		if at, ok := a.done[id]; ok && !at.After(t.SoftDeadline) {
 			onTime++
 		}
 	}
@@ -90,7 +90,7 @@
 	s := a.endpoints[c.Endpoint]
 	a.after(time.Millisecond, func() {
 		if len(s.waiting) > 2 {
-			a.play(p.Done(a.now, c.Call, Outcome{Ending: NotRun}))
+			a.play(p.Done(a.now, c.Call, Outcome{Status: NotRun}))
 			return
 		}
 		s.waiting = append(s.waiting, c)
@@ -110,13 +110,13 @@
 	made := 0
 	for k, it := range c.Items {
 		results[k] = a.turn(s, it)
-		if results[k].Reason == Made {
+		if results[k].Status == Made {
 			made++
 		}
 	}
 	a.after(s.conf.CallTime+time.Duration(made)*s.conf.ItemTime, func() {
 		s.busy = false
-		a.play(a.poolOf(uint64(c.Call)).Done(a.now, c.Call, Outcome{Ending: Answered, Items: results}))
+		a.play(a.poolOf(uint64(c.Call)).Done(a.now, c.Call, Outcome{Status: Answered, Items: results}))
 		a.begin(s)
 	})
 }
--- a/internal/core/stagepool/backoff.go
+++ b/internal/core/stagepool/backoff.go
@@ -43,7 +43,7 @@
 		return 0, true
 	}
 	wait := at.Sub(now)
-	return wait, wait <= time.Duration(mayAwait*float64(t.Aim.Sub(now)))
+	return wait, wait <= time.Duration(mayAwait*float64(t.SoftDeadline.Sub(now)))
 }
 
 // retryAfter is when a task may come back for which a service has no endpoint.
--- a/internal/core/stagepool/backoff_test.go
+++ b/internal/core/stagepool/backoff_test.go
@@ -63,7 +63,7 @@
 	w := newWorld(t, 7, 3)
 	deadline := w.now.Add(6 * time.Second)
 	stages := []Stage{{Service: "tag", Pieces: 1}, {Service: "bill", Pieces: 1, After: []int{0}}}
-	verdict, actions := w.pool.Submit(w.now, Task{RequestID: "r", Aim: w.now.Add(5 * time.Second), Deadline: deadline, Stages: stages})
+	verdict, actions := w.pool.Submit(w.now, Task{RequestID: "r", SoftDeadline: w.now.Add(5 * time.Second), Deadline: deadline, Stages: stages})
 	if !verdict.Accepted {
 		t.Fatal("rejected")
 	}
@@ -84,14 +84,14 @@
 	if !closed || at.Sub(w.now) != 5*time.Second {
 		t.Fatalf("closed %t until %v", closed, at.Sub(w.now))
 	}
-	task := Task{RequestID: "r", Aim: w.now.Add(2 * time.Second), Deadline: w.now.Add(9 * time.Second), Stages: []Stage{{Service: "tag", Pieces: 1}}}
+	task := Task{RequestID: "r", SoftDeadline: w.now.Add(2 * time.Second), Deadline: w.now.Add(9 * time.Second), Stages: []Stage{{Service: "tag", Pieces: 1}}}
 	verdict, _ := w.pool.Submit(w.now, task)
-	if verdict.Accepted || verdict.Again != 5*time.Second {
-		t.Errorf("accepted %t, again %v; want a rejection until the end of the backoffs", verdict.Accepted, verdict.Again)
+	if verdict.Accepted || verdict.RetryAfter != 5*time.Second {
+		t.Errorf("accepted %t, again %v; want a rejection until the end of the backoffs", verdict.Accepted, verdict.RetryAfter)
 	}
 	// With an end well before its aim it may wait.
-	task.Aim = w.now.Add(30 * time.Second)
-	task.Deadline = task.Aim
+	task.SoftDeadline = w.now.Add(30 * time.Second)
+	task.Deadline = task.SoftDeadline
 	if verdict, _ := w.pool.Submit(w.now, task); !verdict.Accepted || verdict.Finish < 5*time.Second {
 		t.Errorf("accepted %t, finish %v; want it to wait for the end of the backoffs", verdict.Accepted, verdict.Finish)
 	}
--- a/internal/core/stagepool/bench_test.go
+++ b/internal/core/stagepool/bench_test.go
@@ -25,7 +25,7 @@
 				}
 			}
 			p.Configure(now, testServices, endpoints)
-			patient := Task{Key: "k", Stages: testStages, Aim: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
+			patient := Task{Key: "k", Stages: testStages, SoftDeadline: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
 			for range perService + waiting {
 				p.Submit(now, patient)
 			}
--- a/internal/core/stagepool/broken_test.go
+++ b/internal/core/stagepool/broken_test.go
@@ -35,7 +35,7 @@
 		name := fmt.Sprintf("r%d", i)
 		id, ok := w.submit(Task{
 			RequestID: name, Content: poison.Identify(poison.Content{Body: []byte(name)}), Stages: testStages,
-			Aim: w.now.Add(6 * time.Second), Deadline: w.now.Add(12 * time.Second),
+			SoftDeadline: w.now.Add(6 * time.Second), Deadline: w.now.Add(12 * time.Second),
 		})
 		if !ok {
 			w.t.Fatalf("%s is refused", name)
@@ -108,8 +108,8 @@
 func TestDrop(t *testing.T) {
 	w := newWorld(t, 1, 2)
 	ids := w.burst(4)
-	w.carryOut(w.pool.Drop(w.now, poison.Identify(poison.Content{Body: []byte("r2")})))
-	if got := w.failed[ids[2]]; got != PoisonReason {
+	w.carryOut(w.pool.FailContent(w.now, poison.Identify(poison.Content{Body: []byte("r2")})))
+	if got := w.failed[ids[2]]; got != ReasonPoison {
 		t.Errorf("the request's task failed with %q", got)
 	}
 	w.run(8 * time.Second)
--- a/internal/core/stagepool/dispatch.go
+++ b/internal/core/stagepool/dispatch.go
@@ -66,7 +66,7 @@
 // the others.
 func (p *Pool) order(now time.Time, s *service) {
 	for _, e := range s.queue {
-		latest := e.task.Aim.Add(-p.need(e.task, e.stage))
+		latest := e.task.SoftDeadline.Add(-p.need(e.task, e.stage))
 		e.late = now.After(latest)
 		e.patience = e.since.Add(time.Duration(mostWait * float64(s.expected(s.conf.Batch))))
 		if slack := latest.Add(-crossSlack); !e.late && slack.Before(e.patience) {
@@ -277,7 +277,7 @@
 	p.lastCall++
 	c := &call{id: p.lastCall, endpoint: w, items: items, sent: now, expected: w.service.expected(len(items))}
 	out := StartCall{Call: c.id, Service: w.service.name, Endpoint: w.spec.ID, Address: w.spec.Address}
-	out.Limit = time.Duration(lostFactor*float64(c.expected)) + lostMargin
+	out.Timeout = time.Duration(lostFactor*float64(c.expected)) + lostMargin
 	for _, ref := range items {
 		c.reserved += ref.bytes
 		ref.task.worked = true
--- a/internal/core/stagepool/done.go
+++ b/internal/core/stagepool/done.go
@@ -35,7 +35,7 @@
 	w := c.endpoint
 	delete(w.calls, id)
 	w.used -= c.reserved
-	switch o.Ending {
+	switch o.Status {
 	case Answered:
 		w.failures = 0
 		if now.Sub(c.sent) > 2*time.Duration(w.speed*float64(c.expected)) {
@@ -50,20 +50,20 @@
 	default:
 		w.rest(now)
 	}
-	if o.Ending == BrokenOff {
+	if o.Status == ConnectionBroken {
 		p.part(now, c)
 	}
 	for k, ref := range c.items {
-		r := ItemResult{Reason: Broken}
+		r := ItemResult{Status: Broken}
 		switch {
-		case o.Ending == Answered && k < len(o.Items):
+		case o.Status == Answered && k < len(o.Items):
 			r = o.Items[k]
-		case o.Ending == NotRun:
-			r.Reason = NoRoom
+		case o.Status == NotRun:
+			r.Status = NoRoom
 		}
-		p.itemDone(now, c, ref, r, o.Ending)
+		p.itemDone(now, c, ref, r, o.Status)
 	}
-	if o.Ending == Answered && !slices.ContainsFunc(o.Items, func(r ItemResult) bool { return r.Reason == NoRoom }) {
+	if o.Status == Answered && !slices.ContainsFunc(o.Items, func(r ItemResult) bool { return r.Status == NoRoom }) {
 		w.foundRoom(now)
 	}
 	p.settle(now, c)
@@ -112,10 +112,10 @@
 	}
 }
 
-func (p *Pool) itemDone(now time.Time, c *call, ref itemRef, r ItemResult, ending Ending) {
+func (p *Pool) itemDone(now time.Time, c *call, ref itemRef, r ItemResult, ending CallStatus) {
 	w := c.endpoint
 	st := &ref.task.stages[ref.stage]
-	if r.Reason == Made {
+	if r.Status == Made {
 		made := &result{maker: w, handle: r.Handle, bytes: ref.bytes, begun: c.sent, expires: now.Add(w.service.conf.ResultLife)}
 		if !ref.live || st.results[ref.piece] != nil {
 			p.counters.Unused++
@@ -132,7 +132,7 @@
 	if !ref.live {
 		return
 	}
-	switch r.Reason {
+	switch r.Status {
 	case NoRoom:
 		if ending == Answered {
 			p.counters.NoRoom++
@@ -148,7 +148,7 @@
 		return
 	}
 	if st.results[ref.piece] == nil {
-		p.requeue(now, ref, repeatOf(r.Reason, ending))
+		p.requeue(now, ref, repeatOf(r.Status, ending))
 	}
 }
 
@@ -176,11 +176,11 @@
 	afterFailure
 )
 
-func repeatOf(r Reason, ending Ending) repeat {
+func repeatOf(r ItemStatus, ending CallStatus) repeat {
 	switch {
 	case r == NoRoom:
 		return free
-	case ending == BrokenOff:
+	case ending == ConnectionBroken:
 		return afterBreak
 	}
 	return afterFailure
@@ -206,7 +206,7 @@
 		st.tries++
 	}
 	if again != free {
-		p.counters.Again++
+		p.counters.Retried++
 		if p.budget != nil && !p.budget.Take(now, st.Service, 1) {
 			p.fail(now, ref.task, "no budget to make a piece again", failAgain)
 			return
@@ -307,7 +307,7 @@
 	}
 	slices.SortFunc(expired, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
 	for _, t := range slices.Compact(expired) {
-		if now.Add(p.shortest(t.Task)).After(t.Aim) {
+		if now.Add(p.shortest(t.Task)).After(t.SoftDeadline) {
 			p.fail(now, t, lateAndGone, failAgain)
 			continue
 		}
--- a/internal/core/stagepool/expired_test.go
+++ b/internal/core/stagepool/expired_test.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		x.calls = append(x.calls[:i:i], x.calls[i+1:]...)
-		o := Outcome{Ending: Answered}
+		o := Outcome{Status: Answered}
 		for _, item := range c.Items {
 			h := fmt.Sprintf("%s/%d-%d-%d", endpoint, c.Call, item.Stage, item.Piece)
 			x.ends[h] = x.now.Add(testServices[c.Service].Batching.ResultLife)
@@ -75,7 +75,7 @@
 func TestExpiredInputsAreNotCalled(t *testing.T) {
 	x := newExpiring(t)
 	submit := func(aim time.Duration) TaskID {
-		v, actions := x.pool.Submit(x.now, Task{RequestID: fmt.Sprint("aim ", aim), Key: "k", Stages: testStages[:2], Aim: x.now.Add(aim), Deadline: x.now.Add(time.Minute)})
+		v, actions := x.pool.Submit(x.now, Task{RequestID: fmt.Sprint("aim ", aim), Key: "k", Stages: testStages[:2], SoftDeadline: x.now.Add(aim), Deadline: x.now.Add(time.Minute)})
 		if !v.Accepted {
 			t.Fatalf("the task with an aim of %v is refused", aim)
 		}
--- a/internal/core/stagepool/intake.go
+++ b/internal/core/stagepool/intake.go
@@ -80,7 +80,7 @@
 		}
 		for _, e := range s.queue {
 			ends := now.Add(wait + p.need(e.task, e.stage))
-			if !e.task.worked && ends.After(e.task.Aim) || wait > 0 && ends.After(e.task.Deadline) {
+			if !e.task.worked && ends.After(e.task.SoftDeadline) || wait > 0 && ends.After(e.task.Deadline) {
 				out = append(out, e.task)
 			}
 		}
--- a/internal/core/stagepool/intake_test.go
+++ b/internal/core/stagepool/intake_test.go
@@ -17,13 +17,13 @@
 	limits := signal.NewLimits()
 	w.pool.paces = func(e catalog.Endpoint) intake.Pace {
 		if perSecond >= 0 && strings.HasPrefix(e.ID, prefix) {
-			rate, err := intake.RateOf(perSecond)
+			rate, err := intake.NewRate(perSecond)
 			if err != nil {
 				w.t.Fatal(err)
 			}
 			limits.Observe(w.now, e.ID, rate)
 		}
-		return intake.NewPace(limits.Bound(e.ID), intake.LeaderPart(intake.ByLeaders, 1, 1, time.Time{}))
+		return intake.NewPace(limits.Bound(e.ID), intake.LeaderShare(intake.ByLeaders, 1, 1, time.Time{}))
 	}
 	w.carryOut(w.pool.Configure(w.now, testServices, w.listed()))
 }
@@ -45,7 +45,7 @@
 					continue
 				}
 				sent := intaketest.After(w.sent[e.ID], from)
-				if got := intaketest.Most(sent, from); got > intaketest.Allowed(perSecond) {
+				if got := intaketest.MaxInSpan(sent, from); got > intaketest.Allowed(perSecond) {
 					t.Errorf("%s got %d requests in %v", e.ID, got, intaketest.Span)
 				}
 				if len(intaketest.After(sent, from.Add(5*time.Second))) == 0 {
@@ -74,7 +74,7 @@
 	w := newWorld(t, 3, 2)
 	var waiting []TaskID
 	for range 40 {
-		if id, ok := w.submit(Task{RequestID: "r", Stages: testStages, Aim: w.now.Add(3 * time.Second), Deadline: w.now.Add(30 * time.Second)}); ok {
+		if id, ok := w.submit(Task{RequestID: "r", Stages: testStages, SoftDeadline: w.now.Add(3 * time.Second), Deadline: w.now.Add(30 * time.Second)}); ok {
 			waiting = append(waiting, id)
 		}
 	}
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -13,14 +13,14 @@
 
 // Counters count what the pool did since its start.
 type Counters struct {
-	Accepted, Refused, Completed, Failed         uint64
-	Calls, Pieces, Again, NoRoom, Gone, Restarts uint64
+	Accepted, Refused, Completed, Failed           uint64
+	Calls, Pieces, Retried, NoRoom, Gone, Restarts uint64
 	// Unused counts results that nobody wanted any more.
 	Unused uint64
 }
 
-// Budget allows repeated pieces.
-type Budget interface {
+// RetryBudget allows repeated pieces.
+type RetryBudget interface {
 	Fresh(now time.Time, service string, n int)
 	Take(now time.Time, service string, n int) bool
 }
@@ -28,8 +28,8 @@
 // Option changes a new pool.
 type Option func(*Pool)
 
-// WithBudget bounds the pieces that are made again.
-func WithBudget(b Budget) Option { return func(p *Pool) { p.budget = b } }
+// WithRetryBudget bounds the pieces that are made again.
+func WithRetryBudget(b RetryBudget) Option { return func(p *Pool) { p.budget = b } }
 
 // Without switches mechanisms off.
 func Without(off mechanism.Off) Option { return func(p *Pool) { p.off = off } }
@@ -49,7 +49,7 @@
 	frees    []pendingFree
 	lastTask TaskID
 	lastCall CallID
-	budget   Budget
+	budget   RetryBudget
 	counters Counters
 	off      mechanism.Off
 	paces    func(catalog.Endpoint) intake.Pace
@@ -135,8 +135,8 @@
 	return p.take()
 }
 
-// ClosedReason is the reason of tasks for which a service takes no work.
-const ClosedReason = "no endpoint of a stage takes work"
+// ReasonClosed is the reason of tasks for which a service takes no work.
+const ReasonClosed = "no endpoint of a stage takes work"
 
 // closedAgain is when to come back to a service whose endpoints are all listed as taking
 // no work: they seldom change that within a second.
@@ -155,43 +155,43 @@
 		t := p.tasks[id]
 		waits := slices.ContainsFunc(t.stages, func(s stage) bool { return len(s.waiting) > 0 && closed[s.Service] })
 		if waits && !t.complete {
-			p.fail(now, t, ClosedReason, closedAgain)
+			p.fail(now, t, ReasonClosed, closedAgain)
 		}
 	}
 }
 
-// Contend tells that another leader may be at work on the same endpoints
+// ExpectContention tells that another leader may be at work on the same endpoints
 // until a moment: a call may then wait for its turn behind the other's, so
 // that its inputs are kept until it ends.
-func (p *Pool) Contend(until time.Time) {
+func (p *Pool) ExpectContention(until time.Time) {
 	if until.After(p.alone) {
 		p.alone = until
 	}
 }
 
-// MoveReason is the reason of tasks that are given back for another leader.
-const MoveReason = "moved"
+// ReasonMoved is the reason of tasks that are given back for another leader.
+const ReasonMoved = "moved"
 
-// GiveBack gives the tasks up for which no call was sent, so that another
+// HandOff gives the tasks up for which no call was sent, so that another
 // leader takes them whole.
-func (p *Pool) GiveBack(now time.Time) []Action {
+func (p *Pool) HandOff(now time.Time) []Action {
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
 		if t := p.tasks[id]; !t.worked && !t.complete {
-			p.fail(now, t, MoveReason, 0)
+			p.fail(now, t, ReasonMoved, 0)
 		}
 	}
 	p.dispatchAll(now)
 	return p.take()
 }
 
-// PoisonReason is the reason of tasks whose request is refused since it crashes endpoints.
-const PoisonReason = "the request crashes endpoints"
+// ReasonPoison is the reason of tasks whose request is refused since it crashes endpoints.
+const ReasonPoison = "the request crashes endpoints"
 
-// Drop gives the tasks of a request up, which is refused from now on.
-func (p *Pool) Drop(now time.Time, content poison.ID) []Action {
+// FailContent gives the tasks of a request up, which is refused from now on.
+func (p *Pool) FailContent(now time.Time, content poison.ID) []Action {
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
 		if t := p.tasks[id]; t.Content == content && !t.complete {
-			p.fail(now, t, PoisonReason, 0)
+			p.fail(now, t, ReasonPoison, 0)
 		}
 	}
 	p.dispatchAll(now)
@@ -203,7 +203,7 @@
 	planned, ok := p.plan(now, t)
 	if !ok {
 		p.counters.Refused++
-		return Verdict{Again: p.retryAfter(now, t)}, nil
+		return Verdict{RetryAfter: p.retryAfter(now, t)}, nil
 	}
 	finish := p.forecast(t, planned)
 	if v, refused := p.admit(now, t, finish); refused {
@@ -396,7 +396,7 @@
 func (p *Pool) fail(now time.Time, t *task, reason string, again time.Duration) {
 	p.counters.Failed++
 	p.end(now, t)
-	p.emit(Fail{Task: t.id, Reason: reason, Again: again})
+	p.emit(Fail{Task: t.id, Reason: reason, RetryAfter: again})
 }
 
 func (p *Pool) emit(a Action) { p.out = append(p.out, a) }
--- a/internal/core/stagepool/pool_test.go
+++ b/internal/core/stagepool/pool_test.go
@@ -65,7 +65,7 @@
 func TestReleaseAtAnyMoment(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(t, rapid.Uint64().Draw(rt, "seed"), 2)
-		id, ok := w.submit(Task{RequestID: "r", Stages: testStages, Aim: w.now.Add(2 * time.Second), Deadline: w.now.Add(9 * time.Second)})
+		id, ok := w.submit(Task{RequestID: "r", Stages: testStages, SoftDeadline: w.now.Add(2 * time.Second), Deadline: w.now.Add(9 * time.Second)})
 		if !ok {
 			rt.Fatal("refused by an idle pool")
 		}
@@ -99,7 +99,7 @@
 	taken := w.load(12, 15*time.Second, 2200*time.Millisecond)
 	late := 0
 	for _, id := range taken {
-		if at, ok := w.done[id]; !ok || at.After(w.tasks[id].Aim) {
+		if at, ok := w.done[id]; !ok || at.After(w.tasks[id].SoftDeadline) {
 			late++
 		}
 	}
@@ -127,7 +127,7 @@
 	onTime := func(w *world, ids map[TaskID]Task) int {
 		n := 0
 		for id, task := range ids {
-			if at, ok := w.done[id]; ok && !at.After(task.Aim) {
+			if at, ok := w.done[id]; ok && !at.After(task.SoftDeadline) {
 				n++
 			}
 		}
@@ -138,8 +138,8 @@
 	if under < before {
 		t.Errorf("overload brought goodput from %d down to %d", before, under)
 	}
-	v, _ := w.pool.Submit(w.now, Task{RequestID: "x", Stages: testStages, Aim: w.now.Add(time.Second / 10), Deadline: w.now.Add(time.Second)})
-	if !v.Accepted && v.Again <= 0 {
+	v, _ := w.pool.Submit(w.now, Task{RequestID: "x", Stages: testStages, SoftDeadline: w.now.Add(time.Second / 10), Deadline: w.now.Add(time.Second)})
+	if !v.Accepted && v.RetryAfter <= 0 {
 		t.Error("a refusal without the time to come back")
 	}
 }
@@ -161,7 +161,7 @@
 	onTimeAlone, asked := alone.load(19, 10*time.Second, 1900*time.Millisecond)
 	onTime := 0
 	for _, id := range taken {
-		if at, ok := pooled.done[id]; ok && !at.After(pooled.tasks[id].Aim) {
+		if at, ok := pooled.done[id]; ok && !at.After(pooled.tasks[id].SoftDeadline) {
 			onTime++
 		}
 	}
@@ -180,7 +180,7 @@
 		a := newAlone(t, 8, 3, 2)
 		if contend {
 			for _, p := range a.pools {
-				p.Contend(a.now.Add(time.Minute))
+				p.ExpectContention(a.now.Add(time.Minute))
 			}
 		}
 		a.load(14, 8*time.Second, 2*time.Second)
@@ -218,18 +218,18 @@
 	w := newWorld(t, 10, 1)
 	var ids []TaskID
 	for i := range 12 {
-		id, ok := w.submit(Task{RequestID: fmt.Sprint("r", i), Stages: testStages, Aim: w.now.Add(9 * time.Second), Deadline: w.now.Add(15 * time.Second)})
+		id, ok := w.submit(Task{RequestID: fmt.Sprint("r", i), Stages: testStages, SoftDeadline: w.now.Add(9 * time.Second), Deadline: w.now.Add(15 * time.Second)})
 		if !ok {
 			t.Fatal("refused")
 		}
 		ids = append(ids, id)
 	}
 	w.run(50 * time.Millisecond)
-	w.carryOut(w.pool.GiveBack(w.now))
+	w.carryOut(w.pool.HandOff(w.now))
 	w.run(10 * time.Second)
 	moved, done := 0, 0
 	for _, id := range ids {
-		if w.failed[id] == MoveReason {
+		if w.failed[id] == ReasonMoved {
 			moved++
 		}
 		if _, ok := w.done[id]; ok {
--- a/internal/core/stagepool/stats.go
+++ b/internal/core/stagepool/stats.go
@@ -19,8 +19,8 @@
 	// Calls and Pieces count what was sent since the start.
 	Calls  uint64
 	Pieces uint64
-	// Room is the part of all room that results take, 0 to 1.
-	Room float64
+	// RoomUsed is the part of all room that results take, 0 to 1.
+	RoomUsed float64
 }
 
 // Stats returns the state of all services by name.
@@ -48,7 +48,7 @@
 		limit += w.limit()
 	}
 	if limit > 0 {
-		st.Room = float64(used) / float64(limit)
+		st.RoomUsed = float64(used) / float64(limit)
 	}
 	for _, e := range s.queue {
 		st.Queued += len(e.task.stages[e.stage].waiting)
--- a/internal/core/stagepool/task.go
+++ b/internal/core/stagepool/task.go
@@ -32,8 +32,8 @@
 	// Key is what the first stages work on.
 	Key    string
 	Stages []Stage
-	// Aim is when the last result is wanted; a later one has little worth.
-	Aim time.Time
+	// SoftDeadline is when the last result is wanted; a later one has little worth.
+	SoftDeadline time.Time
 	// Allowance is by how much the task may miss its aim and still be let in.
 	Allowance time.Duration
 	// Deadline is when results are of no use any more.
@@ -56,13 +56,13 @@
 	Inputs []string
 }
 
-// Reason is why an endpoint made no result of an item.
-type Reason int
+// ItemStatus is why an endpoint made no result of an item.
+type ItemStatus int
 
 // The reasons.
 const (
 	// Made means that there is a result.
-	Made Reason = iota
+	Made ItemStatus = iota
 	// Late means that the time left was over at the call's turn.
 	Late
 	// Gone means that an input is gone.
@@ -74,37 +74,37 @@
 )
 
 // String returns the reason's name.
-func (r Reason) String() string {
+func (r ItemStatus) String() string {
 	return [...]string{"made", "late", "gone", "no_room", "broken"}[r]
 }
 
 // ItemResult is what became of one item.
 type ItemResult struct {
 	Handle string
-	Reason Reason
+	Status ItemStatus
 }
 
-// Ending is how a call ended as a whole.
-type Ending int
+// CallStatus is how a call ended as a whole.
+type CallStatus int
 
 // The endings of a call.
 const (
 	// Answered calls have a result for each item.
-	Answered Ending = iota
+	Answered CallStatus = iota
 	// NotRun calls were declined by the endpoint.
 	NotRun
 	// WrongEndpoint calls met another endpoint at the address.
 	WrongEndpoint
 	// Lost calls ended without an answer.
 	Lost
-	// BrokenOff calls were at work when their connection broke. Their endpoint may have
+	// ConnectionBroken calls were at work when their connection broke. Their endpoint may have
 	// crashed, by any of their pieces.
-	BrokenOff
+	ConnectionBroken
 )
 
 // Outcome is the end of a call.
 type Outcome struct {
-	Ending Ending
+	Status CallStatus
 	Items  []ItemResult
 }
 
@@ -118,8 +118,8 @@
 	Endpoint string
 	Address  string
 	Items    []Item
-	// Limit is when the shell gives the call up as lost.
-	Limit time.Duration
+	// Timeout is when the shell gives the call up as lost.
+	Timeout time.Duration
 }
 
 // Free asks the shell to give up results at their maker.
@@ -145,8 +145,8 @@
 type Fail struct {
 	Task   TaskID
 	Reason string
-	// Again is when asking anew may help.
-	Again time.Duration
+	// RetryAfter is when asking anew may help.
+	RetryAfter time.Duration
 }
 
 func (StartCall) action() {}
@@ -160,8 +160,8 @@
 	ID       TaskID
 	// Finish is the predicted time until the results are there.
 	Finish time.Duration
-	// Again is the time after which a refused task may be submitted anew.
-	Again time.Duration
+	// RetryAfter is the time after which a refused task may be submitted anew.
+	RetryAfter time.Duration
 }
 
 // state of a stage of a task.
--- a/internal/core/stagepool/world_test.go
+++ b/internal/core/stagepool/world_test.go
@@ -218,9 +218,9 @@
 	w.after(time.Millisecond, func() {
 		switch {
 		case s.dead:
-			w.after(50*time.Millisecond, func() { w.finish(c, Outcome{Ending: Lost}) })
+			w.after(50*time.Millisecond, func() { w.finish(c, Outcome{Status: Lost}) })
 		case len(s.waiting) > 2:
-			w.finish(c, Outcome{Ending: NotRun})
+			w.finish(c, Outcome{Status: NotRun})
 		default:
 			s.waiting = append(s.waiting, c)
 			w.work(s)
@@ -250,7 +250,7 @@
 	made := 0
 	for k, it := range c.Items {
 		results[k] = w.turn(s, it)
-		if results[k].Reason == Made {
+		if results[k].Status == Made {
 			made++
 		}
 	}
@@ -259,16 +259,16 @@
 	life := s.lives
 	w.after(took, func() {
 		if s.lives != life {
-			w.finish(c, Outcome{Ending: Lost})
+			w.finish(c, Outcome{Status: Lost})
 			return
 		}
 		s.busy = false
 		for _, r := range results {
-			if r.Reason == Made {
+			if r.Status == Made {
 				w.handles[r.Handle].life = w.now.Add(s.conf.ResultLife)
 			}
 		}
-		w.finish(c, Outcome{Ending: Answered, Items: results})
+		w.finish(c, Outcome{Status: Answered, Items: results})
 		w.work(s)
 	})
 }
@@ -283,7 +283,7 @@
 	w.brokenMates = append(w.brokenMates, len(mates))
 	w.after(30*time.Millisecond, func() {
 		w.kill(s.spec.ID, down)
-		w.finish(c, Outcome{Ending: BrokenOff})
+		w.finish(c, Outcome{Status: ConnectionBroken})
 	})
 }
 
@@ -293,7 +293,7 @@
 		r, ok := w.handles[h]
 		if !ok {
 			w.stats.gone++
-			return ItemResult{Reason: Gone}
+			return ItemResult{Status: Gone}
 		}
 		if r.owner != it.RequestID {
 			w.t.Errorf("a piece of %s is given a result of %s", it.RequestID, r.owner)
@@ -307,13 +307,13 @@
 	}
 	if s.used+bytes > s.conf.Room {
 		w.stats.noRoom++
-		return ItemResult{Reason: NoRoom}
+		return ItemResult{Status: NoRoom}
 	}
 	s.used += bytes
 	w.next++
 	handle := fmt.Sprintf("%s/%d", s.spec.ID, w.next)
 	w.handles[handle] = &simResult{endpoint: s, owner: it.RequestID, bytes: bytes}
-	return ItemResult{Handle: handle, Reason: Made}
+	return ItemResult{Handle: handle, Status: Made}
 }
 
 // kill takes an endpoint down with its results; it comes back after a while.
@@ -323,7 +323,7 @@
 	s.lives++
 	s.busy = false
 	for _, c := range s.waiting {
-		w.after(10*time.Millisecond, func() { w.finish(c, Outcome{Ending: Lost}) })
+		w.after(10*time.Millisecond, func() { w.finish(c, Outcome{Status: Lost}) })
 	}
 	s.waiting = nil
 	for h, r := range w.handles {
@@ -347,7 +347,7 @@
 			return
 		}
 		n++
-		t := Task{RequestID: fmt.Sprintf("r%d", n), Key: "k", Stages: testStages, Aim: w.now.Add(aim), Deadline: w.now.Add(15 * time.Second), Domain: "d0"}
+		t := Task{RequestID: fmt.Sprintf("r%d", n), Key: "k", Stages: testStages, SoftDeadline: w.now.Add(aim), Deadline: w.now.Add(15 * time.Second), Domain: "d0"}
 		if id, ok := w.submit(t); ok {
 			taken = append(taken, id)
 		}
--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -63,7 +63,7 @@
 	l.run(nodes, c.request, 16, turned.Add(coldTime-time.Second))
 	for i, w := range workers[:cold] {
 		arrivals := intaketest.After(w.Arrivals(), turned.Add(coldKnown))
-		if got := intaketest.MostIn(arrivals, time.Second); got > coldAllowed {
+		if got := intaketest.MaxIn(arrivals, time.Second); got > coldAllowed {
 			t.Errorf("endpoint %d got %d requests in a second, %d are allowed", i, got, coldAllowed)
 		}
 		if len(arrivals) == 0 {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -241,7 +241,7 @@
 // outbound is the request as it goes to an endpoint.
 func (n *Node) outbound(q *request, e catalog.Endpoint, now time.Time) platform.Outbound {
 	return platform.Outbound{
-		Connections: intake.ConnectionsOf(q.view.config.Services[e.Service].MaxConns, n.share.Load().nodes),
+		Connections: intake.NewConnections(q.view.config.Services[e.Service].MaxConns, n.share.Load().nodes),
 		Endpoint:    e, Method: q.source.Method, Host: q.source.Host, Target: q.in.Target, Header: q.source.Header,
 		Body: q.body, Account: q.account, Left: q.deadline.Sub(now), Priority: q.priority, Once: !q.route.Repeatable(),
 	}
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -37,13 +37,13 @@
 // earlier version take any other reason than MoveReason for a failure of the
 // request; so the time for which the node takes no work tells the two apart.
 func leavingAnswer(id uint64, left time.Duration) wire.StagesDone {
-	return wire.StagesDone{ID: id, Failed: stagepool.MoveReason, Again: max(left.Milliseconds(), 1)}
+	return wire.StagesDone{ID: id, Failed: stagepool.ReasonMoved, Again: max(left.Milliseconds(), 1)}
 }
 
 // moved returns errLeaderLeaves or errLeaderMoved if the work is to go elsewhere.
 func moved(d *wire.StagesDone) error {
 	switch {
-	case d.Failed != stagepool.MoveReason:
+	case d.Failed != stagepool.ReasonMoved:
 		return nil
 	case d.Again > 0:
 		return errLeaderLeaves
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -44,7 +44,7 @@
 	workers *platform.Workers
 	meters  *meters
 	models  *pools
-	budget  func() stagepool.Budget
+	budget  func() stagepool.RetryBudget
 	pace    func(catalog.Endpoint) intake.Pace
 	off     mechanism.Off
 	mu      sync.Mutex
@@ -75,7 +75,7 @@
 	ticking bool
 }
 
-func newLeaders(log *zap.Logger, workers *platform.Workers, models *pools, budget func() stagepool.Budget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Off) *leaders {
+func newLeaders(log *zap.Logger, workers *platform.Workers, models *pools, budget func() stagepool.RetryBudget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Off) *leaders {
 	return &leaders{log: log, workers: workers, models: models, budget: budget, pace: pace, off: off, cells: make(map[int]*leader)}
 }
 
@@ -109,7 +109,7 @@
 		return c
 	}
 	c = &leader{
-		group: l, cell: cell, pool: stagepool.New(stagepool.WithBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
+		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
 		owners: make(map[stagepool.TaskID]owner), tasks: make(map[ownerKey]stagepool.TaskID),
 		asks: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
 	}
@@ -132,7 +132,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pool.Contend(now.Add(contention))
+	c.pool.ExpectContention(now.Add(contention))
 }
 
 // backoff has nothing go to a stage endpoint until a moment.
@@ -152,14 +152,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.GiveBack(now))
+	c.carryOut(c.pool.HandOff(now))
 }
 
 // drop gives the work of a request up that is refused from now on.
 func (c *leader) drop(content poison.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.Drop(time.Now(), content))
+	c.carryOut(c.pool.FailContent(time.Now(), content))
 }
 
 // idle reports whether a cell has no task here.
@@ -185,18 +185,18 @@
 	f := l.models.predict(now, wants.at(now), m.Extra)
 	t := stagepool.Task{
 		RequestID: m.RequestID, Key: m.Key, Priority: m.Priority, Domain: f.domain,
-		Aim:       now.Add(time.Duration(m.Aim)*time.Millisecond - f.read),
-		Allowance: f.rest,
-		Deadline:  now.Add(time.Duration(m.Deadline) * time.Millisecond),
+		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.read),
+		Allowance:    f.rest,
+		Deadline:     now.Add(time.Duration(m.Deadline) * time.Millisecond),
 	}
 	// Nodes of an earlier version do not tell the content.
 	t.Content, _ = poison.IDOf(m.Content)
 	for _, s := range m.Stages {
 		t.Stages = append(t.Stages, stagepool.Stage(s))
 	}
-	wants.aim = t.Aim
+	wants.aim = t.SoftDeadline
 	by := now.Add(leastTurnWait)
-	if latest := t.Aim.Add(t.Allowance); latest.After(by) {
+	if latest := t.SoftDeadline.Add(t.Allowance); latest.After(by) {
 		by = latest
 	}
 	if again, ok := l.models.admits(now, m.Model, by); !ok && l.places() {
@@ -214,7 +214,7 @@
 		c.asks[verdict.ID] = wants
 		c.tick()
 	}
-	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), Again: verdict.Again.Milliseconds()})
+	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), Again: verdict.RetryAfter.Milliseconds()})
 	c.carryOut(actions)
 }
 
@@ -291,8 +291,8 @@
 	for _, s := range c.pool.Stats(now) {
 		c.group.log.Info(eventStageService, zap.Int("cell", c.cell), zap.String("service", s.Service),
 			zap.Int("endpoints", s.Endpoints), zap.Int("busy", s.Busy), zap.Int("queued", s.Queued), zap.Int("backlog", s.Backlog),
-			zap.Uint64("calls", s.Calls), zap.Uint64("pieces", s.Pieces), zap.Float64("room", s.Room))
-		c.group.meters.stageState(s.Service, s.Queued, s.Backlog, s.Busy, s.Room)
+			zap.Uint64("calls", s.Calls), zap.Uint64("pieces", s.Pieces), zap.Float64("room", s.RoomUsed))
+		c.group.meters.stageState(s.Service, s.Queued, s.Backlog, s.Busy, s.RoomUsed)
 	}
 }
 
@@ -308,7 +308,7 @@
 		case stagepool.Complete:
 			c.complete(time.Now(), a)
 		case stagepool.Fail:
-			c.tell(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.Again.Milliseconds()})
+			c.tell(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
 			c.forget(a.Task)
 		}
 	}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -211,7 +211,7 @@
 // movesFor reports whether a message tells that work moves for a time.
 func movesFor(m wire.Message, id uint64) bool {
 	d, ok := m.(wire.StagesDone)
-	return ok && d.ID == id && d.Failed == stagepool.MoveReason && d.Again > 0 && d.Again <= longGrace.Milliseconds()
+	return ok && d.ID == id && d.Failed == stagepool.ReasonMoved && d.Again > 0 && d.Again <= longGrace.Milliseconds()
 }
 
 // stub is a node that answers submissions as it is told to.
@@ -262,11 +262,11 @@
 }
 
 func movesAway(m *wire.StagesSubmit) wire.Message {
-	return wire.StagesDone{ID: m.ID, Failed: stagepool.MoveReason, Again: longGrace.Milliseconds()}
+	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved, Again: longGrace.Milliseconds()}
 }
 
 func givesBack(m *wire.StagesSubmit) wire.Message {
-	return wire.StagesDone{ID: m.ID, Failed: stagepool.MoveReason}
+	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved}
 }
 
 func makes(m *wire.StagesSubmit) wire.Message {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -140,17 +140,17 @@
 			w.Inject(everySecond(c.fault, 1000)...)
 		}
 	}
-	l.run(nodes, c.request, 8, named.Add(intaketest.Contact+measured))
+	l.run(nodes, c.request, 8, named.Add(intaketest.GracePeriod+measured))
 	allowed := intaketest.Allowed(namedRate)
 	for i, w := range workers[:limited] {
 		// What was sent before the endpoint named its rate doesn't count: at 50 requests a
 		// second, the second before fills any span that it lies in.
-		arrivals := intaketest.After(w.Arrivals(), named.Add(intaketest.Told))
-		if got := intaketest.Most(arrivals, named.Add(intaketest.Contact)); got > allowed {
+		arrivals := intaketest.After(w.Arrivals(), named.Add(intaketest.NodeReactionTime))
+		if got := intaketest.MaxInSpan(arrivals, named.Add(intaketest.GracePeriod)); got > allowed {
 			t.Errorf("endpoint %d got %d requests in %v, %d are allowed", i, got, intaketest.Span, allowed)
 		}
-		if len(intaketest.After(arrivals, named.Add(intaketest.Contact))) == 0 {
-			t.Errorf("endpoint %d was left with nothing after %v", i, intaketest.Contact)
+		if len(intaketest.After(arrivals, named.Add(intaketest.GracePeriod))) == 0 {
+			t.Errorf("endpoint %d was left with nothing after %v", i, intaketest.GracePeriod)
 		}
 	}
 	t.Logf("answers %v", l.answers)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,7 +179,7 @@
 	n.pools = newPools(hash.Of(s.Node), modelPolicy, n.ownPace, n.off)
 	n.budget = n.newBudget()
 	n.stageBudget = n.newBudget()
-	n.leaders = newLeaders(n.log, n.workers, newPools(hash.Of(s.Node), leaderPolicy, n.leaderPace, n.off), func() stagepool.Budget { return n.stageBudget }, n.stagePace, n.off)
+	n.leaders = newLeaders(n.log, n.workers, newPools(hash.Of(s.Node), leaderPolicy, n.leaderPace, n.off), func() stagepool.RetryBudget { return n.stageBudget }, n.stagePace, n.off)
 	n.poisons = &poisons{guard: poison.NewGuard(s.Heartbeat)}
 	n.meters = newMeters(n)
 	n.leaders.meters = n.meters
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -19,7 +19,7 @@
 
 // bound is what an endpoint of a service takes from all nodes together.
 func (n *Node) bound(service catalog.Service, endpoint string, cold discovery.Coldness) intake.Bound {
-	bears := intake.Cold{PerSecond: service.ColdPerSecond, Excess: n.settings.ColdExcess, Slack: n.settings.ColdSlack}
+	bears := intake.ColdLimit{PerSecond: service.ColdPerSecond, Excess: n.settings.ColdExcess, Slack: n.settings.ColdSlack}
 	limit, until := n.signals.bound(endpoint)
 	if cold.Until.After(until) {
 		until = cold.Until
@@ -38,12 +38,12 @@
 
 // leaderPart is this node's part as a leader. Each stage endpoint belongs to one cell, which
 // has all of it; the leaders of all cells share the others.
-func (n *Node) leaderPart(v *view, service catalog.Service) intake.Part {
+func (n *Node) leaderPart(v *view, service catalog.Service) intake.Share {
 	crowded := n.started.Add(time.Duration(n.crowded.Load()))
 	if service.Batching != nil {
-		return intake.LeaderPart(intake.ByLeaders, 1, 1, crowded)
+		return intake.LeaderShare(intake.ByLeaders, 1, 1, crowded)
 	}
-	return intake.LeaderPart(v.config.Placing(service.Name), n.cellsLed(), v.cellCount(), crowded)
+	return intake.LeaderShare(v.config.Placing(service.Name), n.cellsLed(), v.cellCount(), crowded)
 }
 
 // ownPace is the pace of what this node chooses for its own requests.
@@ -51,7 +51,7 @@
 	s := n.share.Load()
 	placing := v.config.Placing(service.Name)
 	return func(endpoint string, cold discovery.Coldness) intake.Pace {
-		part := intake.NodePart(placing, s.rank, s.nodes, endpoint)
+		part := intake.NodeShare(placing, s.rank, s.nodes, endpoint)
 		return intake.NewPace(n.bound(service, endpoint, cold), part)
 	}
 }
@@ -64,7 +64,7 @@
 	rank, _ := slices.BinarySearch(names, n.settings.Node)
 	n.peakMu.Lock()
 	defer n.peakMu.Unlock()
-	nodes := n.peak.See(now, max(len(names), len(n.settings.Seeds)+1))
+	nodes := n.peak.Observe(now, max(len(names), len(n.settings.Seeds)+1))
 	next := share{rank: rank, nodes: nodes}
 	if before := n.share.Swap(&next); before == nil || *before != next {
 		n.ratesChanged.Store(true)
--- a/internal/node/signalgossip.go
+++ b/internal/node/signalgossip.go
@@ -111,7 +111,7 @@
 	for _, u := range in.Updates {
 		update := signal.LimitUpdate{Endpoint: u.Endpoint, Age: time.Duration(u.Age) * time.Millisecond}
 		if u.Bounded {
-			rate, err := intake.RateOf(u.PerSecond)
+			rate, err := intake.NewRate(u.PerSecond)
 			if err != nil {
 				n.log.Warn(eventMessageNotExpected, zap.String("node", m.Node), zap.Error(err))
 				continue
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -63,7 +63,7 @@
 func (s *signals) any() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.registry.Bounds()
+	return s.registry.HasBounds()
 }
 
 // bound returns the bound that an endpoint's rate limit sets, and until when its answers announce
--- a/internal/node/stagecalls.go
+++ b/internal/node/stagecalls.go
@@ -19,7 +19,7 @@
 
 // call sends a call to a stage endpoint and hands its end to the pool.
 func (c *leader) call(a stagepool.StartCall) {
-	ctx, cancel := context.WithTimeout(context.Background(), a.Limit)
+	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	started := time.Now()
 	outcome, err := c.group.workers.RunStages(ctx, a)
@@ -27,13 +27,13 @@
 	c.group.meters.stageCall(a.Service, len(a.Items), lost, time.Since(started))
 	fields := []zap.Field{
 		zap.String("endpoint", a.Endpoint), zap.String("service", a.Service), zap.Int("pieces", len(a.Items)),
-		zap.Int("ending", int(outcome.Ending)), zap.Duration("took", time.Since(started)),
+		zap.Int("ending", int(outcome.Status)), zap.Duration("took", time.Since(started)),
 	}
 	var blocked *signal.BlockedError
 	if errors.As(err, &blocked) && !blocked.Until.IsZero() {
 		c.group.backoff(time.Now(), blocked.Endpoint, blocked.Until)
 	}
-	if outcome.Ending == stagepool.BrokenOff {
+	if outcome.Status == stagepool.ConnectionBroken {
 		c.group.broke(ctx, catalog.Endpoint{ID: a.Endpoint, Service: a.Service, Address: a.Address}, time.Since(started), contents(a.Items))
 	}
 	switch {
@@ -62,9 +62,9 @@
 
 // unmadePieces counts the pieces without a result, and those of each reason.
 func unmadePieces(o stagepool.Outcome) (int, []zap.Field) {
-	counts := make(map[stagepool.Reason]int)
+	counts := make(map[stagepool.ItemStatus]int)
 	for _, r := range o.Items {
-		counts[r.Reason]++
+		counts[r.Status]++
 	}
 	delete(counts, stagepool.Made)
 	total := 0
--- a/internal/soak/bounds_limits_test.go
+++ b/internal/soak/bounds_limits_test.go
@@ -75,7 +75,7 @@
 				return false
 			}
 		}
-		return overlaps(r.history.disturbed[node], a.At.Add(-intaketest.Contact), a.At)
+		return overlaps(r.history.disturbed[node], a.At.Add(-intaketest.GracePeriod), a.At)
 	}
 	highest, sent := 0.0, 0
 	for _, l := range r.limited {
--- a/internal/soak/cold_test.go
+++ b/internal/soak/cold_test.go
@@ -67,7 +67,7 @@
 				times = append(times, at)
 			}
 		}
-		got := intaketest.MostIn(times, time.Second)
+		got := intaketest.MaxIn(times, time.Second)
 		highest = max(highest, got)
 		if got > coldAllowed {
 			r.fail("COLD: %s of %s got %d requests in a second while it was cold, %d are allowed", c.worker.ID, c.worker.Service, got, coldAllowed)
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -19,7 +19,7 @@
 	limitShare = 3
 	// limitKept is how long workers name their limits in the end with nothing else wrong,
 	// and again while a node is paused and another one killed.
-	limitKept = intaketest.Contact + 4*time.Second
+	limitKept = intaketest.GracePeriod + 4*time.Second
 	// limitTold is how long it may take until all nodes are told.
 	limitTold = 1500 * time.Millisecond
 )
@@ -87,7 +87,7 @@
 		}
 	}
 	time.Sleep(limitKept)
-	r.pauseAndKill(r.limits, intaketest.Contact)
+	r.pauseAndKill(r.limits, intaketest.GracePeriod)
 	time.Sleep(limitKept)
 	for i := range r.limited {
 		r.limited[i].to = time.Now()
@@ -161,5 +161,5 @@
 			times = append(times, a.At)
 		}
 	}
-	return intaketest.Most(times, l.from.Add(intaketest.Contact)), len(times)
+	return intaketest.MaxInSpan(times, l.from.Add(intaketest.GracePeriod)), len(times)
 }
