--- a/internal/core/stagepool/admit.go
+++ b/internal/core/stagepool/admit.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// deadlineShare is the part of the time left within which a task that
+	// softMissDeadlineShare is the part of the time left within which a task that
 	// can't reach its aim must still end.
-	deadlineShare = 0.6
-	// spareShare of the predicted time is kept to spare: a task that is let in
+	softMissDeadlineShare = 0.6
+	// marginDivisor of the predicted time is kept to spare: a task that is let in
 	// on the edge is late as soon as anything goes wrong, and makes others late.
-	spareShare    = 16
-	shortestAgain = 250 * time.Millisecond
-	longestAgain  = 3 * time.Second
+	marginDivisor = 16
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// callTime is the expected time of a call for n pieces of a service.
-func (p *Pool) callTime(name string, n int) time.Duration {
+// fastestCallTime is the expected time of a call for n pieces of a service.
+func (p *Pool) fastestCallTime(name string, n int) time.Duration {
 	s, ok := p.services[name]
 	if !ok {
 		return 0
 	}
-	return time.Duration(s.best() * float64(s.expected(min(n, s.conf.Batch))))
+	return time.Duration(s.fastestSpeed() * float64(s.callDuration(min(n, s.conf.Batch))))
 }
 
-// ahead counts the waiting pieces that go before a task of a priority.
-func (s *service) ahead(priority int) int {
+// piecesAhead counts the waiting pieces that go before a task of a priority.
+func (s *service) piecesAhead(priority int) int {
 	n := 0
 	for at, pieces := range s.backlog {
 		if at <= priority {
@@ -37,8 +37,8 @@
 	return n
 }
 
-// readyAt is when all stages that another comes after are finished.
-func readyAt(finish []time.Duration, after []int) time.Duration {
+// inputsReadyAt is when all stages that another comes after are finished.
+func inputsReadyAt(finish []time.Duration, after []int) time.Duration {
 	ready := time.Duration(0)
 	for _, i := range after {
 		ready = max(ready, finish[i])
@@ -51,16 +51,16 @@
 	if p.off.Has(mechanism.Forecast) {
 		return planned
 	}
-	return planned + p.beyond[t.steps()].value()
+	return planned + p.overruns[t.depth()].value()
 }
 
-// plan returns the time until a task's last result as far as queues, calls and room
+// estimate returns the time until a task's last result as far as queues, calls and room
 // tell it, and false when a service has no endpoint.
-func (p *Pool) plan(now time.Time, t Task) (time.Duration, bool) {
+func (p *Pool) estimate(now time.Time, t Task) (time.Duration, bool) {
 	finish := make([]time.Duration, len(t.Stages))
 	longest := time.Duration(0)
 	for i, st := range t.Stages {
-		ready := readyAt(finish, st.After)
+		ready := inputsReadyAt(finish, st.After)
 		if st.Pieces == 0 {
 			finish[i] = ready
 			continue
@@ -69,41 +69,41 @@
 		if !ok {
 			return 0, false
 		}
-		backoff, ok := s.awaits(now, t)
+		backoff, ok := s.backoffWait(now, t)
 		if !ok {
 			return 0, false
 		}
-		rate := s.rate(now.Add(backoff))
+		rate := s.pieceRate(now.Add(backoff))
 		if rate == 0 {
 			return 0, false
 		}
-		ahead := s.ahead(t.Priority)
+		ahead := s.piecesAhead(t.Priority)
 		queue := time.Duration(float64(ahead) / rate * float64(time.Second))
 		wait := max(queue-ready, backoff-ready, 0)
 		if ready == 0 {
-			wait = max(wait, s.free(now))
+			wait = max(wait, s.untilFree(now))
 		} else if queue > 0 {
-			wait = max(wait, s.expected(1)/time.Duration(2*max(len(s.endpoints), 1)))
+			wait = max(wait, s.callDuration(1)/time.Duration(2*max(len(s.endpoints), 1)))
 		}
 		calls := (st.Pieces + s.conf.Batch - 1) / s.conf.Batch
-		share := st.Pieces + min(s.ahead(t.Priority)/max(len(s.endpoints), 1), s.conf.Batch)
-		work := s.expected(min(share, s.conf.Batch))
+		share := st.Pieces + min(s.piecesAhead(t.Priority)/max(len(s.endpoints), 1), s.conf.Batch)
+		work := s.callDuration(min(share, s.conf.Batch))
 		rounds := (calls + len(s.endpoints) - 1) / max(len(s.endpoints), 1)
-		finish[i] = ready + wait + time.Duration(rounds)*time.Duration(s.best()*float64(work))
+		finish[i] = ready + wait + time.Duration(rounds)*time.Duration(s.fastestSpeed()*float64(work))
 		longest = max(longest, finish[i])
 	}
 	return longest, true
 }
 
-// shortest is the time that a task would take alone.
-func (p *Pool) shortest(t Task) time.Duration {
+// minDuration is the time that a task would take alone.
+func (p *Pool) minDuration(t Task) time.Duration {
 	finish := make([]time.Duration, len(t.Stages))
 	longest := time.Duration(0)
 	for i, st := range t.Stages {
-		ready := readyAt(finish, st.After)
+		ready := inputsReadyAt(finish, st.After)
 		finish[i] = ready
 		if st.Pieces > 0 {
-			finish[i] += p.callTime(st.Service, st.Pieces)
+			finish[i] += p.fastestCallTime(st.Service, st.Pieces)
 		}
 		longest = max(longest, finish[i])
 	}
@@ -114,14 +114,14 @@
 // would be late even alone is taken as long as its deadline is safe.
 func (p *Pool) admit(now time.Time, t Task, finish time.Duration) (Verdict, bool) {
 	aim := t.SoftDeadline.Sub(now)
-	if p.off.Has(mechanism.Admission) || finish+finish/spareShare <= aim+t.Allowance {
+	if p.off.Has(mechanism.Admission) || finish+finish/marginDivisor <= aim+t.Allowance {
 		return Verdict{}, false
 	}
-	alone := p.shortest(t)
-	limit := time.Duration(deadlineShare * float64(t.Deadline.Sub(now)))
+	alone := p.minDuration(t)
+	limit := time.Duration(softMissDeadlineShare * float64(t.Deadline.Sub(now)))
 	if alone > aim && finish <= limit && finish < 2*alone {
 		return Verdict{}, false
 	}
 	again := finish - max(aim, alone)
-	return Verdict{Finish: finish, RetryAfter: min(max(again, shortestAgain), longestAgain)}, true
+	return Verdict{Finish: finish, RetryAfter: min(max(again, minRetryAfter), maxRetryAfter)}, true
 }
--- a/internal/core/stagepool/backoff_test.go
+++ b/internal/core/stagepool/backoff_test.go
@@ -80,7 +80,7 @@
 func TestBackoffOfAStageRejectsAtOnce(t *testing.T) {
 	w := newWorld(t, 7, 3)
 	w.backoff("tag", 5*time.Second)
-	at, closed := w.pool.services["tag"].reopens(w.now)
+	at, closed := w.pool.services["tag"].backoffEnd(w.now)
 	if !closed || at.Sub(w.now) != 5*time.Second {
 		t.Fatalf("closed %t until %v", closed, at.Sub(w.now))
 	}
--- a/internal/core/stagepool/broken_test.go
+++ b/internal/core/stagepool/broken_test.go
@@ -55,8 +55,8 @@
 			w, ends := deadlyWorld(t, service, fmt.Sprintf("r%d", deadly))
 			ids := w.burst(16)
 			w.run(14 * time.Second)
-			if *ends != mostBreaks {
-				t.Errorf("%d endpoints ended, want %d", *ends, mostBreaks)
+			if *ends != maxConsecutiveBreaks {
+				t.Errorf("%d endpoints ended, want %d", *ends, maxConsecutiveBreaks)
 			}
 			for i, id := range ids {
 				_, done := w.done[id]
@@ -95,7 +95,7 @@
 		}
 	}
 	for id, task := range w.pool.tasks {
-		if task.breaks > 0 || task.mates > 0 {
+		if task.consecutiveBreaks > 0 || task.maxTasksPerCall > 0 {
 			t.Errorf("task %d is still kept apart", id)
 		}
 	}
--- a/internal/core/stagepool/dispatch.go
+++ b/internal/core/stagepool/dispatch.go
@@ -12,21 +12,21 @@
 	// priorityStep is how much earlier a task is due for each rank of its
 	// priority.
 	priorityStep = 250 * time.Millisecond
-	// workedStep is how much earlier a task is due that has used work.
-	workedStep = 300 * time.Millisecond
-	// bigTransfer is the size in bytes from which on it counts whether a
+	// startedBonus is how much earlier a task is due that has used work.
+	startedBonus = 300 * time.Millisecond
+	// minLocalTransferBytes is the size in bytes from which on it counts whether a
 	// transfer crosses failure domains.
-	bigTransfer = 300_000
+	minLocalTransferBytes = 300_000
 	// mostWait bounds how long a stage waits for an endpoint of its home domain,
-	// as a part of the time of a full call, and crossSlack is what it leaves
+	// as a part of the time of a full call, and homeWaitMargin is what it leaves
 	// of the time that it can wait without being late.
-	crossSlack = 40 * time.Millisecond
-	mostWait   = 1.2
-	// elsewhere is the price of work outside of the home domain.
-	elsewhere = 1.5
-	// lostFactor and lostMargin tell when a call is given up as lost.
-	lostFactor = 6
-	lostMargin = 1500 * time.Millisecond
+	homeWaitMargin = 40 * time.Millisecond
+	maxHomeWait    = 1.2
+	// remoteCost is the price of work outside of the home domain.
+	remoteCost = 1.5
+	// callTimeoutFactor and lostMargin tell when a call is given up as lost.
+	callTimeoutFactor = 6
+	callTimeoutMargin = 1500 * time.Millisecond
 )
 
 func (p *Pool) dispatchAll(now time.Time) {
@@ -45,7 +45,7 @@
 	if len(s.queue) == 0 {
 		return
 	}
-	idle := s.idleEndpoints(now)
+	idle := s.availableEndpoints(now)
 	if len(idle) == 0 {
 		// Ordering the queue for nothing took 95 of 100 parts of the time of a
 		// submission behind 300 tasks (BenchmarkSubmitBehindQueue).
@@ -66,18 +66,18 @@
 // the others.
 func (p *Pool) order(now time.Time, s *service) {
 	for _, e := range s.queue {
-		latest := e.task.SoftDeadline.Add(-p.need(e.task, e.stage))
+		latest := e.task.SoftDeadline.Add(-p.minRemaining(e.task, e.stage))
 		e.late = now.After(latest)
-		e.patience = e.since.Add(time.Duration(mostWait * float64(s.expected(s.conf.Batch))))
-		if slack := latest.Add(-crossSlack); !e.late && slack.Before(e.patience) {
-			e.patience = slack
+		e.homeWaitUntil = e.since.Add(time.Duration(maxHomeWait * float64(s.callDuration(s.conf.Batch))))
+		if slack := latest.Add(-homeWaitMargin); !e.late && slack.Before(e.homeWaitUntil) {
+			e.homeWaitUntil = slack
 		}
 		e.due = latest
 		if !p.off.Has(mechanism.Priorities) {
 			e.due = e.due.Add(time.Duration(e.task.Priority) * priorityStep)
 		}
-		if e.task.worked {
-			e.due = e.due.Add(-workedStep)
+		if e.task.started {
+			e.due = e.due.Add(-startedBonus)
 		}
 	}
 	slices.SortStableFunc(s.queue, func(a, b *entry) int {
@@ -91,12 +91,12 @@
 	})
 }
 
-func (s *service) idleEndpoints(now time.Time) []*endpoint {
-	best := s.best()
+func (s *service) availableEndpoints(now time.Time) []*endpoint {
+	best := s.fastestSpeed()
 	var idle []*endpoint
 	for _, w := range s.endpoints {
-		w.expire(now)
-		if w.idle(now) && w.usable(now, best) {
+		w.dropExpired(now)
+		if w.available(now) && w.fastEnough(now, best) {
 			idle = append(idle, w)
 		}
 	}
@@ -106,9 +106,9 @@
 // fastest picks the endpoint that suits the first waiting stage best.
 func (s *service) fastest(idle []*endpoint, first *entry) *endpoint {
 	score := func(w *endpoint) float64 {
-		v := w.speed + float64(w.used)/float64(max(w.limit(), 1))/2
+		v := w.speed + float64(w.used)/float64(max(w.usableRoom(), 1))/2
 		if first.home != "" && w.spec.Domain != first.home {
-			v *= elsewhere
+			v *= remoteCost
 		}
 		return v
 	}
@@ -121,27 +121,27 @@
 func (s *service) predictHomes(now time.Time) {
 	free := s.freeTimes(now)
 	ahead := make(map[string]int)
-	full := s.expected(s.conf.Batch)
+	full := s.callDuration(s.conf.Batch)
 	for _, e := range s.queue {
 		times := free[e.home]
-		e.stays = false
+		e.waitsForHome = false
 		if len(times) == 0 {
 			continue
 		}
 		turn := ahead[e.home] / s.conf.Batch
 		start := times[turn%len(times)].Add(time.Duration(turn/len(times)) * full)
-		e.stays = !start.After(e.patience) && now.Before(e.patience)
-		ahead[e.home] += len(e.task.stages[e.stage].waiting)
+		e.waitsForHome = !start.After(e.homeWaitUntil) && now.Before(e.homeWaitUntil)
+		ahead[e.home] += len(e.task.stages[e.stage].unassigned)
 	}
 }
 
 // freeTimes lists for each domain when its endpoints come free, the first ones
 // first. Endpoints that are down or far slower than the fastest are left out.
 func (s *service) freeTimes(now time.Time) map[string][]time.Time {
-	best := s.best()
+	best := s.fastestSpeed()
 	free := make(map[string][]time.Time)
 	for _, w := range s.endpoints {
-		if w.leaving || now.Before(w.asideTo) || w.inBackoff(now) || w.speed > slowFactor*best {
+		if w.leaving || now.Before(w.suspendedUntil) || w.inBackoff(now) || w.speed > slowFactor*best {
 			continue
 		}
 		at := w.pace.Next(now, &w.sends)
@@ -158,9 +158,9 @@
 	return free
 }
 
-// mayGoTo reports whether a stage may go to an endpoint of a domain.
-func (e *entry) mayGoTo(domain string) bool {
-	return !e.stays || e.home == domain
+// mayUse reports whether a stage may go to an endpoint of a domain.
+func (e *entry) mayUse(domain string) bool {
+	return !e.waitsForHome || e.home == domain
 }
 
 // home is the domain where a stage's big transfers stay inside, or "".
@@ -183,10 +183,10 @@
 			}
 		}
 	}
-	if t.Domain != "" && slices.Contains(t.last(), i) {
+	if t.Domain != "" && slices.Contains(t.finalStages(), i) {
 		bytes[t.Domain] += st.ResultBytes * int64(st.Pieces)
 	}
-	home, most := "", int64(bigTransfer)
+	home, most := "", int64(minLocalTransferBytes)
 	for domain, n := range bytes {
 		if n > most || n == most && domain < home {
 			home, most = domain, n
@@ -201,20 +201,20 @@
 func (p *Pool) pick(now time.Time, s *service, w *endpoint, idle int) []itemRef {
 	waiting := 0
 	for _, e := range s.queue {
-		waiting += len(e.task.stages[e.stage].waiting)
+		waiting += len(e.task.stages[e.stage].unassigned)
 	}
 	target := min((waiting+idle-1)/idle, s.conf.Batch)
 	if w.pace.Bounded(now) {
 		// Its calls are few: fuller ones make the most of them.
 		target = s.conf.Batch
 	}
-	room := w.room(now)
+	room := w.freeRoom(now)
 	var items []itemRef
-	var together mates
+	var together batchTasks
 	for _, e := range s.queue {
 		st := &e.task.stages[e.stage]
-		n := len(st.waiting)
-		if !e.mayGoTo(w.spec.Domain) || !together.admit(e.task) {
+		n := len(st.unassigned)
+		if !e.mayUse(w.spec.Domain) || !together.allows(e.task) {
 			continue
 		}
 		if len(items) > 0 && len(items)+n > s.conf.Batch {
@@ -231,61 +231,61 @@
 		}
 		n = min(n, fits)
 		together.add(e.task)
-		for _, piece := range st.waiting[:n] {
-			items = append(items, itemRef{task: e.task, stage: e.stage, piece: piece, bytes: st.ResultBytes, live: true})
+		for _, piece := range st.unassigned[:n] {
+			items = append(items, itemRef{task: e.task, stage: e.stage, piece: piece, bytes: st.ResultBytes, wanted: true})
 		}
 		room -= int64(n) * st.ResultBytes
-		st.waiting = st.waiting[n:]
+		st.unassigned = st.unassigned[n:]
 		s.backlog[e.task.Priority] -= n
 		if len(items) >= target {
 			break
 		}
 	}
-	s.queue = slices.DeleteFunc(s.queue, func(e *entry) bool { return len(e.task.stages[e.stage].waiting) == 0 })
+	s.queue = slices.DeleteFunc(s.queue, func(e *entry) bool { return len(e.task.stages[e.stage].unassigned) == 0 })
 	return items
 }
 
-// mates are the tasks that share a call.
-type mates struct {
-	list []*task
-	// most bounds them when their last calls broke off; then only such tasks share it.
-	most int
+// batchTasks are the tasks that share a call.
+type batchTasks struct {
+	tasks []*task
+	// maxTasks bounds them when their last calls broke off; then only such tasks share it.
+	maxTasks int
 }
 
-// admit reports whether a task may share the call.
-func (m *mates) admit(t *task) bool {
-	if len(m.list) == 0 || slices.Contains(m.list, t) {
+// allows reports whether a task may share the call.
+func (m *batchTasks) allows(t *task) bool {
+	if len(m.tasks) == 0 || slices.Contains(m.tasks, t) {
 		return true
 	}
-	if m.most == 0 || t.mates == 0 {
-		return m.most == t.mates
+	if m.maxTasks == 0 || t.maxTasksPerCall == 0 {
+		return m.maxTasks == t.maxTasksPerCall
 	}
-	return len(m.list) < min(m.most, t.mates)
+	return len(m.tasks) < min(m.maxTasks, t.maxTasksPerCall)
 }
 
-func (m *mates) add(t *task) {
-	if slices.Contains(m.list, t) {
+func (m *batchTasks) add(t *task) {
+	if slices.Contains(m.tasks, t) {
 		return
 	}
-	if len(m.list) == 0 || t.mates < m.most {
-		m.most = t.mates
+	if len(m.tasks) == 0 || t.maxTasksPerCall < m.maxTasks {
+		m.maxTasks = t.maxTasksPerCall
 	}
-	m.list = append(m.list, t)
+	m.tasks = append(m.tasks, t)
 }
 
 func (p *Pool) start(now time.Time, w *endpoint, items []itemRef) {
 	p.lastCall++
-	c := &call{id: p.lastCall, endpoint: w, items: items, sent: now, expected: w.service.expected(len(items))}
+	c := &call{id: p.lastCall, endpoint: w, items: items, sent: now, expected: w.service.callDuration(len(items))}
 	out := StartCall{Call: c.id, Service: w.service.name, Endpoint: w.spec.ID, Address: w.spec.Address}
-	out.Timeout = time.Duration(lostFactor*float64(c.expected)) + lostMargin
+	out.Timeout = time.Duration(callTimeoutFactor*float64(c.expected)) + callTimeoutMargin
 	for _, ref := range items {
 		c.reserved += ref.bytes
-		ref.task.worked = true
+		ref.task.started = true
 		ref.task.stages[ref.stage].state = running
 		out.Items = append(out.Items, item(now, ref))
 	}
 	w.used += c.reserved
-	w.called(now)
+	w.recordCall(now)
 	w.calls[c.id] = c
 	p.calls[c.id] = c
 	p.counters.Calls++
@@ -293,7 +293,7 @@
 	w.service.calls++
 	w.service.pieces += uint64(len(items))
 	p.emit(out)
-	if !now.Before(w.contended) && !now.Before(p.alone) && !p.off.Has(mechanism.EarlyFrees) {
+	if !now.Before(w.contendedUntil) && !now.Before(p.contendedUntil) && !p.off.Has(mechanism.EarlyFrees) {
 		p.freeInputs(now, items)
 	}
 }
@@ -313,57 +313,57 @@
 	return it
 }
 
-// fetchTime is how long after its start a call of an idle endpoint has surely
+// inputFetchTime is how long after its start a call of an idle endpoint has surely
 // fetched its inputs.
-const fetchTime = 60 * time.Millisecond
+const inputFetchTime = 60 * time.Millisecond
 
-// crowded is the share of a maker's room from which on inputs are given up
+// earlyFreeUsedShare is the share of a maker's room from which on inputs are given up
 // as soon as they are fetched; below it they are kept until the call's end,
 // so that a call that fails can be sent again.
-const crowded = 0.4
+const earlyFreeUsedShare = 0.4
 
-// contention is how long an endpoint that declined a call, or took far too long,
+// contentionPeriod is how long an endpoint that declined a call, or took far too long,
 // is taken to work for another leader as well.
-const contention = 3 * time.Second
+const contentionPeriod = 3 * time.Second
 
 // freeInputs has inputs given up that no further piece needs.
 func (p *Pool) freeInputs(now time.Time, items []itemRef) {
 	for _, ref := range items {
 		for _, of := range ref.task.stages[ref.stage].After {
-			if p.allStarted(ref.task, of) && p.crowded(ref.task, of) {
-				p.frees = append(p.frees, pendingFree{at: now.Add(fetchTime), task: ref.task, of: of})
+			if p.dependentsStarted(ref.task, of) && p.makersCrowded(ref.task, of) {
+				p.frees = append(p.frees, pendingFree{at: now.Add(inputFetchTime), task: ref.task, of: of})
 			}
 		}
 	}
 }
 
-func (p *Pool) crowded(t *task, of int) bool {
+func (p *Pool) makersCrowded(t *task, of int) bool {
 	for _, r := range t.stages[of].results {
-		if r != nil && float64(r.maker.used) > crowded*float64(r.maker.limit()) {
+		if r != nil && float64(r.maker.used) > earlyFreeUsedShare*float64(r.maker.usableRoom()) {
 			return true
 		}
 	}
 	return false
 }
 
-// allStarted reports whether every piece that needs the results of stage i is
+// dependentsStarted reports whether every piece that needs the results of stage i is
 // in a call or made.
-func (p *Pool) allStarted(t *task, i int) bool {
+func (p *Pool) dependentsStarted(t *task, i int) bool {
 	for j := range t.stages {
 		s := &t.stages[j]
 		if s.Pieces == 0 || !slices.Contains(s.After, i) {
 			continue
 		}
-		if s.state == blocked || len(s.waiting) > 0 {
+		if s.state == blocked || len(s.unassigned) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// allMade reports whether every stage that needs the results of stage i is
+// dependentsFinished reports whether every stage that needs the results of stage i is
 // finished.
-func (p *Pool) allMade(t *task, i int) bool {
+func (p *Pool) dependentsFinished(t *task, i int) bool {
 	for j := range t.stages {
 		s := &t.stages[j]
 		if s.Pieces > 0 && slices.Contains(s.After, i) && s.state != finished {
--- a/internal/core/stagepool/done.go
+++ b/internal/core/stagepool/done.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// mostTries bounds how often a stage's pieces are made again, each on the average,
+	// maxRetriesPerPiece bounds how often a stage's pieces are made again, each on the average,
 	// and mostBreaks how many calls in a row may break off with a task: it may be what
 	// crashes their endpoints. mostRestarts is how often a task begins anew because a result is gone:
 	// as often as one that crashes endpoints may end those where its results lie.
-	mostTries    = 6
-	mostBreaks   = 3
-	mostRestarts = mostBreaks
+	maxRetriesPerPiece   = 6
+	maxConsecutiveBreaks = 3
+	maxRestarts          = maxConsecutiveBreaks
 	// overdueFactor and overdueMargin tell when pieces are made elsewhere
 	// although their call has not ended.
 	overdueFactor = 1.8
 	overdueMargin = 200 * time.Millisecond
-	// failAgain is told to the owner of a task that was given up.
-	failAgain = 500 * time.Millisecond
+	// failedRetryAfter is told to the owner of a task that was given up.
+	failedRetryAfter = 500 * time.Millisecond
 )
 
 // Done takes the end of a call.
 func (p *Pool) Done(now time.Time, id CallID, o Outcome) []Action {
 	c, ok := p.calls[id]
 	if !ok {
-		return p.take()
+		return p.takeActions()
 	}
 	delete(p.calls, id)
 	w := c.endpoint
@@ -39,19 +39,19 @@
 	case Answered:
 		w.failures = 0
 		if now.Sub(c.sent) > 2*time.Duration(w.speed*float64(c.expected)) {
-			w.contended = now.Add(contention)
+			w.contendedUntil = now.Add(contentionPeriod)
 		}
-		w.took(now, now.Sub(c.sent), c.expected)
+		w.recordLatency(now, now.Sub(c.sent), c.expected)
 	case NotRun:
-		w.asideTo = now.Add(declinedRest)
-		w.contended = now.Add(contention)
+		w.suspendedUntil = now.Add(declinedSuspension)
+		w.contendedUntil = now.Add(contentionPeriod)
 	case WrongEndpoint:
 		w.leaving = true
 	default:
-		w.rest(now)
+		w.suspend(now)
 	}
 	if o.Status == ConnectionBroken {
-		p.part(now, c)
+		p.splitBatch(now, c)
 	}
 	for k, ref := range c.items {
 		r := ItemResult{Status: Broken}
@@ -64,50 +64,50 @@
 		p.itemDone(now, c, ref, r, o.Status)
 	}
 	if o.Status == Answered && !slices.ContainsFunc(o.Items, func(r ItemResult) bool { return r.Status == NoRoom }) {
-		w.foundRoom(now)
+		w.observeRoom(now)
 	}
-	p.settle(now, c)
+	p.finishStages(now, c)
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
 // tasks lists the tasks of a call that are still wanted.
 func (c *call) tasks() []*task {
 	var list []*task
 	for _, ref := range c.items {
-		if ref.live && !slices.Contains(list, ref.task) {
+		if ref.wanted && !slices.Contains(list, ref.task) {
 			list = append(list, ref.task)
 		}
 	}
 	return list
 }
 
-// abandon has the other pieces of a task in the call count for nothing, as it began anew:
+// detach has the other pieces of a task in the call count for nothing, as it began anew:
 // each of four pieces whose input is gone would have it begin anew once more, and be given
 // up at the third.
-func (c *call) abandon(t *task) {
+func (c *call) detach(t *task) {
 	for k := range c.items {
 		if c.items[k].task == t {
-			c.items[k].live = false
+			c.items[k].wanted = false
 		}
 	}
 }
 
-// part has the tasks of a call that broke off share calls with half as many others, and
+// splitBatch has the tasks of a call that broke off share calls with half as many others, and
 // those that it happens to again with none. One of them may crash what runs it: with the
 // same mates it would end an endpoint with each call, and they with it. Of 24 staged
 // requests at once, one of which does, all others are served and three endpoints end;
 // four did when calls were put together as before (TestPoisonInBatches).
-func (p *Pool) part(now time.Time, c *call) {
+func (p *Pool) splitBatch(now time.Time, c *call) {
 	list := c.tasks()
 	for _, t := range list {
-		t.breaks++
-		t.mates = (len(list) + 1) / 2
+		t.consecutiveBreaks++
+		t.maxTasksPerCall = (len(list) + 1) / 2
 		switch {
-		case t.breaks >= mostBreaks:
-			p.fail(now, t, "its calls broke off", failAgain)
-		case t.breaks > 1:
-			t.mates = 1
+		case t.consecutiveBreaks >= maxConsecutiveBreaks:
+			p.fail(now, t, "its calls broke off", failedRetryAfter)
+		case t.consecutiveBreaks > 1:
+			t.maxTasksPerCall = 1
 		}
 	}
 }
@@ -117,82 +117,82 @@
 	st := &ref.task.stages[ref.stage]
 	if r.Status == Made {
 		made := &result{maker: w, handle: r.Handle, bytes: ref.bytes, begun: c.sent, expires: now.Add(w.service.conf.ResultLife)}
-		if !ref.live || st.results[ref.piece] != nil {
+		if !ref.wanted || st.results[ref.piece] != nil {
 			p.counters.Unused++
-			p.giveUp(now, w, []string{r.Handle}, ref.bytes)
+			p.queueFree(now, w, []string{r.Handle}, ref.bytes)
 			return
 		}
 		w.add(made)
-		ref.task.breaks, ref.task.mates = 0, 0
+		ref.task.consecutiveBreaks, ref.task.maxTasksPerCall = 0, 0
 		st.results[ref.piece] = made
-		st.made++
-		p.unqueue(ref)
+		st.completed++
+		p.removeUnassigned(ref)
 		return
 	}
-	if !ref.live {
+	if !ref.wanted {
 		return
 	}
 	switch r.Status {
 	case NoRoom:
 		if ending == Answered {
 			p.counters.NoRoom++
-			w.full(now, ref.bytes)
+			w.observeFull(now, ref.bytes)
 		}
 	case Gone:
 		p.counters.Gone++
 		p.restart(now, ref.task)
-		c.abandon(ref.task)
+		c.detach(ref.task)
 		return
 	case Late:
-		p.fail(now, ref.task, "late", failAgain)
+		p.fail(now, ref.task, "late", failedRetryAfter)
 		return
 	}
 	if st.results[ref.piece] == nil {
-		p.requeue(now, ref, repeatOf(r.Status, ending))
+		p.requeue(now, ref, retryCostOf(r.Status, ending))
 	}
 }
 
-// unqueue takes a piece that was made meanwhile out of the waiting ones.
-func (p *Pool) unqueue(ref itemRef) {
+// removeUnassigned takes a piece that was made meanwhile out of the waiting ones.
+func (p *Pool) removeUnassigned(ref itemRef) {
 	st := &ref.task.stages[ref.stage]
-	for k, piece := range st.waiting {
+	for k, piece := range st.unassigned {
 		if piece == ref.piece {
-			st.waiting = append(st.waiting[:k:k], st.waiting[k+1:]...)
+			st.unassigned = append(st.unassigned[:k:k], st.unassigned[k+1:]...)
 			p.services[st.Service].backlog[ref.task.Priority]--
 			return
 		}
 	}
 }
 
-// repeat is what it counts that a piece is made again.
-type repeat int
+// retryCost is what it counts that a piece is made again.
+type retryCost int
 
 const (
-	// free repeats cost nothing: the piece was not begun.
-	free repeat = iota
-	// afterBreak repeats take of the budget; the breaks of their task bound them.
-	afterBreak
-	// afterFailure repeats are bounded themselves besides.
-	afterFailure
+	// freeRetry repeats cost nothing: the piece was not begun.
+	freeRetry retryCost = iota
+	// budgetedRetry repeats take of the budget; the breaks of their task bound them.
+	budgetedRetry
+	// countedRetry repeats are bounded themselves besides.
+	countedRetry
 )
 
-func repeatOf(r ItemStatus, ending CallStatus) repeat {
+func retryCostOf(r ItemStatus, ending CallStatus) retryCost {
 	switch {
 	case r == NoRoom:
-		return free
+		return freeRetry
 	case ending == ConnectionBroken:
-		return afterBreak
+		return budgetedRetry
 	}
-	return afterFailure
+	return countedRetry
 }
 
 // requeue has a piece made again.
-func (p *Pool) requeue(now time.Time, ref itemRef, again repeat) {
+func (p *Pool) requeue(now time.Time, ref itemRef, again retryCost) {
 	if _, ok := p.tasks[ref.task.id]; !ok {
 		return
 	}
 	st := &ref.task.stages[ref.stage]
-	if slices.Contains(st.waiting, ref.piece) {
+	if slices.Contains(st.unassigned, ref.piece) {
 		return
 	}
 	for _, of := range st.After {
@@ -202,21 +202,21 @@
 			return
 		}
 	}
-	if again == afterFailure {
-		st.tries++
+	if again == countedRetry {
+		st.retries++
 	}
-	if again != free {
+	if again != freeRetry {
 		p.counters.Retried++
 		if p.budget != nil && !p.budget.Take(now, st.Service, 1) {
-			p.fail(now, ref.task, "no budget to make a piece again", failAgain)
+			p.fail(now, ref.task, "no budget to make a piece again", failedRetryAfter)
 			return
 		}
 	}
-	if st.tries > mostTries*st.Pieces {
-		p.fail(now, ref.task, "a stage failed too often", failAgain)
+	if st.retries > maxRetriesPerPiece*st.Pieces {
+		p.fail(now, ref.task, "a stage failed too often", failedRetryAfter)
 		return
 	}
-	st.waiting = append(st.waiting, ref.piece)
+	st.unassigned = append(st.unassigned, ref.piece)
 	st.state = queued
 	p.services[st.Service].backlog[ref.task.Priority]++
 	p.enqueue(now, ref.task, ref.stage)
@@ -228,8 +228,8 @@
 		return
 	}
 	t.restarts++
-	if t.restarts > mostRestarts {
-		p.fail(now, t, "results were gone too often", failAgain)
+	if t.restarts > maxRestarts {
+		p.fail(now, t, "results were gone too often", failedRetryAfter)
 		return
 	}
 	p.counters.Restarts++
@@ -240,16 +240,16 @@
 	p.begin(now, t)
 }
 
-// settle moves the tasks of a call on.
-func (p *Pool) settle(now time.Time, c *call) {
+// finishStages moves the tasks of a call on.
+func (p *Pool) finishStages(now time.Time, c *call) {
 	for _, ref := range c.items {
 		st := &ref.task.stages[ref.stage]
-		if _, ok := p.tasks[ref.task.id]; !ok || !ref.live || st.state == finished || st.made < st.Pieces || st.state == blocked {
+		if _, ok := p.tasks[ref.task.id]; !ok || !ref.wanted || st.state == finished || st.completed < st.Pieces || st.state == blocked {
 			continue
 		}
 		st.state = finished
 		for _, of := range st.After {
-			if p.allMade(ref.task, of) {
+			if p.dependentsFinished(ref.task, of) {
 				p.freeStage(now, ref.task, of)
 			}
 		}
@@ -261,62 +261,62 @@
 // overdue calls made elsewhere, and ends tasks whose deadline is over.
 func (p *Pool) Tick(now time.Time) []Action {
 	p.freeDue(now)
-	p.freeBounded(now)
+	p.flushFrees(now)
 	for _, id := range slices.Sorted(maps.Keys(p.calls)) {
-		p.watch(now, p.calls[id])
+		p.requeueOverdue(now, p.calls[id])
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
-		p.endLate(now, p.tasks[id])
+		p.expireTask(now, p.tasks[id])
 	}
-	p.endExpired(now)
-	p.endCrowdedOut(now)
+	p.restartExpired(now)
+	p.failRateLimited(now)
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// endLate ends a task whose deadline is over.
-func (p *Pool) endLate(now time.Time, t *task) {
+// expireTask ends a task whose deadline is over.
+func (p *Pool) expireTask(now time.Time, t *task) {
 	switch {
 	case !now.After(t.Deadline):
 	case t.complete:
-		p.end(now, t)
+		p.remove(now, t)
 	default:
-		p.fail(now, t, "deadline", failAgain)
+		p.fail(now, t, "deadline", failedRetryAfter)
 	}
 }
 
-// fetchMargin is how long before the end of a result's life a call must start that
+// inputFetchMargin is how long before the end of a result's life a call must start that
 // is to fetch it.
-const fetchMargin = 40 * time.Millisecond
+const inputFetchMargin = 40 * time.Millisecond
 
-// lateAndGone is the reason of tasks that would have to begin anew and be late.
-const lateAndGone = "its results are gone and it would be late"
+// reasonExpiredInputs is the reason of tasks that would have to begin anew and be late.
+const reasonExpiredInputs = "its results are gone and it would be late"
 
-// endExpired begins the tasks anew whose next stage has waited for longer than its
+// restartExpired begins the tasks anew whose next stage has waited for longer than its
 // inputs live, and gives those up that would be late. Called all the same, they
 // take an endpoint's time for nothing: after a loss of all nodes 1,400 pieces of one
 // second were called in vain.
-func (p *Pool) endExpired(now time.Time) {
+func (p *Pool) restartExpired(now time.Time) {
 	var expired []*task
 	for _, s := range p.services {
 		for _, e := range s.queue {
-			if e.task.inputsEnd(now.Add(fetchMargin), e.stage) {
+			if e.task.inputsExpired(now.Add(inputFetchMargin), e.stage) {
 				expired = append(expired, e.task)
 			}
 		}
 	}
 	slices.SortFunc(expired, func(a, b *task) int { return cmp.Compare(a.id, b.id) })
 	for _, t := range slices.Compact(expired) {
-		if now.Add(p.shortest(t.Task)).After(t.SoftDeadline) {
-			p.fail(now, t, lateAndGone, failAgain)
+		if now.Add(p.minDuration(t.Task)).After(t.SoftDeadline) {
+			p.fail(now, t, reasonExpiredInputs, failedRetryAfter)
 			continue
 		}
 		p.restart(now, t)
 	}
 }
 
-// inputsEnd reports whether an input of a stage is gone at a moment.
-func (t *task) inputsEnd(at time.Time, i int) bool {
+// inputsExpired reports whether an input of a stage is gone at a moment.
+func (t *task) inputsExpired(at time.Time, i int) bool {
 	for _, of := range t.stages[i].After {
 		for _, r := range t.stages[of].results {
 			if r != nil && at.After(r.expires) {
@@ -333,7 +333,7 @@
 		switch {
 		case f.at.After(now):
 			kept = append(kept, f)
-		case !f.task.stages[f.of].freed && p.allStarted(f.task, f.of):
+		case !f.task.stages[f.of].freed && p.dependentsStarted(f.task, f.of):
 			p.freeStage(now, f.task, f.of)
 		}
 	}
@@ -341,8 +341,8 @@
 	p.frees = kept
 }
 
-// watch has the pieces of a call queued again when it takes far too long.
-func (p *Pool) watch(now time.Time, c *call) {
+// requeueOverdue has the pieces of a call queued again when it takes far too long.
+func (p *Pool) requeueOverdue(now time.Time, c *call) {
 	w := c.endpoint
 	usual := time.Duration(max(w.speed, 1) * float64(c.expected))
 	if c.overdue || p.off.Has(mechanism.Overdue) || now.Sub(c.sent) < time.Duration(overdueFactor*float64(usual))+overdueMargin {
@@ -352,8 +352,8 @@
 	w.speed = max(w.speed, float64(now.Sub(c.sent))/float64(c.expected))
 	w.measured = now
 	for _, ref := range c.items {
-		if _, ok := p.tasks[ref.task.id]; ok && ref.live && ref.task.stages[ref.stage].results[ref.piece] == nil {
-			p.requeue(now, ref, afterFailure)
+		if _, ok := p.tasks[ref.task.id]; ok && ref.wanted && ref.task.stages[ref.stage].results[ref.piece] == nil {
+			p.requeue(now, ref, countedRetry)
 		}
 	}
 }
--- a/internal/core/stagepool/endpoint_test.go
+++ b/internal/core/stagepool/endpoint_test.go
@@ -14,12 +14,12 @@
 	const expected = 300 * time.Millisecond
 	now := time.Unix(1000, 0)
 	w := &endpoint{speed: 5, measured: now}
-	if w.usable(now.Add(time.Second), 1) {
+	if w.fastEnough(now.Add(time.Second), 1) {
 		t.Fatal("an endpoint of a fifth of the others' speed is used")
 	}
-	now = now.Add(slowProbe + expected)
-	w.took(now, expected, expected)
-	if !w.usable(now, 1) {
+	now = now.Add(slowProbeInterval + expected)
+	w.recordLatency(now, expected, expected)
+	if !w.fastEnough(now, 1) {
 		t.Errorf("after a call in its expected time the endpoint counts as %.1f times slower", w.speed)
 	}
 }
@@ -37,25 +37,25 @@
 	const big = 1_500_000
 	now := time.Unix(1000, 0)
 	w := roomyEndpoint()
-	w.full(now, big)
-	if room := w.room(now); room != big-1 {
+	w.observeFull(now, big)
+	if room := w.freeRoom(now); room != big-1 {
 		t.Errorf("room for %d bytes, want less than one result and all that is smaller", room)
 	}
 	last := int64(0)
 	for at := 500 * time.Millisecond; at < 4*time.Second; at += 500 * time.Millisecond {
-		room := w.room(now.Add(at))
-		if room <= last || room >= w.limit() {
-			t.Errorf("after %v room for %d bytes, %d before, %d in all", at, room, last, w.limit())
+		room := w.freeRoom(now.Add(at))
+		if room <= last || room >= w.usableRoom() {
+			t.Errorf("after %v room for %d bytes, %d before, %d in all", at, room, last, w.usableRoom())
 		}
 		last = room
 	}
-	if room := w.room(now.Add(4 * time.Second)); room != w.limit() {
-		t.Errorf("after the life of a result room for %d bytes, want all %d", room, w.limit())
+	if room := w.freeRoom(now.Add(4 * time.Second)); room != w.usableRoom() {
+		t.Errorf("after the life of a result room for %d bytes, want all %d", room, w.usableRoom())
 	}
 	// A second time without room within that life does not make it longer.
-	w.full(now.Add(3*time.Second), big)
-	if room := w.room(now.Add(4 * time.Second)); room != w.limit() {
-		t.Errorf("room for %d bytes when the first results have ended, want all %d", room, w.limit())
+	w.observeFull(now.Add(3*time.Second), big)
+	if room := w.freeRoom(now.Add(4 * time.Second)); room != w.usableRoom() {
+		t.Errorf("room for %d bytes when the first results have ended, want all %d", room, w.usableRoom())
 	}
 }
 
@@ -64,12 +64,12 @@
 func TestFoundRoomShrinksTheBelief(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := roomyEndpoint()
-	w.full(now, 1_500_000)
+	w.observeFull(now, 1_500_000)
 	for range 7 {
 		now = now.Add(100 * time.Millisecond)
-		w.foundRoom(now)
+		w.observeRoom(now)
 	}
-	if room := w.room(now); room != w.limit() {
-		t.Errorf("room for %d bytes after seven calls that found room, want all %d", room, w.limit())
+	if room := w.freeRoom(now); room != w.usableRoom() {
+		t.Errorf("room for %d bytes after seven calls that found room, want all %d", room, w.usableRoom())
 	}
 }
--- a/internal/core/stagepool/expired_test.go
+++ b/internal/core/stagepool/expired_test.go
@@ -95,7 +95,7 @@
 	x.end("bill-0")
 	if reason, ok := x.failed[hurried]; !ok {
 		t.Error("the task that can't be in time is not given up")
-	} else if reason != lateAndGone {
+	} else if reason != reasonExpiredInputs {
 		t.Errorf("it is given up because %q", reason)
 	}
 	if reason, ok := x.failed[patient]; ok {
--- a/internal/core/stagepool/intake_test.go
+++ b/internal/core/stagepool/intake_test.go
@@ -85,9 +85,9 @@
 		_, done := w.done[id]
 		reason, failed := w.failed[id]
 		switch {
-		case failed && reason == crowdedOutReason:
+		case failed && reason == reasonRateLimited:
 			given++
-		case !done && !failed && !w.pool.tasks[id].worked:
+		case !done && !failed && !w.pool.tasks[id].started:
 			left++
 		}
 	}
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -54,10 +54,10 @@
 	off      mechanism.Off
 	paces    func(catalog.Endpoint) intake.Pace
 	out      []Action
-	// beyond tells by steps what tasks took beyond their plan.
-	beyond [mostSteps + 1]beyond
-	// alone is when an earlier leader's calls have surely ended.
-	alone time.Time
+	// overruns tells by steps what tasks took overruns their plan.
+	overruns [maxDepth + 1]overrun
+	// contendedUntil is when an earlier leader's calls have surely ended.
+	contendedUntil time.Time
 }
 
 // pendingFree is a stage whose results are given up at a moment.
@@ -130,21 +130,21 @@
 			calls: make(map[CallID]*call), results: make(map[*result]struct{}),
 		})
 	}
-	p.failUnserved(now, endpoints)
+	p.failClosed(now, endpoints)
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
 // ReasonClosed is the reason of tasks for which a service takes no work.
 const ReasonClosed = "no endpoint of a stage takes work"
 
-// closedAgain is when to come back to a service whose endpoints are all listed as taking
+// closedRetryAfter is when to come back to a service whose endpoints are all listed as taking
 // no work: they seldom change that within a second.
-const closedAgain = time.Second
+const closedRetryAfter = time.Second
 
-// failUnserved gives the tasks up that wait for a service of which endpoints are listed, and
+// failClosed gives the tasks up that wait for a service of which endpoints are listed, and
 // none takes work. Until others come they would wait in vain.
-func (p *Pool) failUnserved(now time.Time, endpoints []catalog.Endpoint) {
+func (p *Pool) failClosed(now time.Time, endpoints []catalog.Endpoint) {
 	closed := make(map[string]bool)
 	for _, e := range endpoints {
 		if before, ok := closed[e.Service]; !ok || before {
@@ -153,9 +153,9 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
 		t := p.tasks[id]
-		waits := slices.ContainsFunc(t.stages, func(s stage) bool { return len(s.waiting) > 0 && closed[s.Service] })
+		waits := slices.ContainsFunc(t.stages, func(s stage) bool { return len(s.unassigned) > 0 && closed[s.Service] })
 		if waits && !t.complete {
-			p.fail(now, t, ReasonClosed, closedAgain)
+			p.fail(now, t, ReasonClosed, closedRetryAfter)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 // until a moment: a call may then wait for its turn behind the other's, so
 // that its inputs are kept until it ends.
 func (p *Pool) ExpectContention(until time.Time) {
-	if until.After(p.alone) {
-		p.alone = until
+	if until.After(p.contendedUntil) {
+		p.contendedUntil = until
 	}
 }
 
@@ -176,12 +176,12 @@
 // leader takes them whole.
 func (p *Pool) HandOff(now time.Time) []Action {
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
-		if t := p.tasks[id]; !t.worked && !t.complete {
+		if t := p.tasks[id]; !t.started && !t.complete {
 			p.fail(now, t, ReasonMoved, 0)
 		}
 	}
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
 // ReasonPoison is the reason of tasks whose request is refused since it crashes endpoints.
@@ -195,12 +195,12 @@
 		}
 	}
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
 // Submit takes a task, or refuses it.
 func (p *Pool) Submit(now time.Time, t Task) (Verdict, []Action) {
-	planned, ok := p.plan(now, t)
+	planned, ok := p.estimate(now, t)
 	if !ok {
 		p.counters.Refused++
 		return Verdict{RetryAfter: p.retryAfter(now, t)}, nil
@@ -212,14 +212,14 @@
 	}
 	p.counters.Accepted++
 	p.lastTask++
-	live := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), taken: now, planned: planned}
+	live := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), acceptedAt: now, estimate: planned}
 	for i, s := range t.Stages {
 		live.stages[i] = stage{Stage: s}
 	}
 	p.tasks[live.id] = live
 	p.begin(now, live)
 	p.dispatchAll(now)
-	return Verdict{Accepted: true, ID: live.id, Finish: finish}, p.take()
+	return Verdict{Accepted: true, ID: live.id, Finish: finish}, p.takeActions()
 }
 
 // begin counts all stages into the backlogs and queues those that are ready.
@@ -227,18 +227,18 @@
 	for i := range t.stages {
 		s := &t.stages[i]
 		s.results = make([]*result, s.Pieces)
-		s.waiting = make([]int, s.Pieces)
-		for k := range s.waiting {
-			s.waiting[k] = k
+		s.unassigned = make([]int, s.Pieces)
+		for k := range s.unassigned {
+			s.unassigned[k] = k
 		}
-		s.made = 0
+		s.completed = 0
 		s.state = blocked
 		s.freed = false
 		if s.Pieces == 0 {
 			s.state = finished
 			continue
 		}
-		p.services[s.Service].expect(s.ResultBytes)
+		p.services[s.Service].initOccupancy(s.ResultBytes)
 		p.services[s.Service].backlog[t.Priority] += s.Pieces
 		if p.budget != nil && t.restarts == 0 {
 			p.budget.Fresh(now, s.Service, s.Pieces)
@@ -268,11 +268,11 @@
 	t.complete = true
 	p.counters.Completed++
 	if t.restarts == 0 {
-		p.beyond[t.steps()].ended(t.planned, now.Sub(t.taken))
+		p.overruns[t.depth()].observe(t.estimate, now.Sub(t.acceptedAt))
 	}
 	c := Complete{Task: t.id}
 	bytes := make(map[string]int64)
-	for _, i := range t.last() {
+	for _, i := range t.finalStages() {
 		for _, r := range t.stages[i].results {
 			c.Handles = append(c.Handles, r.handle)
 			domain := r.maker.spec.Domain
@@ -285,8 +285,8 @@
 	p.emit(c)
 }
 
-// last lists the stages that no other comes after.
-func (t *task) last() []int {
+// finalStages lists the stages that no other comes after.
+func (t *task) finalStages() []int {
 	var list []int
 	for i := range t.stages {
 		needed := false
@@ -326,16 +326,16 @@
 func (p *Pool) Release(now time.Time, id TaskID) []Action {
 	t, ok := p.tasks[id]
 	if !ok {
-		return p.take()
+		return p.takeActions()
 	}
-	p.end(now, t)
+	p.remove(now, t)
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// end forgets a task, takes its pieces out of all queues and frees its
+// remove forgets a task, takes its pieces out of all queues and frees its
 // results.
-func (p *Pool) end(now time.Time, t *task) {
+func (p *Pool) remove(now time.Time, t *task) {
 	delete(p.tasks, t.id)
 	p.withdraw(t)
 	for i := range t.stages {
@@ -350,8 +350,8 @@
 			continue
 		}
 		svc := p.services[s.Service]
-		svc.backlog[t.Priority] -= len(s.waiting)
-		s.waiting = nil
+		svc.backlog[t.Priority] -= len(s.unassigned)
+		s.unassigned = nil
 		kept := svc.queue[:0]
 		for _, e := range svc.queue {
 			if e.task != t || e.stage != i {
@@ -364,7 +364,7 @@
 	for _, c := range p.calls {
 		for k := range c.items {
 			if c.items[k].task == t {
-				c.items[k].live = false
+				c.items[k].wanted = false
 			}
 		}
 	}
@@ -388,20 +388,20 @@
 		bytes[r.maker] += r.bytes
 	}
 	for _, w := range order {
-		p.giveUp(now, w, byMaker[w], bytes[w])
+		p.queueFree(now, w, byMaker[w], bytes[w])
 	}
 }
 
 // fail gives a task up.
 func (p *Pool) fail(now time.Time, t *task, reason string, again time.Duration) {
 	p.counters.Failed++
-	p.end(now, t)
+	p.remove(now, t)
 	p.emit(Fail{Task: t.id, Reason: reason, RetryAfter: again})
 }
 
 func (p *Pool) emit(a Action) { p.out = append(p.out, a) }
 
-func (p *Pool) take() []Action {
+func (p *Pool) takeActions() []Action {
 	out := p.out
 	p.out = nil
 	return out
--- a/internal/core/stagepool/stats.go
+++ b/internal/core/stagepool/stats.go
@@ -37,7 +37,7 @@
 	st := ServiceStats{Service: s.name, Calls: s.calls, Pieces: s.pieces}
 	var used, limit int64
 	for _, w := range s.endpoints {
-		if w.leaving || now.Before(w.asideTo) {
+		if w.leaving || now.Before(w.suspendedUntil) {
 			continue
 		}
 		st.Endpoints++
@@ -45,13 +45,13 @@
 			st.Busy++
 		}
 		used += w.used
-		limit += w.limit()
+		limit += w.usableRoom()
 	}
 	if limit > 0 {
 		st.RoomUsed = float64(used) / float64(limit)
 	}
 	for _, e := range s.queue {
-		st.Queued += len(e.task.stages[e.stage].waiting)
+		st.Queued += len(e.task.stages[e.stage].unassigned)
 	}
 	for _, n := range s.backlog {
 		st.Backlog += n
--- a/internal/core/stagepool/task.go
+++ b/internal/core/stagepool/task.go
@@ -187,38 +187,38 @@
 	Stage
 	state   stageState
 	results []*result
-	// waiting lists the pieces that are in no call.
-	waiting []int
-	// made counts the pieces that have a result.
-	made  int
-	tries int
-	freed bool
+	// unassigned lists the pieces that are in no call.
+	unassigned []int
+	// completed counts the pieces that have a result.
+	completed int
+	retries   int
+	freed     bool
 }
 
 type task struct {
 	Task
 	id     TaskID
 	stages []stage
-	// taken is when the task came, and planned how long it should have taken.
-	taken    time.Time
-	planned  time.Duration
-	restarts int
-	// breaks counts the calls that broke off with pieces of it, one after the other, and
+	// acceptedAt is when the task came, and planned how long it should have acceptedAt.
+	acceptedAt time.Time
+	estimate   time.Duration
+	restarts   int
+	// consecutiveBreaks counts the calls that broke off with pieces of it, one after the other, and
 	// mates bounds the tasks that may share its next call, itself included, or is 0.
-	breaks   int
-	mates    int
-	worked   bool // a call was sent for it
-	complete bool
+	consecutiveBreaks int
+	maxTasksPerCall   int
+	started           bool // a call was sent for it
+	complete          bool
 }
 
-// need is the shortest time that stage i and those after it still take.
-func (p *Pool) need(t *task, i int) time.Duration {
+// minRemaining is the shortest time that stage i and those after it still take.
+func (p *Pool) minRemaining(t *task, i int) time.Duration {
 	longest := time.Duration(0)
 	for j := i + 1; j < len(t.stages); j++ {
 		if t.stages[j].Pieces == 0 || !slices.Contains(t.stages[j].After, i) {
 			continue
 		}
-		longest = max(longest, p.need(t, j))
+		longest = max(longest, p.minRemaining(t, j))
 	}
-	return longest + p.callTime(t.stages[i].Service, t.stages[i].Pieces)
+	return longest + p.fastestCallTime(t.stages[i].Service, t.stages[i].Pieces)
 }
