--- a/internal/core/intake/bound.go
+++ b/internal/core/intake/bound.go
@@ -6,91 +6,91 @@
 )
 
 const (
-	// leastPerSecond is sent to an endpoint that names less, also none at all: only an
-	// answer tells that its word has ended, and one request in 5 s brings one.
-	leastPerSecond = 0.2
-	// holdTime is how long what is sent stays as it was when an endpoint names a higher rate,
-	// or none any more, and easeTime the time after which it doubles then, from easeFrom
-	// requests a second at least. Words that come and go every second must not bring all at
-	// once what was kept from the endpoint.
-	holdTime = 2 * time.Second
-	easeTime = 500 * time.Millisecond
-	easeFrom = 1.0
-	// coldShare is the part of what a cold endpoint is said to handle that is sent, and
-	// coldMost the part of what it may get in any second. The bound on any single second
-	// leaves room for requests that arrive closer together than they were sent, and for two
-	// placing nodes at once.
-	coldShare = 0.65
-	coldMost  = 1.0 / 3
+	// probePerSecond is sent to an endpoint even if it advertises a lower limit, or 0: only an
+	// answer can say that the limit has ended, and one request in 5 s brings one.
+	probePerSecond = 0.2
+	// When an endpoint raises or removes its limit, the rate stays unchanged for rampDelay. It then
+	// doubles every rampDoublingTime, starting from at least minRampRate requests per second. This
+	// prevents a limit that is removed and restored every second from releasing all held-back
+	// requests at once.
+	rampDelay        = 2 * time.Second
+	rampDoublingTime = 500 * time.Millisecond
+	minRampRate      = 1.0
+	// coldRateShare is the fraction of a cold endpoint's rate that is sent, and coldPeakShare the
+	// fraction of what it may get in any second. The margin in any single second covers requests
+	// that arrive closer together than they were sent, and two nodes that place requests at the
+	// same time.
+	coldRateShare = 0.65
+	coldPeakShare = 1.0 / 3
 )
 
-// ColdLimit is what an endpoint of a service bears just after its start. The zero value sets no
-// bound.
+// ColdLimit is what an endpoint handles just after its start. The zero value is no limit.
 type ColdLimit struct {
-	// PerSecond is how many requests it handles in a second.
+	// PerSecond is the number of requests that it handles per second.
 	PerSecond float64
-	// Excess times PerSecond, and Slack more, is how many it may get in any second.
+	// The endpoint may get Excess times PerSecond plus Slack requests in any second.
 	Excess, Slack float64
 }
 
-// rate is what is sent to a cold endpoint.
+// rate returns the rate that is sent to a cold endpoint.
 func (c ColdLimit) rate() Rate {
 	if c.PerSecond <= 0 {
 		return Rate{}
 	}
 	most := max(c.Excess, 1)*c.PerSecond + c.Slack
-	return Rate{perSecond: min(coldShare*c.PerSecond, coldMost*most), named: true}
+	return Rate{perSecond: min(coldRateShare*c.PerSecond, coldPeakShare*most), bounded: true}
 }
 
-// Bound is how many requests a second an endpoint takes from all nodes together, by time:
-// the lowest of what each cause allows. The zero value is none.
+// Bound is the time-dependent limit on the requests per second that an endpoint gets from all nodes
+// together: the lowest limit of all causes. The zero value is no bound.
 type Bound struct {
 	cold      Rate
 	coldUntil time.Time
-	named     Rate
-	// from is what was sent when the named rate was raised or ended at a moment, or 0 when
-	// it was neither.
-	from  float64
-	since time.Time
+	limit     Rate
+	// rampFrom is the rate that was sent when the limit was raised or removed, at since; 0 if it
+	// was neither.
+	rampFrom float64
+	since    time.Time
 }
 
-// NewBound returns the bound of an advertised rate limit that came into force at a moment. When
-// it replaced a lower one, from is the rate allowed until then, in requests a second, else 0.
+// NewBound returns the bound of an advertised rate limit that came into force at since. If it
+// replaced a lower one, from is the rate allowed until then, in requests per second; otherwise it
+// is 0.
 func NewBound(limit Rate, from float64, since time.Time) Bound {
-	return Bound{named: limit, from: from, since: since}
+	return Bound{limit: limit, rampFrom: from, since: since}
 }
 
-// WithCold adds that the endpoint is cold until a moment.
+// WithCold returns the bound with the limit of a cold endpoint added until the given time.
 func (b Bound) WithCold(c ColdLimit, until time.Time) Bound {
 	b.cold, b.coldUntil = c.rate(), until
 	return b
 }
 
-// At returns the bound at a moment.
+// At returns the bound at the given time.
 func (b Bound) At(now time.Time) Rate {
-	r := b.eased(now)
+	r := b.rampedLimit(now)
 	if now.Before(b.coldUntil) {
 		r = Lower(r, b.cold)
 	}
 	return r
 }
 
-// eased is what the endpoint's word allows: what it names, reached by doubling. It rises in
-// steps, since the turns of a node that shares it with others move whenever it changes.
-func (b Bound) eased(now time.Time) Rate {
-	r := b.named
-	if r.named {
-		r.perSecond = max(r.perSecond, leastPerSecond)
+// rampedLimit returns the advertised limit, or the lower rate that the ramp has reached. The rate
+// rises in steps, since the turns of a node move whenever it changes.
+func (b Bound) rampedLimit(now time.Time) Rate {
+	r := b.limit
+	if r.bounded {
+		r.perSecond = max(r.perSecond, probePerSecond)
 	}
-	if b.from <= 0 {
+	if b.rampFrom <= 0 {
 		return r
 	}
-	reached := b.from
-	if easing := now.Sub(b.since) - holdTime; easing >= 0 {
-		reached = max(b.from, easeFrom) * math.Exp2(math.Floor(easing.Seconds()/easeTime.Seconds()))
+	reached := b.rampFrom
+	if easing := now.Sub(b.since) - rampDelay; easing >= 0 {
+		reached = max(b.rampFrom, minRampRate) * math.Exp2(math.Floor(easing.Seconds()/rampDoublingTime.Seconds()))
 	}
-	if reached >= mostPerSecond {
+	if reached >= maxPerSecond {
 		return r
 	}
-	return Lower(r, Rate{perSecond: reached, named: true})
+	return Lower(r, Rate{perSecond: reached, bounded: true})
 }
--- a/internal/core/intake/cold_test.go
+++ b/internal/core/intake/cold_test.go
@@ -13,105 +13,104 @@
 	"gradetiller.example/internal/core/place"
 )
 
-// The pattern that these tests answer: a few endpoints begin anew, empty, among many that
-// are busy, while a burst is on. Whoever chooses the emptiest sends all to them, and nodes
-// that know nothing of each other do so at the same time.
+// These tests simulate a burst of requests while a few endpoints among many busy ones restart
+// empty. Whoever picks the least loaded endpoint sends everything to them, and nodes that don't
+// know of each other do so at the same time.
 //
-// The figures are those of a fleet of model engines as operators describe theirs: an engine
-// that has just begun handles 10 requests a second for 3 s, and in no second may it get more
-// than 1.5 times that and 5 more; in calm times 219 requests a second come, in a burst 2.5
-// times as many.
+// The figures are those that operators give for a fleet of model servers: a server that has just
+// started handles 10 requests per second for 3 s, and in no second may it get more than 1.5 times
+// that plus 5. The normal load is 219 requests per second; in a burst it is 2.5 times as high.
 const (
-	perSecond = 10.0
-	coldFor   = 3 * time.Second
-	calmRate  = 219.0
-	burst     = 2.5
-	fleet     = 90
-	returning = 3
+	coldPerSecond = 10.0
+	coldTime      = 3 * time.Second
+	calmRate      = 219.0
+	burst         = 2.5
+	fleet         = 90
+	returning     = 3
 )
 
-var cold = intake.ColdLimit{PerSecond: perSecond, Excess: 1.5, Slack: 5}
+var cold = intake.ColdLimit{PerSecond: coldPerSecond, Excess: 1.5, Slack: 5}
 
-// most is how many requests a cold endpoint may get in any second.
-const most = 20
+// maxPerAnySecond is how many requests a cold endpoint may get in any second.
+const maxPerAnySecond = 20
 
-// never is a number of nodes among which one has no turn for hours.
-const never = 1 << 20
+// manyNodes is a number of nodes among which a node has no turn for hours.
+const manyNodes = 1 << 20
 
-// design is a way to spread what a cold endpoint bears.
-type design int
+// strategy is a way to divide the rate of a cold endpoint among nodes.
+type strategy int
 
 const (
-	// unpaced is choosing as among all others.
-	unpaced design = iota
-	// owners lets one node by rendezvous hashing send to each cold endpoint, and no other.
-	owners
-	// shares is what the package does.
+	// unlimited treats a cold endpoint like all others.
+	unlimited strategy = iota
+	// singleOwner lets one node, chosen by rendezvous hashing, send to a cold endpoint.
+	singleOwner
+	// shares is what package intake implements.
 	shares
 )
 
-func (d design) String() string { return [...]string{"unpaced", "one owner", "shares"}[d] }
+func (d strategy) String() string { return [...]string{"unlimited", "one owner", "shares"}[d] }
 
-// course is what happens to the nodes.
-type course struct {
+// scenario is a sequence of events that affect the nodes.
+type scenario struct {
 	name string
-	// byLeader is true when one node places for all, as for prompts.
+	// byLeader is true if one node places the requests of all, as for prompts.
 	byLeader bool
-	// lost has the leader lost as the endpoints return, with a second one at work beside
-	// it, and lag is how late the nodes learn of endpoints at most.
-	lost bool
-	lag  time.Duration
-	// parts cuts the nodes into so many parts that know nothing of each other. Each has a
-	// leader of its own.
-	parts int
+	// leaderLost has the leader lost while the endpoints restart, with a second one active beside
+	// it. lag is the maximum delay until a node learns of the endpoints.
+	leaderLost bool
+	lag        time.Duration
+	// partitions is the number of groups of nodes that can't reach each other. Each has its own
+	// leader.
+	partitions int
 }
 
-var courses = []course{
-	{name: "leader", byLeader: true, lag: 700 * time.Millisecond, parts: 1},
-	{name: "leader lost", byLeader: true, lost: true, lag: 1200 * time.Millisecond, parts: 1},
-	{name: "nodes for themselves", lag: time.Second, parts: 1},
-	{name: "nodes in two parts", lag: time.Second, parts: 2},
-	{name: "leaders in two parts", byLeader: true, lag: time.Second, parts: 2},
+var scenarios = []scenario{
+	{name: "leader", byLeader: true, lag: 700 * time.Millisecond, partitions: 1},
+	{name: "leader lost", byLeader: true, leaderLost: true, lag: 1200 * time.Millisecond, partitions: 1},
+	{name: "nodes for themselves", lag: time.Second, partitions: 1},
+	{name: "nodes in two parts", lag: time.Second, partitions: 2},
+	{name: "leaders in two parts", byLeader: true, lag: time.Second, partitions: 2},
 }
 
-// finish is the end of a call at an endpoint.
-type finish struct {
+// completion is the end of a call at an endpoint.
+type completion struct {
 	at   time.Time
 	pool *place.Pool
 	i    int
 	r    place.Result
 }
 
-type finishes []finish
+type completions []completion
 
-func (f finishes) Len() int           { return len(f) }
-func (f finishes) Less(a, b int) bool { return f[a].at.Before(f[b].at) }
-func (f finishes) Swap(a, b int)      { f[a], f[b] = f[b], f[a] }
-func (f *finishes) Push(x any)        { *f = append(*f, x.(finish)) }
-func (f *finishes) Pop() any {
+func (f completions) Len() int           { return len(f) }
+func (f completions) Less(a, b int) bool { return f[a].at.Before(f[b].at) }
+func (f completions) Swap(a, b int)      { f[a], f[b] = f[b], f[a] }
+func (f *completions) Push(x any)        { *f = append(*f, x.(completion)) }
+func (f *completions) Pop() any {
 	last := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
 	return last
 }
 
-// world is some nodes before one service of which few endpoints return cold.
+// world simulates nodes that use one service, a few of whose endpoints restart cold.
 type world struct {
-	start    time.Time
-	rand     *rand.Rand
-	nodes    int
-	how      design
-	course   course
-	pools    []*place.Pool
-	learnt   []time.Time
-	ends     finishes
-	arrivals map[string][]time.Time
-	unserved int
+	start       time.Time
+	rand        *rand.Rand
+	nodes       int
+	strategy    strategy
+	scenario    scenario
+	pools       []*place.Pool
+	learnedAt   []time.Time
+	completions completions
+	arrivals    map[string][]time.Time
+	unserved    int
 }
 
 func name(i int) string { return fmt.Sprintf("endpoint-%d", i) }
 
-func newWorld(seed uint64, nodes int, how design, c course) *world {
-	w := &world{start: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 1)), nodes: nodes, how: how, course: c, arrivals: make(map[string][]time.Time)}
+func newWorld(seed uint64, nodes int, how strategy, c scenario) *world {
+	w := &world{start: time.Unix(1000, 0), rand: rand.New(rand.NewPCG(seed, 1)), nodes: nodes, strategy: how, scenario: c, arrivals: make(map[string][]time.Time)}
 	for k := range nodes {
 		pool, err := place.NewPool("predicted_finish", seed+uint64(k))
 		if err != nil {
@@ -119,18 +118,18 @@
 		}
 		pool.Update(w.specs(k, time.Time{}, fleet-returning))
 		w.pools = append(w.pools, pool)
-		w.learnt = append(w.learnt, w.start.Add(time.Duration(w.rand.Int64N(int64(c.lag)))))
+		w.learnedAt = append(w.learnedAt, w.start.Add(time.Duration(w.rand.Int64N(int64(c.lag)))))
 	}
 	return w
 }
 
-// specs lists the first endpoints as a node knows them; those that return are cold since a
-// moment.
+// specs returns the first count endpoints as a node knows them; those that restart are cold from
+// since on.
 func (w *world) specs(node int, since time.Time, count int) []place.Spec {
 	list := make([]place.Spec, count)
 	for i := range list {
 		list[i] = place.Spec{Name: name(i), Slots: 64}
-		if i >= fleet-returning && w.how != unpaced {
+		if i >= fleet-returning && w.strategy != unlimited {
 			list[i].Pace = w.pace(node, name(i), since)
 		}
 	}
@@ -138,51 +137,51 @@
 }
 
 func (w *world) pace(node int, endpoint string, since time.Time) intake.Pace {
-	bound := intake.Bound{}.WithCold(cold, since.Add(coldFor))
+	bound := intake.Bound{}.WithCold(cold, since.Add(coldTime))
 	placing := intake.ByNodes
-	if w.course.byLeader {
+	if w.scenario.byLeader {
 		placing = intake.ByLeaders
 	}
 	switch {
-	case w.course.byLeader && w.leads(node):
+	case w.scenario.byLeader && w.leads(node):
 		crowded := time.Time{}
-		if w.course.lost && node == w.course.parts {
-			crowded = since.Add(coldFor)
+		if w.scenario.leaderLost && node == w.scenario.partitions {
+			crowded = since.Add(coldTime)
 		}
 		return intake.NewPace(bound, intake.LeaderShare(placing, 1, 1, crowded))
-	case w.how == shares:
+	case w.strategy == shares:
 		return intake.NewPace(bound, intake.NodeShare(placing, node, w.nodes, endpoint))
-	case w.how == owners && int(hash.Of(endpoint)%uint64(w.nodes)) == node:
+	case w.strategy == singleOwner && int(hash.Of(endpoint)%uint64(w.nodes)) == node:
 		return intake.NewPace(bound, intake.LeaderShare(intake.ByLeaders, 1, 1, time.Time{}))
 	}
-	// Not at all while it is cold.
-	return intake.NewPace(bound, intake.NodeShare(placing, never/2, never, endpoint))
+	// No requests while the endpoint is cold.
+	return intake.NewPace(bound, intake.NodeShare(placing, manyNodes/2, manyNodes, endpoint))
 }
 
-// leads reports whether a node places for others at any time: the first of each part, and
-// the one that follows it.
+// leads reports whether a node ever places requests for others: the first node of each partition
+// and, if that leader is lost, its successor.
 func (w *world) leads(node int) bool {
-	return node < w.course.parts || w.course.lost && node == w.course.parts
+	return node < w.scenario.partitions || w.scenario.leaderLost && node == w.scenario.partitions
 }
 
-// placer is the node that places a request that came to a node. When a leader is lost, some
-// requests still go by the old one for a while, the others by the next.
+// placer returns the node that places a request received by node. When a leader is lost, some
+// requests are placed by the old one for a while, and the others by its successor.
 func (w *world) placer(node int) int {
 	switch {
-	case !w.course.byLeader:
+	case !w.scenario.byLeader:
 		return node
-	case w.course.lost && w.rand.IntN(2) == 0:
-		return w.course.parts
+	case w.scenario.leaderLost && w.rand.IntN(2) == 0:
+		return w.scenario.partitions
 	}
-	return node % w.course.parts
+	return node % w.scenario.partitions
 }
 
-// run plays the return of the endpoints in a burst, and 1.5 times as long as they are cold.
+// run simulates the restart of the endpoints in a burst, for 1.5 times as long as they are cold.
 func (w *world) run() {
 	const perSecond = calmRate * burst
-	for now := w.start.Add(-time.Second); now.Before(w.start.Add(coldFor * 3 / 2)); now = now.Add(time.Duration(w.rand.ExpFloat64() / perSecond * float64(time.Second))) {
-		for len(w.ends) > 0 && !w.ends[0].at.After(now) {
-			e := heap.Pop(&w.ends).(finish)
+	for now := w.start.Add(-time.Second); now.Before(w.start.Add(coldTime * 3 / 2)); now = now.Add(time.Duration(w.rand.ExpFloat64() / perSecond * float64(time.Second))) {
+		for len(w.completions) > 0 && !w.completions[0].at.After(now) {
+			e := heap.Pop(&w.completions).(completion)
 			e.pool.Finish(e.at, e.i, e.r)
 		}
 		w.send(now, w.placer(w.rand.IntN(w.nodes)))
@@ -191,9 +190,9 @@
 
 // send has a node place one request.
 func (w *world) send(now time.Time, node int) {
-	if at := w.learnt[node]; !at.IsZero() && !now.Before(at) {
+	if at := w.learnedAt[node]; !at.IsZero() && !now.Before(at) {
 		w.pools[node].Update(w.specs(node, at, fleet))
-		w.learnt[node] = time.Time{}
+		w.learnedAt[node] = time.Time{}
 	}
 	pool := w.pools[node]
 	i, ok := pool.Choose(now, place.Request{Exclude: place.None})
@@ -203,24 +202,24 @@
 	}
 	work := pool.Start(now, i, place.Request{})
 	endpoint := pool.At(i).Spec().Name
-	// Packets are lost on the way now and then, and sent again.
+	// Some packets are lost and retransmitted.
 	arrives := now.Add(2 * time.Millisecond)
 	if w.rand.IntN(40) == 0 {
 		arrives = arrives.Add(200 * time.Millisecond)
 	}
 	w.arrivals[endpoint] = append(w.arrivals[endpoint], arrives)
 	took := time.Duration(800+w.rand.IntN(400)) * time.Millisecond
-	heap.Push(&w.ends, finish{at: now.Add(took), pool: pool, i: i, r: place.Result{OK: true, Work: work, Took: took}})
+	heap.Push(&w.completions, completion{at: now.Add(took), pool: pool, i: i, r: place.Result{OK: true, Work: work, Took: took}})
 }
 
-// busiest is the most that one of the returning endpoints got in any second while it was
-// cold, and mean what they got a second on the average.
+// busiest returns the highest number of requests that a restarted endpoint got in any second while
+// it was cold, and the mean per second.
 func (w *world) busiest() (highest int, mean float64) {
 	total := 0
 	for i := fleet - returning; i < fleet; i++ {
 		at := w.arrivals[name(i)]
 		slices.SortFunc(at, time.Time.Compare)
-		at = slices.DeleteFunc(at, func(t time.Time) bool { return t.After(w.start.Add(coldFor)) })
+		at = slices.DeleteFunc(at, func(t time.Time) bool { return t.After(w.start.Add(coldTime)) })
 		total += len(at)
 		first := 0
 		for k := range at {
@@ -230,16 +229,17 @@
 			highest = max(highest, k-first+1)
 		}
 	}
-	return highest, float64(total) / returning / coldFor.Seconds()
+	return highest, float64(total) / returning / coldTime.Seconds()
 }
 
-// TestFewReturnAmongMany holds what cold endpoints get in any second against the bound, for
-// systems of each size and each course of events, and compares the designs.
-func TestFewReturnAmongMany(t *testing.T) {
-	broken := make(map[design]int)
-	for _, c := range courses {
+// TestColdEndpointsStayWithinBound guards against overloading endpoints that have just started. It
+// checks the bound for each number of nodes and each scenario, and logs the other strategies for
+// comparison.
+func TestColdEndpointsStayWithinBound(t *testing.T) {
+	broken := make(map[strategy]int)
+	for _, c := range scenarios {
 		for _, nodes := range []int{7, 59, 295} {
-			for how := unpaced; how <= shares; how++ {
+			for how := unlimited; how <= shares; how++ {
 				highest, sum, unserved := 0, 0.0, 0
 				const seeds = 3
 				for seed := range uint64(seeds) {
@@ -248,23 +248,23 @@
 					most, mean := w.busiest()
 					highest, sum, unserved = max(highest, most), sum+mean, unserved+w.unserved
 				}
-				t.Logf("%-22s %3d nodes, %-9v: at most %3d in a second, %5.2f on the average, %d unserved", c.name, nodes, how, highest, sum/seeds, unserved)
-				if highest > most {
+				t.Logf("%-22s %3d nodes, %-9v: at most %3d in a second, %5.2f on average, %d unserved", c.name, nodes, how, highest, sum/seeds, unserved)
+				if highest > maxPerAnySecond {
 					broken[how]++
 				}
-				if how == shares && highest > most {
-					t.Errorf("%s, %d nodes: %d requests in a second, %d are allowed", c.name, nodes, highest, most)
+				if how == shares && highest > maxPerAnySecond {
+					t.Errorf("%s, %d nodes: %d requests in a second, want at most %d", c.name, nodes, highest, maxPerAnySecond)
 				}
 			}
 		}
 	}
-	if broken[unpaced] == 0 {
-		t.Error("without a pace the bound holds too: the test shows nothing")
+	if broken[unlimited] == 0 {
+		t.Error("the bound holds without a pace too, so nothing was tested")
 	}
 }
 
-// TestPeak remembers the largest number of nodes for half a minute at least, and for a
-// minute at most.
+// TestPeak checks that the largest number of nodes is remembered for at least half a minute and at
+// most a minute.
 func TestPeak(t *testing.T) {
 	var p intake.Peak
 	start := time.Unix(1000, 0)
--- a/internal/core/intake/connections.go
+++ b/internal/core/intake/connections.go
@@ -2,31 +2,31 @@
 
 import "math"
 
-// keptShare is the part of the connections that an endpoint takes that all nodes together
-// keep open between requests. The rest is for requests under way.
-const keptShare = 0.5
+// idleShare is the fraction of an endpoint's maximum connections that all nodes together keep open
+// between requests. The rest is left for requests in progress.
+const idleShare = 0.5
 
-// Connections is how many connections one node may keep open to one endpoint that takes only
-// so many from all callers together. The zero value sets no bound.
+// Connections limits how many idle connections one node keeps to an endpoint with a maximum number
+// of connections from all callers. The zero value is no limit.
 type Connections struct {
-	each    float64
+	perNode float64
 	bounded bool
 }
 
-// NewConnections divides what an endpoint takes among the nodes that send to it; 0 is no
-// bound.
+// NewConnections divides an endpoint's maximum number of connections among the nodes that send to
+// it; a maximum of 0 is no limit.
 func NewConnections(most, nodes int) Connections {
 	if most <= 0 {
 		return Connections{}
 	}
-	return Connections{each: keptShare * float64(most) / float64(max(nodes, 1)), bounded: true}
+	return Connections{perNode: idleShare * float64(most) / float64(max(nodes, 1)), bounded: true}
 }
 
-// MayKeep reports whether a connection may be kept open after its request, of which the node
-// has a number open, itself included. Where there are more nodes than connections to keep,
-// each keeps one now and then: draw is a random number from 0 to 1.
+// MayKeep reports whether a connection may stay open after its request. open is the number of
+// connections that the node has open, including this one. If there are more nodes than connections,
+// each node keeps one with a certain probability: draw is a random number from 0 to 1.
 func (c Connections) MayKeep(open int, draw float64) bool {
-	whole, part := math.Modf(c.each)
+	whole, part := math.Modf(c.perNode)
 	switch {
 	case !c.bounded || open <= int(whole):
 		return true
--- a/internal/core/intake/connections_test.go
+++ b/internal/core/intake/connections_test.go
@@ -7,8 +7,8 @@
 	"gradetiller.example/internal/core/intake"
 )
 
-// TestConnections has all nodes open connections to one endpoint in one burst and keep what they
-// may: some, for any number of nodes, and never more than the endpoint takes.
+// TestConnections guards against nodes that together keep more connections open than an endpoint
+// accepts, or none. All nodes open connections to one endpoint in a burst.
 func TestConnections(t *testing.T) {
 	const most, burst = 50, 8
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -24,10 +24,10 @@
 		}
 		t.Logf("%d nodes keep %d", nodes, kept)
 		if kept > most || kept == 0 {
-			t.Errorf("%d nodes keep %d connections, the endpoint takes %d", nodes, kept, most)
+			t.Errorf("%d nodes keep %d connections, want between 1 and %d", nodes, kept, most)
 		}
 	}
 	if !intake.NewConnections(0, 3).MayKeep(1000, 1) {
-		t.Error("an endpoint without a bound bounds what is kept")
+		t.Error("connections are limited although the endpoint has no maximum")
 	}
 }
--- a/internal/core/intake/doc.go
+++ b/internal/core/intake/doc.go
@@ -1,24 +1,25 @@
-// Package intake bounds the requests that an endpoint gets from all nodes together, which no
-// node sees by itself.
+// Package intake limits the rate of requests that an endpoint gets from all nodes together, which
+// no single node can observe.
 //
-// Two causes bound them. A cold endpoint, one that has just begun, bears only so many
-// requests a second; the list of endpoints and the configuration tell that (Cold). An
-// endpoint in need names in its answers how many it takes, for as long as it says so; the
-// node that passes such an answer on observes it, and heartbeats spread it (package signal). The
-// lowest of them is in force (Bound).
+// There are two causes of a limit. A cold endpoint, one that has just started, handles only a
+// limited rate; the configuration gives that rate (ColdLimit), and the endpoint list says which
+// endpoints are cold. An overloaded endpoint advertises a rate limit in its answers; the node that
+// receives such an answer records it, and heartbeats spread it to the other nodes (package signal).
+// The lowest limit applies (Bound).
 //
-// The nodes do not ask each other before they send. A bound is divided beforehand (Part): a
-// large part belongs to the node that places for all others, where one does, the rest to all
-// nodes evenly, each at turns of its own. What a node may send to one endpoint follows from
-// both (Pace) and from what it has sent there of late (Sends). Together the parts leave room
-// for a second leader, which may be at work for a moment when one was lost, and for requests
-// that arrive closer together than they were sent.
+// Nodes do not coordinate before they send. Instead, a bound is divided in advance (Share): if one
+// node places requests for all others, it gets a large share, and the rest is divided evenly among
+// all nodes, each with time slots ("turns") of its own. The rate at which a node may send to one
+// endpoint follows from the bound and the share (Pace), and from what it has recently sent there
+// (Sends). The shares add up to less than the bound. This leaves room for a second leader, which
+// may be active for a moment after one was lost, and for requests that arrive closer together than
+// they were sent.
 //
 // # Usage
 //
-//	rate, err := intake.RateOf(1.5)
-//	bound := intake.NewBound(rate, 0, now).WithCold(intake.Cold{PerSecond: 10, Excess: 1.5, Slack: 5}, until)
-//	pace := intake.NewPace(bound, intake.NodePart(intake.ByNodes, rank, nodes, endpoint))
+//	rate, err := intake.NewRate(1.5)
+//	bound := intake.NewBound(rate, 0, now).WithCold(intake.ColdLimit{PerSecond: 10, Excess: 1.5, Slack: 5}, until)
+//	pace := intake.NewPace(bound, intake.NodeShare(intake.ByNodes, rank, nodes, endpoint))
 //	var sends intake.Sends
 //	if pace.Due(now, &sends) {
 //		sends.Add(now, pace)
--- a/internal/core/intake/limits_test.go
+++ b/internal/core/intake/limits_test.go
@@ -14,49 +14,50 @@
 	"gradetiller.example/internal/scripted"
 )
 
-// script is a course of words and troubles, read from a file. Its lines:
+// script is a sequence of advertised limits and faults, read from a file. Its lines:
 //
 //	placing leaders | nodes | both   who chooses the endpoints
-//	mix F                            where both choose, the share of requests that leaders place;
-//	                                 half if it is left out
-//	traffic N                        requests a second of all nodes
-//	endpoints N limited K            of which K name what the script says
-//	lasts D
-//	used F                           the least part of what is named that must be used, for
-//	                                 scripts without room elsewhere, or with a leader
-//	again D                          within which of the end of its last word each limited
-//	                                 endpoint gets an even share once more
-//	refused                          that some requests find no endpoint is expected
-//	at D name RATE | none            what their answers name from then on
-//	every D name RATE | none         in turns of that length with the line before
-//	at D cut F for E                 a part of the nodes, from all others
-//	at D freeze F for E
-//	at D restart F for E             away for a time, and nothing known afterwards
+//	mix F                            with both, the fraction of requests that leaders place;
+//	                                 0.5 by default
+//	traffic N                        requests per second of all nodes
+//	endpoints N limited K            K of the N endpoints advertise the limits in the script
+//	lasts D                          duration
+//	used F                           minimum fraction of the limits that must be used, for
+//	                                 scripts without free endpoints, or with a leader
+//	again D                          maximum time from the end of the last limit until each
+//	                                 limited endpoint gets an even share again
+//	refused                          some requests are expected to find no endpoint
+//	at D name RATE | none            the limit in the endpoints' answers from then on
+//	every D name RATE | none         alternates with the previous limit at this interval
+//	at D cut F for E                 partitions a fraction of the nodes from all others
+//	at D freeze F for E              stops a fraction of the nodes
+//	at D restart F for E             stops a fraction of the nodes, which then lose their state
 //
-// A part "leader" is the leader alone, and "named" those nodes that know of the word.
+// Instead of a fraction, "leader" selects the leader alone.
 type script struct {
 	placing            intake.Placement
 	mix                float64
 	traffic            float64
 	endpoints, limited int
 	lasts              time.Duration
-	used               float64
-	again              time.Duration
-	refused            bool
-	words              []naming
-	troubles           []trouble
+	minUsed            float64
+	recoverWithin      time.Duration
+	refusalsExpected   bool
+	limitChanges       []limitChange
+	faults             []fault
 }
 
-// naming is what the limited endpoints name from a moment on; a rate below 0 is none.
-type naming struct {
+// limitChange is the limit that the limited endpoints advertise from a given time on; a negative
+// rate is no limit.
+type limitChange struct {
 	at   time.Duration
 	rate float64
 }
 
-type trouble struct {
+type fault struct {
 	at, lasts time.Duration
 	kind      string
-	part      string
+	target    string
 }
 
 func readScript(t *testing.T, path string) script {
@@ -76,46 +77,46 @@
 	case "placing":
 		s.placing = map[string]intake.Placement{"leaders": intake.ByLeaders, "nodes": intake.ByNodes, "both": intake.ByBoth}[words[1]]
 	case "mix":
-		s.mix = number(words[1])
+		s.mix = parseNumber(words[1])
 	case "traffic":
-		s.traffic = number(words[1])
+		s.traffic = parseNumber(words[1])
 	case "endpoints":
-		s.endpoints, s.limited = int(number(words[1])), int(number(words[3]))
+		s.endpoints, s.limited = int(parseNumber(words[1])), int(parseNumber(words[3]))
 	case "lasts":
-		s.lasts = span(words[1])
+		s.lasts = parseDuration(words[1])
 	case "used":
-		s.used = number(words[1])
+		s.minUsed = parseNumber(words[1])
 	case "again":
-		s.again = span(words[1])
+		s.recoverWithin = parseDuration(words[1])
 	case "refused":
-		s.refused = true
+		s.refusalsExpected = true
 	case "at":
-		s.at(span(words[1]), words[2:])
+		s.addEvent(parseDuration(words[1]), words[2:])
 	case "every":
-		s.every(span(words[1]), words[3])
+		s.alternate(parseDuration(words[1]), words[3])
 	default:
 		return fmt.Errorf("unknown line %q", words[0])
 	}
 	return nil
 }
 
-func (s *script) at(at time.Duration, words []string) {
+func (s *script) addEvent(at time.Duration, words []string) {
 	if words[0] == "name" {
-		s.words = append(s.words, naming{at, rateOf(words[1])})
+		s.limitChanges = append(s.limitChanges, limitChange{at, parseLimit(words[1])})
 		return
 	}
-	s.troubles = append(s.troubles, trouble{at: at, kind: words[0], part: words[1], lasts: span(words[3])})
+	s.faults = append(s.faults, fault{at: at, kind: words[0], target: words[1], lasts: parseDuration(words[3])})
 }
 
-// every lets the last word and another one take turns until the end.
-func (s *script) every(gap time.Duration, word string) {
-	turns := []float64{rateOf(word), s.words[len(s.words)-1].rate}
-	for i, at := 0, s.words[len(s.words)-1].at+gap; at < s.lasts; i, at = i+1, at+gap {
-		s.words = append(s.words, naming{at, turns[i%2]})
+// alternate alternates between the last limit and another one until the end.
+func (s *script) alternate(interval time.Duration, limit string) {
+	limits := []float64{parseLimit(limit), s.limitChanges[len(s.limitChanges)-1].rate}
+	for i, at := 0, s.limitChanges[len(s.limitChanges)-1].at+interval; at < s.lasts; i, at = i+1, at+interval {
+		s.limitChanges = append(s.limitChanges, limitChange{at, limits[i%2]})
 	}
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(err)
@@ -123,7 +124,7 @@
 	return f
 }
 
-func span(text string) time.Duration {
+func parseDuration(text string) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		panic(err)
@@ -131,17 +132,17 @@
 	return d
 }
 
-func rateOf(text string) float64 {
+func parseLimit(text string) float64 {
 	if text == "none" {
 		return -1
 	}
-	return number(text)
+	return parseNumber(text)
 }
 
-// named is what the limited endpoints name at a moment, or less than 0.
-func (s *script) named(at time.Duration) float64 {
+// limitAt returns the advertised limit at a given time; it is negative if there is none.
+func (s *script) limitAt(at time.Duration) float64 {
 	rate := -1.0
-	for _, w := range s.words {
+	for _, w := range s.limitChanges {
 		if w.at <= at {
 			rate = w.rate
 		}
@@ -149,23 +150,24 @@
 	return rate
 }
 
-// allowed is how many requests an endpoint may get in the span before a moment while it names
-// a rate, or false when it has not named anything for long enough.
+// allowed returns how many requests an endpoint may get in the span before the given time, or false
+// before the end of the grace period.
 func (s *script) allowed(at time.Duration) (int, bool) {
-	if len(s.words) == 0 || at < s.words[0].at+intaketest.GracePeriod {
+	if len(s.limitChanges) == 0 || at < s.limitChanges[0].at+intaketest.GracePeriod {
 		return 0, false
 	}
 	const step = 10 * time.Millisecond
 	sum := 0.0
 	for k := at - intaketest.Span; k < at; k += step {
-		sum += max(s.named(k), 0) * step.Seconds()
+		sum += max(s.limitAt(k), 0) * step.Seconds()
 	}
 	return intaketest.AllowedFor(sum), true
 }
 
 var limitSeeds = flag.Uint64("limit-seeds", 1, "seeds with which each script of limits is played")
 
-// TestLimits plays each script with 7, 59 and 295 nodes.
+// TestLimits guards against exceeding an advertised rate limit, or leaving it unused. It plays each
+// script with 7, 59 and 295 nodes.
 func TestLimits(t *testing.T) {
 	files, err := filepath.Glob("testdata/limits/*.txt")
 	if err != nil || len(files) == 0 {
@@ -179,7 +181,7 @@
 				for seed := range *limitSeeds {
 					w := newLimitWorld(s, nodes, seed)
 					w.play()
-					w.judge(t, seed)
+					w.check(t, seed)
 				}
 			})
 		}
--- a/internal/core/intake/limitworld_test.go
+++ b/internal/core/intake/limitworld_test.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// limitTick is how often nodes tend what they know, beat how often they tell their
-	// neighbors, and urgent how soon after the last news they tell what is new.
-	limitTick = 100 * time.Millisecond
-	beat      = time.Second
-	urgent    = 300 * time.Millisecond
-	// lostKnown is how long after the loss of a leader the next one is asked, and crowding
-	// how long that one leaves room for the other.
-	lostKnown = time.Second
-	crowding  = 6 * time.Second
-	mostTold  = 128
+	// limitTick is how often nodes expire and apply limits, heartbeatInterval how often they
+	// gossip, and updateDelay the minimum time between two gossip rounds with changes.
+	limitTick         = 100 * time.Millisecond
+	heartbeatInterval = time.Second
+	updateDelay       = 300 * time.Millisecond
+	// failoverDelay is the time from the loss of a leader until its successor is used, and
+	// contentionPeriod how long the successor leaves room for the old leader.
+	failoverDelay    = time.Second
+	contentionPeriod = 6 * time.Second
+	maxUpdates       = 128
 )
 
 // limitNode is a node of a limitWorld.
 type limitNode struct {
-	limits *signal.Limits
-	chosen *place.Pool // by itself
-	placed *place.Pool // for all others, when it leads
-	leads  bool
-	// since is when it began to lead.
-	since      time.Time
-	away       bool // frozen or not running
-	part       int  // nodes reach those of the same part
-	troubled   time.Time
-	untold     bool
-	told       time.Time
-	dirty      bool
-	firstHeard map[int]time.Time
+	limits    *signal.Limits
+	own       *place.Pool // for its own requests
+	forOthers *place.Pool // for all requests while it leads
+	leads     bool
+	// leadsSince is when it became leader.
+	leadsSince    time.Time
+	down          bool // frozen or not running
+	partition     int  // nodes reach only nodes in the same partition
+	faultyUntil   time.Time
+	hasUpdates    bool
+	gossipedAt    time.Time
+	pacesStale    bool
+	firstObserved map[int]time.Time
 }
 
 // arrival is a request that reached a limited endpoint.
 type arrival struct {
-	at       time.Time
-	node     int
-	troubled bool
+	at     time.Time
+	node   int
+	faulty bool
 }
 
-// limitWorld is some nodes before one service of which some endpoints name what they take.
+// limitWorld simulates nodes that use one service, some of whose endpoints advertise limits.
 type limitWorld struct {
 	script   script
 	start    time.Time
@@ -67,17 +67,17 @@
 		w.nodes = append(w.nodes, &limitNode{})
 	}
 	for k := range w.nodes {
-		w.begin(k)
+		w.startNode(k)
 	}
 	return w
 }
 
-func (w *limitWorld) after(at time.Time, do func(time.Time)) {
+func (w *limitWorld) at(at time.Time, do func(time.Time)) {
 	w.events.At(at, do)
 }
 
-// begin has a node begin without any knowledge.
-func (w *limitWorld) begin(k int) {
+// startNode starts a node without any state.
+func (w *limitWorld) startNode(k int) {
 	n := w.nodes[k]
 	seed := w.rand.Uint64()
 	own, err := place.NewPool("predicted_finish", seed)
@@ -88,26 +88,26 @@
 	if err != nil {
 		panic(err)
 	}
-	*n = limitNode{limits: signal.NewLimits(), chosen: own, placed: led, part: n.part, troubled: n.troubled, firstHeard: make(map[int]time.Time)}
-	w.pace(k)
+	*n = limitNode{limits: signal.NewLimits(), own: own, forOthers: led, partition: n.partition, faultyUntil: n.faultyUntil, firstObserved: make(map[int]time.Time)}
+	w.updatePaces(k)
 }
 
-// pace puts in force what a node may send.
-func (w *limitWorld) pace(k int) {
+// updatePaces applies a node's current limits to its pools.
+func (w *limitWorld) updatePaces(k int) {
 	n := w.nodes[k]
-	n.dirty = false
+	n.pacesStale = false
 	if w.script.placing != intake.ByLeaders {
-		n.chosen.Update(w.specs(n, func(endpoint string) intake.Share {
+		n.own.Update(w.specs(n, func(endpoint string) intake.Share {
 			return intake.NodeShare(w.script.placing, k, len(w.nodes), endpoint)
 		}))
 	}
 	if n.leads {
-		part := intake.LeaderShare(w.script.placing, 1, 1, n.since.Add(crowding))
-		n.placed.Update(w.specs(n, func(string) intake.Share { return part }))
+		part := intake.LeaderShare(w.script.placing, 1, 1, n.leadsSince.Add(contentionPeriod))
+		n.forOthers.Update(w.specs(n, func(string) intake.Share { return part }))
 	}
 }
 
-// specs are the endpoints as a node knows them, with its part of what each takes.
+// specs returns the endpoints as a node knows them, with its share of each limit.
 func (w *limitWorld) specs(n *limitNode, part func(endpoint string) intake.Share) []place.Spec {
 	list := make([]place.Spec, w.script.endpoints)
 	for i := range list {
@@ -121,75 +121,75 @@
 func (w *limitWorld) play() {
 	end := w.start.Add(w.script.lasts)
 	for k := range w.nodes {
-		w.after(w.start.Add(time.Duration(w.rand.Int64N(int64(limitTick)))), func(now time.Time) { w.tick(now, k, now) })
+		w.at(w.start.Add(time.Duration(w.rand.Int64N(int64(limitTick)))), func(now time.Time) { w.tick(now, k, now) })
 	}
-	for _, t := range w.script.troubles {
-		w.after(w.start.Add(t.at), func(now time.Time) { w.trouble(now, t) })
+	for _, t := range w.script.faults {
+		w.at(w.start.Add(t.at), func(now time.Time) { w.injectFault(now, t) })
 	}
-	w.after(w.start, w.request)
+	w.at(w.start, w.request)
 	w.events.Run(end)
 }
 
-// trouble strikes some nodes, and ends.
-func (w *limitWorld) trouble(now time.Time, t trouble) {
-	var struck []int
-	switch t.part {
+// injectFault starts a fault and schedules its end.
+func (w *limitWorld) injectFault(now time.Time, t fault) {
+	var affected []int
+	switch t.target {
 	case "leader":
-		struck = []int{w.leader(0)}
+		affected = []int{w.leader(0)}
 	default:
 		for k := range w.nodes {
-			if w.rand.Float64() < number(t.part) {
-				struck = append(struck, k)
+			if w.rand.Float64() < parseNumber(t.target) {
+				affected = append(affected, k)
 			}
 		}
 	}
-	for _, k := range struck {
+	for _, k := range affected {
 		n := w.nodes[k]
-		n.troubled = now.Add(t.lasts + intaketest.GracePeriod)
+		n.faultyUntil = now.Add(t.lasts + intaketest.GracePeriod)
 		if t.kind == "cut" {
-			n.part = 1
-			w.after(now.Add(t.lasts), func(time.Time) { n.part = 0 })
+			n.partition = 1
+			w.at(now.Add(t.lasts), func(time.Time) { n.partition = 0 })
 			continue
 		}
-		n.away = true
-		w.after(now.Add(t.lasts), func(time.Time) {
-			n.away = false
+		n.down = true
+		w.at(now.Add(t.lasts), func(time.Time) {
+			n.down = false
 			if t.kind == "restart" {
-				w.begin(k)
+				w.startNode(k)
 			}
 		})
 	}
 }
 
-// leader is the node that places for those of a part.
+// leader returns the node that places requests for a partition.
 func (w *limitWorld) leader(part int) int {
 	for k, n := range w.nodes {
-		if !n.away && n.part == part {
+		if !n.down && n.partition == part {
 			return k
 		}
 	}
 	return 0
 }
 
-// tick tends what a node knows, and has it tell its neighbors.
-func (w *limitWorld) tick(now time.Time, k int, beaten time.Time) {
+// tick expires a node's limits and gossips when due.
+func (w *limitWorld) tick(now time.Time, k int, lastHeartbeat time.Time) {
 	n := w.nodes[k]
-	if !n.away {
+	if !n.down {
 		n.limits.Expire(now)
-		if n.dirty {
-			w.pace(k)
+		if n.pacesStale {
+			w.updatePaces(k)
 		}
-		if n.untold && now.Sub(n.told) >= urgent || now.Sub(beaten) >= beat {
-			n.untold, n.told, beaten = false, now, now
+		if n.hasUpdates && now.Sub(n.gossipedAt) >= updateDelay || now.Sub(lastHeartbeat) >= heartbeatInterval {
+			n.hasUpdates, n.gossipedAt, lastHeartbeat = false, now, now
 			for _, to := range w.neighbors(k) {
-				w.tell(now, k, to)
+				w.gossip(now, k, to)
 			}
 		}
 	}
-	w.after(now.Add(limitTick), func(now time.Time) { w.tick(now, k, beaten) })
+	w.at(now.Add(limitTick), func(now time.Time) { w.tick(now, k, lastHeartbeat) })
 }
 
-// neighbors are those whom a node tells, as in the membership's ring.
+// neighbors returns the nodes that a node gossips with, as in the membership ring.
 func (w *limitWorld) neighbors(k int) []int {
 	var list []int
 	size := len(w.nodes)
@@ -201,57 +201,57 @@
 	return list
 }
 
-// tell has a node tell another one what is new, and the other answer what it lacks.
-func (w *limitWorld) tell(now time.Time, from, to int) {
+// gossip sends a node's updates to another node, which answers with those that the sender lacks.
+func (w *limitWorld) gossip(now time.Time, from, to int) {
 	a := w.nodes[from]
-	news, sum := a.limits.Updates(now, name(to), mostTold), a.limits.Sum()
-	w.after(now.Add(2*time.Millisecond), func(now time.Time) {
+	news, sum := a.limits.Updates(now, name(to), maxUpdates), a.limits.Sum()
+	w.at(now.Add(2*time.Millisecond), func(now time.Time) {
 		b := w.nodes[to]
-		if b.away || a.part != b.part {
+		if b.down || a.partition != b.partition {
 			return
 		}
-		w.changed(b, len(b.limits.Merge(now, news)) > 0)
+		w.markChanged(b, len(b.limits.Merge(now, news)) > 0)
 		if b.limits.Differs(now, name(from), sum) {
-			w.changed(a, len(a.limits.Merge(now, b.limits.Updates(now, name(from), mostTold))) > 0)
+			w.markChanged(a, len(a.limits.Merge(now, b.limits.Updates(now, name(from), maxUpdates))) > 0)
 		}
 	})
 }
 
-func (w *limitWorld) changed(n *limitNode, changed bool) {
+func (w *limitWorld) markChanged(n *limitNode, changed bool) {
 	if changed {
-		n.untold, n.dirty = true, true
+		n.hasUpdates, n.pacesStale = true, true
 	}
 }
 
-// request has the next request come to a node.
+// request delivers the next request to a random node and schedules the one after it.
 func (w *limitWorld) request(now time.Time) {
 	k := w.rand.IntN(len(w.nodes))
-	if !w.nodes[k].away {
+	if !w.nodes[k].down {
 		w.send(now, k)
 	}
-	w.after(now.Add(time.Duration(w.rand.ExpFloat64()/w.script.traffic*float64(time.Second))), w.request)
+	w.at(now.Add(time.Duration(w.rand.ExpFloat64()/w.script.traffic*float64(time.Second))), w.request)
 }
 
-// send has a node's request sent to the endpoint that it, or its leader, chooses.
+// send sends a node's request to the endpoint that the node, or its leader, chooses.
 func (w *limitWorld) send(now time.Time, k int) {
 	n := w.nodes[k]
-	pool := n.chosen
+	pool := n.own
 	if w.script.placing == intake.ByLeaders || w.script.placing == intake.ByBoth && w.rand.Float64() < w.script.mix {
-		first := w.leader(n.part)
+		first := w.leader(n.partition)
 		leads := w.nodes[first]
 		if !leads.leads {
-			// The loss of the one before takes a while to be known.
-			leads.leads, leads.since = true, now
-			if now.Sub(w.start) > lostKnown {
-				leads.since = now.Add(lostKnown)
+			// It takes a while until the loss of the previous leader is known.
+			leads.leads, leads.leadsSince = true, now
+			if now.Sub(w.start) > failoverDelay {
+				leads.leadsSince = now.Add(failoverDelay)
 			}
-			w.pace(first)
+			w.updatePaces(first)
 		}
-		if now.Before(leads.since) {
+		if now.Before(leads.leadsSince) {
 			w.unserved++
 			return
 		}
-		pool = leads.placed
+		pool = leads.forOthers
 	}
 	i, ok := pool.Choose(now, place.Request{Exclude: place.None})
 	if !ok {
@@ -265,34 +265,34 @@
 		arrives = arrives.Add(200 * time.Millisecond)
 	}
 	if i < w.script.limited {
-		w.arrivals[i] = append(w.arrivals[i], arrival{at: arrives, node: k, troubled: arrives.Before(n.troubled)})
+		w.arrivals[i] = append(w.arrivals[i], arrival{at: arrives, node: k, faulty: arrives.Before(n.faultyUntil)})
 	}
-	// The answer's head comes soon, and tells the endpoint's word of that moment.
+	// The answer's header arrives early and carries the limit in force at that time.
 	head := arrives.Add(time.Duration(50+w.rand.IntN(300)) * time.Millisecond)
-	w.after(head, func(now time.Time) { w.hear(now, n, i) })
+	w.at(head, func(now time.Time) { w.observe(now, n, i) })
 	took := time.Duration(800+w.rand.IntN(400)) * time.Millisecond
-	w.after(now.Add(took), func(now time.Time) { pool.Finish(now, i, place.Result{OK: true, Work: work, Took: took}) })
+	w.at(now.Add(took), func(now time.Time) { pool.Finish(now, i, place.Result{OK: true, Work: work, Took: took}) })
 }
 
-// hear takes in what an endpoint's answer says.
-func (w *limitWorld) hear(now time.Time, n *limitNode, i int) {
-	if n.away {
+// observe records the limit in an endpoint's answer.
+func (w *limitWorld) observe(now time.Time, n *limitNode, i int) {
+	if n.down {
 		return
 	}
 	rate := intake.Rate{}
-	if named := w.script.named(now.Sub(w.start)); i < w.script.limited && named >= 0 {
+	if named := w.script.limitAt(now.Sub(w.start)); i < w.script.limited && named >= 0 {
 		rate, _ = intake.NewRate(named)
-		if _, ok := n.firstHeard[i]; !ok {
-			n.firstHeard[i] = now
+		if _, ok := n.firstObserved[i]; !ok {
+			n.firstObserved[i] = now
 		}
 	}
 	_, changed := n.limits.Observe(now, name(i), rate)
-	w.changed(n, changed)
+	w.markChanged(n, changed)
 }
 
-// judge holds what the limited endpoints got against what they named.
-func (w *limitWorld) judge(t *testing.T, seed uint64) {
-	worst, worstOfAll, sent, named := 0.0, 0.0, 0, 0.0
+// check compares the requests that the limited endpoints got with their limits.
+func (w *limitWorld) check(t *testing.T, seed uint64) {
+	worst, worstAll, sent, named := 0.0, 0.0, 0, 0.0
 	for i, list := range w.arrivals {
 		for k := range list {
 			at := list[k].at.Sub(w.start)
@@ -300,17 +300,17 @@
 			if !ok {
 				continue
 			}
-			told, all := w.counted(i, k)
+			told, all := w.countInSpan(i, k)
 			if told > allowed {
-				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v of nodes that were told, %d are allowed", seed, at, i, told, intaketest.Span, allowed)
+				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v from nodes that knew the limit, want at most %d", seed, at, i, told, intaketest.Span, allowed)
 				return
 			}
 			if all > allowed {
-				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v of all nodes, %d are allowed", seed, at, i, all, intaketest.Span, allowed)
+				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v from all nodes, want at most %d", seed, at, i, all, intaketest.Span, allowed)
 				return
 			}
 			worst = max(worst, float64(told)/float64(allowed))
-			worstOfAll = max(worstOfAll, float64(all)/float64(allowed))
+			worstAll = max(worstAll, float64(all)/float64(allowed))
 		}
 		for _, a := range list {
 			if w.settled(a.at.Sub(w.start)) {
@@ -321,59 +321,60 @@
 	const step = 10 * time.Millisecond
 	for at := time.Duration(0); at < w.script.lasts; at += step {
 		if w.settled(at) {
-			named += w.script.named(at) * step.Seconds() * float64(w.script.limited)
+			named += w.script.limitAt(at) * step.Seconds() * float64(w.script.limited)
 		}
 	}
 	used := float64(sent) / named
-	t.Logf("seed %d: at most %.2f of what is allowed (%.2f of all nodes), %.2f of what is named used, %d served, %d not", seed, worst, worstOfAll, used, w.served, w.unserved)
-	if used < w.script.used {
-		t.Errorf("seed %d: %.2f of what is named were used, %.2f must be", seed, used, w.script.used)
+	t.Logf("seed %d: at most %.2f of the allowed requests (%.2f from all nodes), %.2f of the limits used, %d served, %d not", seed, worst, worstAll, used, w.served, w.unserved)
+	if used < w.script.minUsed {
+		t.Errorf("seed %d: %.2f of the limits used, want at least %.2f", seed, used, w.script.minUsed)
 	}
-	if w.script.again > 0 {
-		slowest := w.slowestReturn()
+	if w.script.recoverWithin > 0 {
+		slowest := w.slowestRecovery()
 		t.Logf("seed %d: an even share again within %v", seed, slowest.Round(100*time.Millisecond))
-		if slowest > w.script.again {
-			t.Errorf("seed %d: an even share again after %v, %v are allowed", seed, slowest, w.script.again)
+		if slowest > w.script.recoverWithin {
+			t.Errorf("seed %d: an even share again after %v, want at most %v", seed, slowest, w.script.recoverWithin)
 		}
 	}
-	if w.unserved > 0 && !w.script.refused {
+	if w.unserved > 0 && !w.script.refusalsExpected {
 		t.Errorf("seed %d: %d requests found no endpoint", seed, w.unserved)
 	}
 }
 
-// counted is how many requests reached an endpoint in the span before one of them, of nodes
-// that were told, and of all nodes that were not in trouble. Those that came before the word
-// could be told to all, or within intaketest.Told of its return, do not count among the latter.
-func (w *limitWorld) counted(i, last int) (told, all int) {
+// countInSpan returns how many requests reached an endpoint in the span before request last: told
+// counts those of nodes that received the limit, and all those of all nodes not affected by faults.
+// The latter excludes requests from before the limit could reach all nodes, or within
+// intaketest.NodeReactionTime of its return.
+func (w *limitWorld) countInSpan(i, last int) (told, all int) {
 	list := w.arrivals[i]
-	known := w.start.Add(w.script.words[0].at + intaketest.GracePeriod/2)
+	known := w.start.Add(w.script.limitChanges[0].at + intaketest.GracePeriod/2)
 	for k := last; k >= 0 && list[last].at.Sub(list[k].at) <= intaketest.Span; k-- {
-		if list[k].troubled || w.script.named(list[k].at.Sub(w.start)) < 0 {
+		if list[k].faulty || w.script.limitAt(list[k].at.Sub(w.start)) < 0 {
 			continue
 		}
-		heard, ok := w.nodes[list[k].node].firstHeard[i]
+		heard, ok := w.nodes[list[k].node].firstObserved[i]
 		if ok && list[k].at.Sub(heard) >= intaketest.NodeReactionTime {
 			told++
 		}
-		if list[k].at.After(known) && w.script.named(list[k].at.Sub(w.start)-intaketest.NodeReactionTime) >= 0 {
+		if list[k].at.After(known) && w.script.limitAt(list[k].at.Sub(w.start)-intaketest.NodeReactionTime) >= 0 {
 			all++
 		}
 	}
 	return told, all
 }
 
-// settled reports whether the endpoints have named the same rate for so long that all of it
-// may be used.
+// settled reports whether the endpoints have advertised the same limit for long enough that all of
+// it can be used.
 func (w *limitWorld) settled(at time.Duration) bool {
-	rate := w.script.named(at)
-	return rate > 0 && rate == w.script.named(max(at-8*time.Second, 0)) && at > w.script.words[0].at+8*time.Second
+	rate := w.script.limitAt(at)
+	return rate > 0 && rate == w.script.limitAt(max(at-8*time.Second, 0)) && at > w.script.limitChanges[0].at+8*time.Second
 }
 
-// slowestReturn is how long after the end of its last word the last of the limited endpoints
-// gets most of an even share of the traffic in a second.
-func (w *limitWorld) slowestReturn() time.Duration {
+// slowestRecovery returns the time from the end of the last limit until every limited endpoint has
+// got most of an even share of the traffic in one second.
+func (w *limitWorld) slowestRecovery() time.Duration {
 	const most = 0.8
-	words := w.script.words
+	words := w.script.limitChanges
 	ended := w.start.Add(words[len(words)-1].at)
 	share := int(most * w.script.traffic / float64(w.script.endpoints))
 	slowest := time.Duration(0)
--- a/internal/core/intake/peak.go
+++ b/internal/core/intake/peak.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// peakLife is how long the largest number of nodes is remembered at least. A node that is
-// cut off from the others knows only itself soon, while these go on sending.
-const peakLife = 30 * time.Second
+// peakWindow is the minimum time for which the largest number of nodes is remembered. A node that
+// is partitioned from the others soon sees only itself, while the others continue to send.
+const peakWindow = 30 * time.Second
 
-// Peak remembers the largest number of live nodes of late: for peakLife to twice as long.
+// Peak is the largest recent number of live nodes. A value is remembered for peakWindow to twice as
+// long.
 type Peak struct {
-	now, before int
-	turned      time.Time
+	current, previous int
+	rotatedAt         time.Time
 }
 
-// Observe takes a number of live nodes in and returns the largest of late.
+// Observe records a number of live nodes and returns the largest recent one.
 func (p *Peak) Observe(now time.Time, nodes int) int {
-	if now.Sub(p.turned) > peakLife {
-		p.before, p.now, p.turned = p.now, 0, now
+	if now.Sub(p.rotatedAt) > peakWindow {
+		p.previous, p.current, p.rotatedAt = p.current, 0, now
 	}
-	p.now = max(p.now, nodes)
-	return max(p.now, p.before)
+	p.current = max(p.current, nodes)
+	return max(p.current, p.previous)
 }
--- a/internal/core/intake/rate.go
+++ b/internal/core/intake/rate.go
@@ -7,46 +7,46 @@
 	"strconv"
 )
 
-// mostPerSecond is the highest rate that is told apart: no endpoint gets that many requests,
-// so a higher one bounds nothing either.
-const mostPerSecond = 1e6
+// maxPerSecond is the highest distinct rate. No endpoint gets that many requests, so higher limits
+// have no effect.
+const maxPerSecond = 1e6
 
-// Rate is how many requests a second an endpoint takes from all nodes together. The zero
-// value is no bound.
+// Rate is a limit on the requests per second that an endpoint gets from all nodes together. The
+// zero value is no limit.
 type Rate struct {
 	perSecond float64
-	named     bool
+	bounded   bool
 }
 
-// ErrInvalidRate is the error of a number that is no rate.
+// ErrInvalidRate is the error of a number that is not a valid rate.
 var ErrInvalidRate = errors.New("a rate is a number of requests a second, 0 or above")
 
-// NewRate returns a rate, in requests a second. The error is ErrRate.
+// NewRate returns a rate in requests per second. The error wraps ErrInvalidRate.
 func NewRate(perSecond float64) (Rate, error) {
 	if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
 		return Rate{}, fmt.Errorf("%w: %v", ErrInvalidRate, perSecond)
 	}
-	// Adding zero makes zero of its negative.
-	return Rate{perSecond: min(perSecond, mostPerSecond) + 0, named: true}, nil
+	// Adding zero turns negative zero into zero.
+	return Rate{perSecond: min(perSecond, maxPerSecond) + 0, bounded: true}, nil
 }
 
-// Bounded reports whether there is a bound at all.
-func (r Rate) Bounded() bool { return r.named }
+// Bounded reports whether there is a limit.
+func (r Rate) Bounded() bool { return r.bounded }
 
-// PerSecond returns the bound in requests a second, or 0 when there is none.
+// PerSecond returns the limit in requests per second, or 0 if there is none.
 func (r Rate) PerSecond() float64 { return r.perSecond }
 
-// String returns the rate as in log lines.
+// String formats the rate for log lines.
 func (r Rate) String() string {
-	if !r.named {
+	if !r.bounded {
 		return "none"
 	}
 	return strconv.FormatFloat(r.perSecond, 'g', -1, 64) + "/s"
 }
 
-// Lower returns the lower one of two rates.
+// Lower returns the lower of two rates.
 func Lower(a, b Rate) Rate {
-	if !a.named || b.named && b.perSecond < a.perSecond {
+	if !a.bounded || b.bounded && b.perSecond < a.perSecond {
 		return b
 	}
 	return a
--- a/internal/core/intake/sends.go
+++ b/internal/core/intake/sends.go
@@ -3,69 +3,69 @@
 import "time"
 
 const (
-	// sendsSpan is how far back sends are counted. What was sent just before an endpoint
-	// named its rate counts too: it is still at work on that.
-	sendsSpan = 5 * time.Second
-	// slotTime is how finely they are counted.
-	slotTime  = 250 * time.Millisecond
-	sendSlots = int(sendsSpan / slotTime)
+	// historyWindow is how far back sends are counted. Requests sent just before an endpoint
+	// advertised a limit count too, since it is still processing them.
+	historyWindow = 5 * time.Second
+	// slotWidth is the resolution of the counts.
+	slotWidth = 250 * time.Millisecond
+	slotCount = int(historyWindow / slotWidth)
 )
 
-// Sends are the requests that one node has sent to one endpoint of late. The zero value is
-// none. It is not safe for concurrent use.
+// Sends records the requests that one node has recently sent to one endpoint. The zero value is
+// empty. It is not safe for concurrent use.
 type Sends struct {
 	last time.Time
-	// next is when the next one is due if they are evenly spaced.
+	// next is when the next request is due if requests are evenly spaced.
 	next time.Time
-	// counts are by the time of their sending, in slots; newest is the last slot that is
-	// counted, from the first send on.
+	// counts holds the number of sends per slot of slotWidth since first, the time of the first
+	// send. newest is the latest slot.
 	first  time.Time
 	newest int64
-	counts [sendSlots]uint16
+	counts [slotCount]uint16
 }
 
-// Add counts a request that goes out now, at a pace.
+// Add records a request that is sent now at the given pace.
 func (s *Sends) Add(now time.Time, p Pace) {
 	s.last = now
 	s.next = later(s.next, now)
 	if r, bounded := p.rate(now); bounded {
-		s.next = s.next.Add(gapOf(r))
+		s.next = s.next.Add(interval(r))
 	}
 	if s.first.IsZero() {
 		s.first = now
 	}
-	s.turn(now)
-	s.counts[s.newest%int64(sendSlots)]++
+	s.advance(now)
+	s.counts[s.newest%int64(slotCount)]++
 }
 
-// turn empties the slots that lie further back than sendsSpan.
-func (s *Sends) turn(now time.Time) {
-	slot := max(int64(now.Sub(s.first)/slotTime), s.newest)
-	for k := s.newest + 1; k <= slot && k <= s.newest+int64(sendSlots); k++ {
-		s.counts[k%int64(sendSlots)] = 0
+// advance clears the slots that are older than historyWindow.
+func (s *Sends) advance(now time.Time) {
+	slot := max(int64(now.Sub(s.first)/slotWidth), s.newest)
+	for k := s.newest + 1; k <= slot && k <= s.newest+int64(slotCount); k++ {
+		s.counts[k%int64(slotCount)] = 0
 	}
 	s.newest = slot
 }
 
-// below is when fewer than a number of requests lie within sendsSpan.
-func (s *Sends) below(now time.Time, most int) time.Time {
+// nextBelow returns the first time at which fewer than limit requests lie within historyWindow.
+func (s *Sends) nextBelow(now time.Time, limit int) time.Time {
 	if s.first.IsZero() {
 		return now
 	}
-	s.turn(now)
+	s.advance(now)
 	sum := 0
-	for k := s.newest; k > s.newest-int64(sendSlots) && k >= 0; k-- {
-		sum += int(s.counts[k%int64(sendSlots)])
-		if sum >= most {
-			return s.first.Add(time.Duration(k+int64(sendSlots)) * slotTime)
+	for k := s.newest; k > s.newest-int64(slotCount) && k >= 0; k-- {
+		sum += int(s.counts[k%int64(slotCount)])
+		if sum >= limit {
+			return s.first.Add(time.Duration(k+int64(slotCount)) * slotWidth)
 		}
 	}
 	return now
 }
 
-// spaced is when the next request may go out that keeps a gap to those before, of which some
-// may go at once.
-func (s *Sends) spaced(gap time.Duration, burst float64) time.Time {
+// nextSpaced returns when the next request may be sent so that requests keep a gap on average, with
+// bursts of the given size.
+func (s *Sends) nextSpaced(gap time.Duration, burst float64) time.Time {
 	early := s.next.Add(-time.Duration((burst - 1) * float64(gap)))
 	if alone := s.last.Add(gap); alone.Before(early) {
 		// The rate has risen since.
