--- a/internal/core/intake/limitworld_test.go
+++ b/internal/core/intake/limitworld_test.go
@@ -374,8 +374,8 @@
 // got most of an even share of the traffic in one second.
 func (w *limitWorld) slowestRecovery() time.Duration {
 	const most = 0.8
-	words := w.script.limitChanges
-	ended := w.start.Add(words[len(words)-1].at)
+	changes := w.script.limitChanges
+	ended := w.start.Add(changes[len(changes)-1].at)
 	share := int(most * w.script.traffic / float64(w.script.endpoints))
 	slowest := time.Duration(0)
 	for _, list := range w.arrivals {
--- a/internal/core/signal/backoff_test.go
+++ b/internal/core/signal/backoff_test.go
@@ -11,8 +11,8 @@
 	"gradetiller.example/internal/core/signal"
 )
 
-// TestBackoffEnds guards against a backoff that ends before its time, or long after it.
-func TestBackoffEnds(t *testing.T) {
+// TestBackoffDuration guards against a backoff that ends early, or long after the requested end.
+func TestBackoffDuration(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		r := signal.NewRegistry(rapid.Uint64().Draw(rt, "seed"))
 		now := time.Unix(1000, 0)
@@ -34,7 +34,7 @@
 			}
 			err := r.Check(now, "e")
 			if now.Before(asked) && !errors.Is(err, signal.ErrBackoff) {
-				rt.Fatalf("%v before the end that was asked for: %v", asked.Sub(now), err)
+				rt.Fatalf("%v before the requested end: %v", asked.Sub(now), err)
 			}
 			if !now.Before(latest) && err != nil {
 				rt.Fatalf("%v after the latest end: %v", now.Sub(latest), err)
@@ -46,8 +46,8 @@
 	})
 }
 
-// TestBackoffsAreSpread guards against nodes that come back at once to an endpoint that rejected
-// all of them at once.
+// TestBackoffsAreSpread guards against nodes that were rejected at the same time and all come back
+// at the same time.
 func TestBackoffsAreSpread(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first, last := time.Time{}, time.Time{}
@@ -61,11 +61,12 @@
 		}
 	}
 	if spread := last.Sub(first); spread < 800*time.Millisecond || first.Sub(now) < 4*time.Second || last.Sub(now) > 5*time.Second {
-		t.Errorf("the nodes come back between %v and %v", first.Sub(now), last.Sub(now))
+		t.Errorf("nodes come back between %v and %v, want a spread of 0.8 to 1 s from 4 s on", first.Sub(now), last.Sub(now))
 	}
 }
 
-// TestBackoffsAreBounded guards against a set that grows with the endpoints of all time.
+// TestBackoffsAreBounded guards against a set that grows with every endpoint that ever asked for a
+// backoff.
 func TestBackoffsAreBounded(t *testing.T) {
 	b := signal.NewBackoffs(1)
 	now := time.Unix(1000, 0)
@@ -78,6 +79,6 @@
 	}
 	b.Expire(now.Add(2 * time.Minute))
 	if kept := len(b.Active(now)); kept != 0 {
-		t.Errorf("%d backoffs that are over are kept", kept)
+		t.Errorf("%d backoffs that have ended are kept", kept)
 	}
 }
--- a/internal/core/signal/gate.go
+++ b/internal/core/signal/check.go
@@ -8,22 +8,21 @@
 
 // The causes of a BlockedError.
 var (
-	// ErrDraining is that of an endpoint that announced draining.
+	// ErrDraining is the cause if the endpoint announced draining.
 	ErrDraining = errors.New("it drains")
-	// ErrBackoff is that of an endpoint in backoff.
+	// ErrBackoff is the cause if the endpoint is in backoff.
 	ErrBackoff = errors.New("it is in backoff")
 )
 
-// BlockedError is the error of a request that is not sent, since the signals of its endpoint
-// forbid it.
+// BlockedError reports that a request must not be sent because of a signal from its endpoint.
 type BlockedError struct {
 	Endpoint string
-	// Until is the end of the endpoint's backoff, or the zero time if it drains.
+	// Until is the end of the endpoint's backoff, or the zero time if the endpoint is draining.
 	Until time.Time
 	cause error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *BlockedError) Error() string {
 	return fmt.Sprintf("endpoint %s takes nothing: %v", e.Endpoint, e.cause)
 }
@@ -31,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *BlockedError) Unwrap() error { return e.cause }
 
-// Check returns a *BlockedError if nothing may be sent to an endpoint now.
+// Check returns a *BlockedError if no request may be sent to an endpoint now.
 func (r *Registry) Check(now time.Time, endpoint string) error {
 	if r.draining.Has(endpoint) {
 		return &BlockedError{Endpoint: endpoint, cause: ErrDraining}
--- a/internal/core/signal/doc.go
+++ b/internal/core/signal/doc.go
@@ -1,20 +1,21 @@
-// Package signal keeps what endpoints announce about themselves in their answers, by incarnation.
+// Package signal keeps the signals that endpoints send in their answers, by incarnation of the
+// endpoint.
 //
-// An answer may carry several signals beside its content (Signals). A rate limit bounds the
-// requests of all nodes together, so nodes exchange it (Limits); package intake divides it.
-// Draining concerns all nodes too and lasts until the end of the incarnation (Draining). A backoff
-// is between one node and one endpoint and is not exchanged (Backoffs). The Registry holds all of
-// them, and its Check is asked before anything is sent to an endpoint.
+// An answer may carry several signals besides its content (Signals). A rate limit applies to the
+// requests of all nodes together, so nodes exchange it (Limits), and package intake divides it
+// among them. Draining also concerns all nodes and lasts until the end of the incarnation
+// (Draining). A backoff is between one node and one endpoint and is not exchanged (Backoffs). The
+// Registry holds all of them; its Check must be called before anything is sent to an endpoint.
 //
 // # Usage
 //
 //	registry := signal.NewRegistry(seed)
 //	if err := registry.Check(now, endpoint); err != nil {
-//		// a *BlockedError: send it elsewhere
+//		// a *BlockedError: choose another endpoint
 //	}
 //	changes := registry.Observe(now, endpoint, signals)
 //
-//	// once a heartbeat
+//	// with each heartbeat
 //	limits := registry.Limits().Updates(now, peer, n)
 //	draining := registry.Draining().Updates(now, peer, n)
 //	added := registry.Draining().Merge(now, received)
--- a/internal/core/signal/draining.go
+++ b/internal/core/signal/draining.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// drainingLife is how long an endpoint is kept after it was last listed or observed. It
-	// outlives any list that a store may bring back.
+	// drainingLife is how long an endpoint is kept after it was last listed or observed. It is
+	// longer than the age of any endpoint list that a store may restore.
 	drainingLife = 5 * time.Minute
-	// maxDraining bounds the set; beyond it the endpoint that was not seen for longest is dropped.
+	// maxDraining limits the size of the set. When it is full, the endpoint that was last seen the
+	// longest ago is evicted.
 	maxDraining = 16384
 )
 
-// Draining is the set of endpoints that announced in an answer that they drain. An endpoint stays
-// in it until its end: its id names one incarnation, so one that restarts is not in the set. It is
-// not safe for concurrent use.
+// Draining is the set of endpoints that announced in an answer that they are draining. An endpoint
+// remains in the set until it terminates. Its ID identifies one incarnation, so an endpoint that
+// restarts is not in the set. Draining is not safe for concurrent use.
 type Draining struct {
 	seen map[string]time.Time
 	log  *spread.Log[string]
 }
 
-// DrainingUpdate is a member of the set as nodes exchange it.
+// DrainingUpdate is an element of the set as exchanged between nodes.
 type DrainingUpdate struct {
 	Endpoint string
-	// Age is the time since it was last listed or observed.
+	// Age is the time since the endpoint was last listed or observed.
 	Age time.Duration
 }
 
@@ -45,7 +46,7 @@
 	return ok
 }
 
-// Observe adds an endpoint that announces draining, and reports whether it is new.
+// Observe adds an endpoint that announces draining, and reports whether it was not in the set.
 func (d *Draining) Observe(now time.Time, endpoint string) bool { return d.add(endpoint, now) }
 
 func (d *Draining) add(endpoint string, at time.Time) bool {
@@ -77,7 +78,7 @@
 	d.log.Drop(endpoint)
 }
 
-// Merge applies the updates of a peer, and returns the endpoints that are new.
+// Merge applies updates from a peer and returns the endpoints that were added.
 func (d *Draining) Merge(now time.Time, updates []DrainingUpdate) []string {
 	var added []string
 	for _, u := range updates {
@@ -88,7 +89,7 @@
 	return added
 }
 
-// Expire drops the endpoints that were neither listed nor observed for drainingLife.
+// Expire removes the endpoints that were neither listed nor observed for drainingLife.
 func (d *Draining) Expire(now time.Time, listed func(endpoint string) bool) {
 	for endpoint, at := range d.seen {
 		switch {
@@ -109,7 +110,7 @@
 	return sum
 }
 
-// Updates returns at most n endpoints that a peer was not sent yet, and counts them as sent.
+// Updates returns at most n endpoints that have not been sent to a peer, and marks them as sent.
 func (d *Draining) Updates(now time.Time, to string, n int) []DrainingUpdate {
 	endpoints := d.log.News(to, n)
 	slices.Sort(endpoints)
@@ -120,10 +121,11 @@
 	return updates
 }
 
-// Differs compares the checksum of a peer, and reports whether there are updates for it.
+// Differs compares the checksum of a peer with that of this set, and reports whether there are
+// updates for the peer.
 func (d *Draining) Differs(now time.Time, from string, sum uint64) bool {
 	return sum != d.Sum() && d.log.Differs(now, from)
 }
 
-// ForgetPeers drops the state kept for peers that are gone.
+// ForgetPeers removes the state kept for peers that have gone.
 func (d *Draining) ForgetPeers(gone func(peer string) bool) { d.log.Forget(gone) }
--- a/internal/core/signal/draining_test.go
+++ b/internal/core/signal/draining_test.go
@@ -13,8 +13,8 @@
 
 func listedNone(string) bool { return false }
 
-// TestDrainingLastsForTheIncarnation guards against an endpoint that comes back into use before
-// its end, and against one that stays out of use after it restarted.
+// TestDrainingLastsForTheIncarnation guards against an endpoint that is used again before it
+// terminates, and against one that remains excluded after it restarted.
 func TestDrainingLastsForTheIncarnation(t *testing.T) {
 	r := signal.NewRegistry(1)
 	now := time.Unix(1000, 0)
@@ -22,12 +22,12 @@
 		t.Error("the first announcement changed nothing")
 	}
 	if c := r.Observe(now, "e.1", signal.Signals{Draining: true}); c.Draining {
-		t.Error("the second announcement is taken for new")
+		t.Error("the second announcement counts as a change")
 	}
 	r.Observe(now.Add(time.Second), "e.1", signal.Signals{})
 	var blocked *signal.BlockedError
 	if err := r.Check(now, "e.1"); !errors.As(err, &blocked) || !errors.Is(err, signal.ErrDraining) {
-		t.Errorf("check of an endpoint that drains: %v", err)
+		t.Errorf("check of a draining endpoint: %v", err)
 	}
 	if err := r.Check(now, "e.2"); err != nil {
 		t.Errorf("check of its next incarnation: %v", err)
@@ -41,15 +41,15 @@
 	}
 	r.Draining().Expire(now.Add(4*time.Minute), listedNone)
 	if r.Check(now, "e.1") == nil {
-		t.Error("an endpoint that was listed lately was dropped: an older list may bring it back")
+		t.Error("a recently listed endpoint was dropped: an older list may restore it")
 	}
 	r.Draining().Expire(now.Add(6*time.Minute), listedNone)
 	if r.Draining().Len() != 0 {
-		t.Error("an endpoint that is gone is kept")
+		t.Error("an endpoint that has gone is kept")
 	}
 }
 
-// TestDrainingIsBounded guards against a set that grows with the endpoints that ever drained.
+// TestDrainingIsBounded guards against a set that grows with every endpoint that ever drained.
 func TestDrainingIsBounded(t *testing.T) {
 	d := signal.NewDraining()
 	start := time.Unix(1000, 0)
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestDrainingConverges has nodes observe endpoints that drain and exchange updates: in the end all
-// hold the same set, and an endpoint that is gone isn't passed round for ever.
+// TestDrainingConverges guards against nodes that hold different sets after exchanging updates, and
+// against endpoints that have gone but are exchanged forever.
 func TestDrainingConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c"}
@@ -107,13 +107,13 @@
 		settle(12, 2500*time.Millisecond)
 		for _, n := range names[1:] {
 			if nodes[n].Sum() != nodes["a"].Sum() {
-				rt.Errorf("node %s knows another set than a", n)
+				rt.Errorf("node %s and node a hold different sets", n)
 			}
 		}
 		settle(200, 2500*time.Millisecond)
 		for _, n := range names {
 			if nodes[n].Len() != 0 {
-				rt.Errorf("node %s still knows %d endpoints that are gone", n, nodes[n].Len())
+				rt.Errorf("node %s still holds %d endpoints that have gone", n, nodes[n].Len())
 			}
 		}
 	})
--- a/internal/core/signal/limits.go
+++ b/internal/core/signal/limits.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// limitLife is how long a limit holds that no answer repeats.
+	// limitLife is how long a limit remains in force if no answer repeats it.
 	limitLife = time.Minute
-	// refreshInterval is how often peers learn that answers still repeat a limit. It is well
+	// refreshInterval is how often peers are told that answers still carry a limit. It is well
 	// below limitLife.
 	refreshInterval = 15 * time.Second
-	// gossipTolerance is the difference of age within which two updates count as concurrent.
+	// gossipTolerance is the difference in age below which two updates are treated as concurrent.
 	gossipTolerance = 30 * time.Millisecond
-	// maxEndpoints bounds the endpoints whose signals are kept; those of further ones are ignored.
+	// maxEndpoints limits the endpoints whose signals are kept; signals of further endpoints are
+	// ignored.
 	maxEndpoints = 4096
 )
 
 // Limits holds the rate limits that endpoints advertise, as observed by this node or a peer. The
-// newest one holds. It is not safe for concurrent use.
+// newest limit of an endpoint is in force. Limits is not safe for concurrent use.
 type Limits struct {
 	byEndpoint map[string]*limit
 	log        *spread.Log[string]
@@ -32,22 +33,23 @@
 // limit is the rate limit of one endpoint.
 type limit struct {
 	rate intake.Rate
-	// at is when it was last observed, sharedAt the last observation that peers know of.
+	// at is when the limit was last observed, and sharedAt the latest observation sent to peers.
 	at, sharedAt time.Time
-	// since is when it came into force, and from the rate until then if that was lower.
-	since time.Time
-	from  float64
+	// since is when the limit came into force. rampFrom is the rate allowed until then if it was
+	// lower, otherwise 0.
+	since    time.Time
+	rampFrom float64
 }
 
-// LimitUpdate is a rate limit as nodes exchange it.
+// LimitUpdate is a rate limit as exchanged between nodes.
 type LimitUpdate struct {
 	Endpoint string
 	Rate     intake.Rate
-	// Age is the time since it was last observed.
+	// Age is the time since the limit was last observed.
 	Age time.Duration
 }
 
-// LimitChange is a rate limit that was replaced by another.
+// LimitChange describes a rate limit that was replaced by another.
 type LimitChange struct {
 	Endpoint      string
 	Before, After intake.Rate
@@ -69,10 +71,10 @@
 	return n
 }
 
-// Empty reports whether no endpoint has, or lately had, a rate limit.
+// Empty reports whether no endpoint has a rate limit, or had one recently.
 func (l *Limits) Empty() bool { return len(l.byEndpoint) == 0 }
 
-// Bound returns the bound that an endpoint's rate limit sets.
+// Bound returns the bound set by an endpoint's rate limit.
 func (l *Limits) Bound(endpoint string) intake.Bound {
 	e, ok := l.byEndpoint[endpoint]
 	if !ok {
@@ -81,9 +83,9 @@
 	return e.bound()
 }
 
-func (e *limit) bound() intake.Bound { return intake.NewBound(e.rate, e.from, e.since) }
+func (e *limit) bound() intake.Bound { return intake.NewBound(e.rate, e.rampFrom, e.since) }
 
-// Observe records the rate limit that an answer advertises, and reports whether it changed.
+// Observe records the rate limit in an answer, and reports whether it changed.
 func (l *Limits) Observe(now time.Time, endpoint string, rate intake.Rate) (LimitChange, bool) {
 	e, known := l.byEndpoint[endpoint]
 	if !known && !rate.Bounded() {
@@ -96,7 +98,7 @@
 	return l.replace(now, endpoint, limit{rate: rate, at: now})
 }
 
-// refresh records that a limit was observed again.
+// refresh records that an existing limit was observed again.
 func (l *Limits) refresh(endpoint string, e *limit, at time.Time) {
 	if !at.After(e.at) {
 		return
@@ -118,7 +120,7 @@
 	if known {
 		change.Before = old.rate
 		if sent := old.bound().At(now); sent.Bounded() && intake.Lower(sent, next.rate) == sent {
-			next.from = sent.PerSecond()
+			next.rampFrom = sent.PerSecond()
 		}
 	}
 	l.byEndpoint[endpoint] = &next
@@ -126,7 +128,7 @@
 	return change, change.Before != change.After
 }
 
-// Merge applies the updates of a peer, and returns what they changed.
+// Merge applies updates from a peer and returns the resulting changes.
 func (l *Limits) Merge(now time.Time, updates []LimitUpdate) []LimitChange {
 	var changes []LimitChange
 	for _, u := range updates {
@@ -149,8 +151,8 @@
 	return changes
 }
 
-// newer reports whether a limit observed at a moment replaces another. Of two concurrent ones
-// the lower holds, on all nodes.
+// newer reports whether a limit observed at the given time replaces e. Of two concurrent limits the
+// lower one wins, so that all nodes agree.
 func newer(at time.Time, rate intake.Rate, e *limit) bool {
 	if apart := at.Sub(e.at); apart > gossipTolerance || apart < -gossipTolerance {
 		return apart > 0
@@ -158,8 +160,8 @@
 	return intake.Lower(rate, e.rate) == rate
 }
 
-// Expire ends the limits that no answer has repeated for limitLife, drops those that have ended
-// for as long, and returns what changed.
+// Expire ends the limits that no answer has repeated for limitLife, removes those that ended as
+// long ago, and returns the changes.
 func (l *Limits) Expire(now time.Time) []LimitChange {
 	var changes []LimitChange
 	for endpoint, e := range l.byEndpoint {
@@ -187,7 +189,7 @@
 	return sum
 }
 
-// Updates returns at most n limits that a peer was not sent yet, and counts them as sent.
+// Updates returns at most n limits that have not been sent to a peer, and marks them as sent.
 func (l *Limits) Updates(now time.Time, to string, n int) []LimitUpdate {
 	endpoints := l.log.News(to, n)
 	slices.Sort(endpoints)
@@ -199,10 +201,11 @@
 	return updates
 }
 
-// Differs compares the checksum of a peer, and reports whether there are updates for it.
+// Differs compares the checksum of a peer with that of this set, and reports whether there are
+// updates for the peer.
 func (l *Limits) Differs(now time.Time, from string, sum uint64) bool {
 	return sum != l.Sum() && l.log.Differs(now, from)
 }
 
-// ForgetPeers drops the state kept for peers that are gone.
+// ForgetPeers removes the state kept for peers that have gone.
 func (l *Limits) ForgetPeers(gone func(peer string) bool) { l.log.Forget(gone) }
--- a/internal/core/signal/limits_test.go
+++ b/internal/core/signal/limits_test.go
@@ -11,7 +11,7 @@
 	"gradetiller.example/internal/core/signal"
 )
 
-func rateIn(t interface{ Fatal(...any) }, n float64) intake.Rate {
+func mustRate(t interface{ Fatal(...any) }, n float64) intake.Rate {
 	r, err := intake.NewRate(n)
 	if err != nil {
 		t.Fatal(err)
@@ -19,46 +19,46 @@
 	return r
 }
 
-// TestLimits follows the limits of one endpoint, observed by this node and by peers.
+// TestLimits checks the rate that one endpoint gets while limits are observed by this node and by
+// peers.
 func TestLimits(t *testing.T) {
 	w := signal.NewLimits()
 	start := time.Unix(1000, 0)
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
-	takes := func(now time.Time, want string) {
+	expect := func(now time.Time, want string) {
 		t.Helper()
 		if got := w.Bound("e").At(now).String(); got != want {
-			t.Errorf("after %v: takes %s, want %s", now.Sub(start), got, want)
+			t.Errorf("after %v: bound is %s, want %s", now.Sub(start), got, want)
 		}
 	}
 	w.Observe(at(0), "e", intake.Rate{})
-	takes(at(0), "none")
-	w.Observe(at(1), "e", rateIn(t, 2))
-	takes(at(1), "2/s")
-	w.Merge(at(2), []signal.LimitUpdate{{Endpoint: "e", Rate: rateIn(t, 9), Age: 1500 * time.Millisecond}})
-	takes(at(2), "2/s") // it was heard before
-	w.Merge(at(3), []signal.LimitUpdate{{Endpoint: "e", Rate: rateIn(t, 0), Age: 100 * time.Millisecond}})
-	takes(at(3), "0.2/s") // its end can only be heard from an answer
+	expect(at(0), "none")
+	w.Observe(at(1), "e", mustRate(t, 2))
+	expect(at(1), "2/s")
+	w.Merge(at(2), []signal.LimitUpdate{{Endpoint: "e", Rate: mustRate(t, 9), Age: 1500 * time.Millisecond}})
+	expect(at(2), "2/s") // observed before the current limit
+	w.Merge(at(3), []signal.LimitUpdate{{Endpoint: "e", Rate: mustRate(t, 0), Age: 100 * time.Millisecond}})
+	expect(at(3), "0.2/s") // probes, since only an answer can end the limit
 	w.Observe(at(4), "e", intake.Rate{})
-	takes(at(5), "0.2/s") // held
-	takes(at(6.1), "1/s")
-	takes(at(7.1), "4/s") // rising
-	takes(at(30), "none")
-	w.Observe(at(40), "e", rateIn(t, 5))
+	expect(at(5), "0.2/s") // before the ramp
+	expect(at(6.1), "1/s")
+	expect(at(7.1), "4/s") // on the ramp
+	expect(at(30), "none")
+	w.Observe(at(40), "e", mustRate(t, 5))
 	if changes := w.Expire(at(99)); len(changes) != 0 {
-		t.Errorf("ended before its time: %+v", changes)
+		t.Errorf("limit ended early: %+v", changes)
 	}
 	if changes := w.Expire(at(101)); len(changes) != 1 || changes[0].After.Bounded() {
 		t.Errorf("changes %+v, want the end of a limit that no answer repeated", changes)
 	}
-	takes(at(140), "none")
+	expect(at(140), "none")
 	w.Expire(at(200))
 	if !w.Empty() {
-		t.Error("an endpoint that named nothing for long is remembered")
+		t.Error("an endpoint whose limit ended long ago is kept")
 	}
 }
 
-// TestLimitsConverge has nodes observe limits at random and exchange updates: in the
-// end all hold the same limits, with the same checksum.
+// TestLimitsConverge guards against nodes that hold different limits after exchanging updates.
 func TestLimitsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := []string{"a", "b", "c"}
@@ -67,9 +67,9 @@
 			nodes[n] = signal.NewLimits()
 		}
 		now := time.Unix(1000, 0)
-		tell := func(from, to string) {
-			news := nodes[from].Updates(now, to, 2)
-			nodes[to].Merge(now, news)
+		exchange := func(from, to string) {
+			updates := nodes[from].Updates(now, to, 2)
+			nodes[to].Merge(now, updates)
 			nodes[to].Differs(now, from, nodes[from].Sum())
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
@@ -77,11 +77,11 @@
 			at := rapid.SampledFrom(names).Draw(rt, "node")
 			switch rapid.IntRange(0, 3).Draw(rt, "what") {
 			case 0:
-				tell(at, rapid.SampledFrom(names).Draw(rt, "to"))
+				exchange(at, rapid.SampledFrom(names).Draw(rt, "to"))
 			case 1:
 				nodes[at].Observe(now, rapid.SampledFrom([]string{"e", "f", "g"}).Draw(rt, "endpoint"), intake.Rate{})
 			default:
-				nodes[at].Observe(now, rapid.SampledFrom([]string{"e", "f", "g"}).Draw(rt, "endpoint"), rateIn(rt, float64(rapid.IntRange(0, 3).Draw(rt, "rate"))))
+				nodes[at].Observe(now, rapid.SampledFrom([]string{"e", "f", "g"}).Draw(rt, "endpoint"), mustRate(rt, float64(rapid.IntRange(0, 3).Draw(rt, "rate"))))
 			}
 		}
 		for range 12 {
@@ -89,37 +89,37 @@
 			for _, from := range names {
 				for _, to := range names {
 					if from != to {
-						tell(from, to)
+						exchange(from, to)
 					}
 				}
 			}
 		}
 		for _, n := range names[1:] {
 			if nodes[n].Sum() != nodes["a"].Sum() {
-				rt.Errorf("node %s knows other limits than a", n)
+				rt.Errorf("node %s and node a hold different limits", n)
 			}
 		}
 	})
 }
 
-// TestPaceOfAnyClock sends at each moment at which a part allows it, by a clock that jumps: it
-// never comes to more than one and a half times the rate and 5 more in 4 s.
-func TestPaceOfAnyClock(t *testing.T) {
+// TestPaceToleratesClockJumps guards against exceeding a rate limit when the clock of a node jumps:
+// in any 4 s, at most one and a half times the rate and 5 more requests may be sent.
+func TestPaceToleratesClockJumps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		named := rapid.Float64Range(0.1, 30).Draw(rt, "rate")
 		nodes := rapid.SampledFrom([]int{1, 2, 7, 59}).Draw(rt, "nodes")
 		limits := signal.NewLimits()
 		start := time.Unix(1000, 0)
-		limits.Observe(start, "e", rateIn(rt, named))
+		limits.Observe(start, "e", mustRate(rt, named))
 		sends := make([]intake.Sends, nodes)
 		var sent []time.Time
 		jump := time.Duration(rapid.IntRange(-5000, 5000).Draw(rt, "jump")) * time.Millisecond
-		struck := rapid.IntRange(0, nodes-1).Draw(rt, "struck")
+		jumping := rapid.IntRange(0, nodes-1).Draw(rt, "struck")
 		for step := range 1500 {
 			now := start.Add(time.Duration(step) * 20 * time.Millisecond)
 			for k := range sends {
 				clock := now
-				if k == struck && step > 500 && step < 1000 {
+				if k == jumping && step > 500 && step < 1000 {
 					clock = now.Add(jump)
 				}
 				pace := intake.NewPace(limits.Bound("e"), intake.NodeShare(intake.ByNodes, k, nodes, "e"))
@@ -130,7 +130,7 @@
 			}
 		}
 		if got := intaketest.MaxInSpan(sent, start); got > intaketest.Allowed(named) {
-			rt.Fatalf("%d in %v of %v a second", got, intaketest.Span, named)
+			rt.Fatalf("%d requests in %v at a limit of %v per second", got, intaketest.Span, named)
 		}
 	})
 }
--- a/internal/core/signal/registry.go
+++ b/internal/core/signal/registry.go
@@ -7,29 +7,28 @@
 	"gradetiller.example/internal/core/intake"
 )
 
-// Registry holds the signals of all endpoints as one node knows them. It is not safe for
-// concurrent use.
+// Registry holds the signals of all endpoints known to one node. It is not safe for concurrent use.
 type Registry struct {
 	limits   *Limits
 	draining *Draining
 	backoffs *Backoffs
-	// coldUntil are the ends of the cold times that answers announced.
+	// coldUntil holds the ends of announced cold periods.
 	coldUntil map[string]time.Time
 }
 
-// Changes are what an observation changed.
+// Changes describes the effects of an observation.
 type Changes struct {
-	// Limit is the new rate limit, or nil.
+	// Limit is the change of the rate limit, or nil.
 	Limit *LimitChange
-	// Draining is true when the endpoint is newly draining.
+	// Draining is true if the endpoint was not known to be draining.
 	Draining bool
-	// Cold is true when the endpoint is newly cold, or for longer.
+	// Cold is true if a cold period started or was extended.
 	Cold bool
-	// BackoffUntil is the end of the backoff that was asked for, or the zero time.
+	// BackoffUntil is the end of the requested backoff, or the zero time.
 	BackoffUntil time.Time
 }
 
-// NewRegistry returns an empty registry. The seed differs between nodes.
+// NewRegistry returns an empty registry. The seed must differ between nodes.
 func NewRegistry(seed uint64) *Registry {
 	return &Registry{limits: NewLimits(), draining: NewDraining(), backoffs: NewBackoffs(seed), coldUntil: make(map[string]time.Time)}
 }
@@ -40,13 +39,13 @@
 // Draining returns the endpoints that announced draining.
 func (r *Registry) Draining() *Draining { return r.draining }
 
-// Backoffs returns the backoffs that this node was asked for.
+// Backoffs returns the backoffs that endpoints requested of this node.
 func (r *Registry) Backoffs() *Backoffs { return r.backoffs }
 
-// Bound returns the bound that an endpoint's rate limit sets.
+// Bound returns the bound set by an endpoint's rate limit.
 func (r *Registry) Bound(endpoint string) intake.Bound { return r.limits.Bound(endpoint) }
 
-// Observe records the signals of an endpoint's answer and returns what they change.
+// Observe records the signals in an answer and returns the resulting changes.
 func (r *Registry) Observe(now time.Time, endpoint string, s Signals) Changes {
 	var c Changes
 	if s.Limit.Known {
@@ -66,7 +65,7 @@
 	return c
 }
 
-// coldTolerance is how much later than known the end of a cold time must be to count as a change.
+// coldTolerance is the minimum extension of a cold period that counts as a change.
 const coldTolerance = 250 * time.Millisecond
 
 func (r *Registry) observeCold(now time.Time, endpoint string, until time.Time) bool {
@@ -82,22 +81,21 @@
 	return true
 }
 
-// ColdUntil returns the end of the cold time that an endpoint announced, or the zero time.
+// ColdUntil returns the end of an endpoint's announced cold period, or the zero time.
 func (r *Registry) ColdUntil(endpoint string) time.Time { return r.coldUntil[endpoint] }
 
-// Expire drops the backoffs and cold times that are over, ends rate limits that no answer repeats,
-// and returns what changed of these.
+// Expire removes the backoffs and cold periods that have ended, ends the rate limits that are no
+// longer repeated, and returns the changes of rate limits.
 func (r *Registry) Expire(now time.Time) []LimitChange {
 	r.backoffs.Expire(now)
 	maps.DeleteFunc(r.coldUntil, func(_ string, end time.Time) bool { return !now.Before(end) })
 	return r.limits.Expire(now)
 }
 
-// HasBounds reports whether a rate limit or a cold time bounds, or lately bounded, what any endpoint
-// takes.
+// HasBounds reports whether any endpoint has a rate limit, had one recently, or is cold.
 func (r *Registry) HasBounds() bool { return !r.limits.Empty() || len(r.coldUntil) > 0 }
 
-// ForgetPeers drops the state kept for peers that are gone.
+// ForgetPeers removes the state kept for peers that have gone.
 func (r *Registry) ForgetPeers(gone func(peer string) bool) {
 	r.limits.ForgetPeers(gone)
 	r.draining.ForgetPeers(gone)
--- a/internal/core/signal/registry_test.go
+++ b/internal/core/signal/registry_test.go
@@ -7,9 +7,8 @@
 	"gradetiller.example/internal/core/signal"
 )
 
-// TestColdTimesEnd guards against cold times that are announced in answers and not kept, or kept
-// for longer than announced.
-func TestColdTimesEnd(t *testing.T) {
+// TestColdTimeExpires guards against announced cold periods that are ignored, or kept for too long.
+func TestColdTimeExpires(t *testing.T) {
 	r := signal.NewRegistry(1)
 	now := time.Unix(1000, 0)
 	if !r.Observe(now, "e", signal.Signals{Cold: 2 * time.Second}).Cold {
@@ -25,6 +24,6 @@
 	now = now.Add(1500 * time.Millisecond)
 	r.Expire(now)
 	if !r.ColdUntil("e").IsZero() {
-		t.Error("a cold time that is over is kept")
+		t.Error("a cold period that has ended is kept")
 	}
 }
--- a/internal/core/signal/signals.go
+++ b/internal/core/signal/signals.go
@@ -6,35 +6,35 @@
 	"gradetiller.example/internal/core/intake"
 )
 
-// Signals is what one answer of an endpoint announces. The zero value announces nothing.
+// Signals holds the signals in one answer of an endpoint. The zero value is no signals.
 type Signals struct {
-	// Limit is the rate limit that the endpoint advertises.
+	// Limit is the advertised rate limit.
 	Limit RateLimit
-	// Draining tells that the endpoint takes no new requests until its end.
+	// Draining is true if the endpoint accepts no new requests until it terminates.
 	Draining bool
-	// Backoff is how long this node is to send nothing, or 0.
+	// Backoff is how long this node must not send requests, or 0.
 	Backoff time.Duration
-	// Cold is how much longer the endpoint is cold, or 0.
+	// Cold is the remaining time for which the endpoint is cold, or 0.
 	Cold time.Duration
-	// Load is the number of requests that the endpoint runs or queues.
+	// Load is the number of requests that the endpoint is running or has queued.
 	Load Load
-	// Invalid lists the signals that can't be parsed, Unknown the names of those that this
-	// version doesn't know.
+	// Invalid lists the signals that could not be parsed, and Unknown the names of those that this
+	// version does not support.
 	Invalid []error
 	Unknown []string
 }
 
-// RateLimit is the part of Signals that tells a rate limit.
+// RateLimit is the rate limit in an answer.
 type RateLimit struct {
-	// Rate is the limit; an unbounded one tells that there is none.
+	// Rate is the limit; an unbounded rate means that there is none.
 	Rate intake.Rate
-	// Known is false for answers that neither carry a limit nor rule one out.
+	// Known is false if the answer doesn't say whether there is a limit.
 	Known bool
 }
 
-// Load is the part of Signals that tells a load.
+// Load is the load reported in an answer.
 type Load struct {
 	Busy float64
-	// Known is false for answers that carry no load.
+	// Known is false if the answer doesn't report a load.
 	Known bool
 }
--- a/internal/core/signal/world_test.go
+++ b/internal/core/signal/world_test.go
@@ -17,41 +17,44 @@
 
 // The timing of the simulated nodes, as that of real ones.
 const (
-	tickTime   = 100 * time.Millisecond
-	beatTime   = time.Second
-	gossipTime = 300 * time.Millisecond
-	maxUpdates = 128
-	// lostTime is how long a leader that is lost is still asked.
-	lostTime = time.Second
-	// holdTime is how long a leader places nothing at an endpoint that rejected a request.
-	holdTime = 500 * time.Millisecond
-	tries    = 3
+	// The timing of the simulated nodes, which is that of real ones.
+	tickInterval      = 100 * time.Millisecond
+	heartbeatInterval = time.Second
+	updateDelay       = 300 * time.Millisecond
+	maxUpdates        = 128
+	// failoverDelay is how long a lost leader is still used.
+	failoverDelay = time.Second
+	// leaderBackoff is how long a leader avoids an endpoint that rejected a request.
+	leaderBackoff = 500 * time.Millisecond
+	maxAttempts   = 3
 )
 
-// The operators' rules, as signaltest has them for real nodes.
+// The requirements of the operators; package signaltest has the same ones for real nodes.
 const (
-	drainTime    = 2 * time.Second
-	graceTime    = 500 * time.Millisecond
-	maxInBackoff = 2
+	drainReactionTime   = 2 * time.Second
+	backoffReactionTime = 500 * time.Millisecond
+	maxInBackoff        = 2
 )
 
 // worldNode is a node of a world.
 type worldNode struct {
 	registry *signal.Registry
 	own      *place.Pool
-	// led is the pool by which it places for all, when it leads.
+	// led is the pool from which it places the requests of all nodes while it is the leader.
 	led *place.Pool
-	// away nodes are frozen, lost or not running; cut ones reach only nodes that are cut too.
-	away, cut bool
-	struck    []strike
+	// down is true while the node is frozen, lost or not running. cut nodes reach only other cut
+	// nodes.
+	down, cut bool
+	faults    []fault
 	pending   bool
 	sentAt    time.Time
-	// passedOn is when it first passed on that an endpoint drains, in its present life.
-	passedOn map[int]time.Time
+	// relayedAt is when the node, since its last start, first relayed an answer announcing that an
+	// endpoint is draining.
+	relayedAt map[int]time.Time
 }
 
-// strike is a span in which a node was in trouble.
-type strike struct {
+// fault is a period in which a node had a fault.
+type fault struct {
 	from, to time.Time
 	kind     string
 }
@@ -69,7 +72,7 @@
 	backoff time.Duration
 }
 
-// world is some nodes before one service whose endpoints announce signals.
+// world simulates nodes that use one service whose endpoints send signals.
 type world struct {
 	script     script
 	start      time.Time
@@ -81,11 +84,11 @@
 	arrivals   [][]arrival
 	rejections [][]rejection
 	counts     []int
-	found      []string
+	violations []string
 	served     int
-	// servedThen counts those that were served while endpoints rejected requests.
-	servedThen int
-	unserved   int
+	// servedDuringRejections counts the requests served while endpoints rejected some.
+	servedDuringRejections int
+	unserved               int
 }
 
 func newWorld(t *testing.T, s script, count int, seed uint64) *world {
@@ -95,7 +98,7 @@
 	}
 	for k := range count {
 		w.nodes = append(w.nodes, &worldNode{})
-		w.begin(t, k)
+		w.startNode(t, k)
 	}
 	return w
 }
@@ -115,30 +118,30 @@
 	return p
 }
 
-// begin has a node begin without any knowledge: the list still shows all endpoints as ready.
-func (w *world) begin(t *testing.T, k int) {
+// startNode starts a node without any state. Its endpoint list still shows all endpoints as ready.
+func (w *world) startNode(t *testing.T, k int) {
 	n := w.nodes[k]
-	*n = worldNode{registry: signal.NewRegistry(w.rand.Uint64()), own: w.pool(t, "predicted_finish"), led: w.pool(t, place.LeastWork), struck: n.struck, passedOn: make(map[int]time.Time)}
+	*n = worldNode{registry: signal.NewRegistry(w.rand.Uint64()), own: w.pool(t, "predicted_finish"), led: w.pool(t, place.LeastWork), faults: n.faults, relayedAt: make(map[int]time.Time)}
 }
 
-func (w *world) after(at time.Time, do func(time.Time)) { w.events.At(at, do) }
+func (w *world) at(at time.Time, do func(time.Time)) { w.events.At(at, do) }
 
 // play runs the script.
 func (w *world) play(t *testing.T) {
 	for k := range w.nodes {
-		w.after(w.start.Add(time.Duration(w.rand.Int64N(int64(tickTime)))), func(now time.Time) { w.tick(now, k, now) })
+		w.at(w.start.Add(time.Duration(w.rand.Int64N(int64(tickInterval)))), func(now time.Time) { w.tick(now, k, now) })
 	}
-	for _, s := range w.script.strikes {
-		w.after(w.start.Add(s.at), func(now time.Time) { w.strike(t, now, s) })
+	for _, s := range w.script.faults {
+		w.at(w.start.Add(s.at), func(now time.Time) { w.injectFault(t, now, s) })
 	}
-	w.after(w.start, w.request)
+	w.at(w.start, w.request)
 	end := w.start.Add(w.script.lasts)
 	w.events.Run(end)
 }
 
-func (w *world) strike(t *testing.T, now time.Time, s step) {
+func (w *world) injectFault(t *testing.T, now time.Time, s step) {
 	if s.kind == "leader-lost" {
-		w.nodes[w.leader].away = true
+		w.nodes[w.leader].down = true
 		w.leader++
 		w.leaderLost = now
 		return
@@ -147,30 +150,30 @@
 		if w.rand.Float64() >= s.part {
 			continue
 		}
-		n.struck = append(n.struck, strike{from: now, to: now.Add(s.lasts), kind: s.kind})
+		n.faults = append(n.faults, fault{from: now, to: now.Add(s.lasts), kind: s.kind})
 		if s.kind == "cut" {
 			n.cut = true
-			w.after(now.Add(s.lasts), func(time.Time) { n.cut = false })
+			w.at(now.Add(s.lasts), func(time.Time) { n.cut = false })
 			continue
 		}
-		n.away = true
-		w.after(now.Add(s.lasts), func(time.Time) {
+		n.down = true
+		w.at(now.Add(s.lasts), func(time.Time) {
 			if s.kind == "restart" {
-				w.begin(t, k)
+				w.startNode(t, k)
 			}
-			n.away = false
+			n.down = false
 		})
 	}
 }
 
-// tick expires what a node knows and has it send updates to its neighbors.
-func (w *world) tick(now time.Time, k int, beaten time.Time) {
+// tick expires a node's signals and sends updates to its neighbors when due.
+func (w *world) tick(now time.Time, k int, lastHeartbeat time.Time) {
 	n := w.nodes[k]
-	if !n.away {
+	if !n.down {
 		n.registry.Expire(now)
 		n.registry.Draining().Expire(now, func(string) bool { return true })
-		if n.pending && now.Sub(n.sentAt) >= gossipTime || now.Sub(beaten) >= beatTime {
-			n.pending, n.sentAt, beaten = false, now, now
+		if n.pending && now.Sub(n.sentAt) >= updateDelay || now.Sub(lastHeartbeat) >= heartbeatInterval {
+			n.pending, n.sentAt, lastHeartbeat = false, now, now
 			for _, d := range []int{1, 2, 7, 17, 71} {
 				if size := len(w.nodes); d < size {
 					w.exchange(now, k, (k+d)%size)
@@ -179,27 +182,27 @@
 			}
 		}
 	}
-	w.after(now.Add(tickTime), func(now time.Time) { w.tick(now, k, beaten) })
+	w.at(now.Add(tickInterval), func(now time.Time) { w.tick(now, k, lastHeartbeat) })
 }
 
-// exchange has a node send another one its updates, and the other answer with those it lacks.
+// exchange sends a node's updates to another node, which answers with those that the sender lacks.
 func (w *world) exchange(now time.Time, from, to int) {
 	a := w.nodes[from]
 	updates, sum := a.registry.Draining().Updates(now, name(to), maxUpdates), a.registry.Draining().Sum()
-	w.after(now.Add(2*time.Millisecond), func(now time.Time) {
+	w.at(now.Add(2*time.Millisecond), func(now time.Time) {
 		b := w.nodes[to]
-		if b.away || a.away || a.cut != b.cut {
+		if b.down || a.down || a.cut != b.cut {
 			return
 		}
-		w.learn(b, b.registry.Draining().Merge(now, updates))
+		w.exclude(b, b.registry.Draining().Merge(now, updates))
 		if b.registry.Draining().Differs(now, name(from), sum) {
-			w.learn(a, a.registry.Draining().Merge(now, b.registry.Draining().Updates(now, name(from), maxUpdates)))
+			w.exclude(a, a.registry.Draining().Merge(now, b.registry.Draining().Updates(now, name(from), maxUpdates)))
 		}
 	})
 }
 
-// learn takes endpoints out of a node's use.
-func (w *world) learn(n *worldNode, endpoints []string) {
+// exclude removes endpoints from a node's pools.
+func (w *world) exclude(n *worldNode, endpoints []string) {
 	for _, e := range endpoints {
 		n.pending = true
 		for _, p := range []*place.Pool{n.own, n.led} {
@@ -210,19 +213,19 @@
 	}
 }
 
-// request has the next request come to a node.
+// request delivers the next request to a random node and schedules the one after it.
 func (w *world) request(now time.Time) {
-	if k := w.rand.IntN(len(w.nodes)); !w.nodes[k].away {
+	if k := w.rand.IntN(len(w.nodes)); !w.nodes[k].down {
 		w.send(now, k, now, nil)
 	}
-	w.after(now.Add(time.Duration(w.rand.ExpFloat64()/w.script.traffic*float64(time.Second))), w.request)
+	w.at(now.Add(time.Duration(w.rand.ExpFloat64()/w.script.traffic*float64(time.Second))), w.request)
 }
 
-// send has a node send a request that its client sent at a moment.
+// send sends a request, which the client sent at the given time, to an endpoint.
 func (w *world) send(now time.Time, k int, sent time.Time, tried []int) {
 	n := w.nodes[k]
 	i, led, ok := w.choose(now, n, tried)
-	if !ok || len(tried) >= tries {
+	if !ok || len(tried) >= maxAttempts {
 		w.unserved++
 		return
 	}
@@ -248,12 +251,12 @@
 	if w.rand.IntN(40) == 0 {
 		arrives = arrives.Add(200 * time.Millisecond)
 	}
-	w.after(arrives, func(now time.Time) { w.arrive(now, k, i, sent, tried, led != nil, finish) })
+	w.at(arrives, func(now time.Time) { w.arrive(now, k, i, sent, tried, led != nil, finish) })
 }
 
-// choose returns the endpoint of a request and, when its leader chose it, the leader's pool.
+// choose returns the endpoint for a request and, if the leader chose it, the leader's pool.
 func (w *world) choose(now time.Time, n *worldNode, tried []int) (int, *place.Pool, bool) {
-	if w.script.placedByLeader && now.Sub(w.leaderLost) > lostTime && len(tried) == 0 && !n.cut {
+	if w.script.placedByLeader && now.Sub(w.leaderLost) > failoverDelay && len(tried) == 0 && !n.cut {
 		var avoid []int
 		for _, b := range n.registry.Backoffs().Active(now) {
 			avoid = append(avoid, n.own.Find(b.Endpoint))
@@ -267,7 +270,7 @@
 	return i, nil, ok
 }
 
-// arrive has a request reach its endpoint, which rejects it at once or begins to answer.
+// arrive delivers a request to its endpoint, which rejects it at once or starts to answer.
 func (w *world) arrive(now time.Time, k, i int, sent time.Time, tried []int, led bool, finish func(time.Time, place.Result)) {
 	w.arrivals[i] = append(w.arrivals[i], arrival{node: k, sent: sent, at: now})
 	at := now.Sub(w.start)
@@ -276,13 +279,13 @@
 		if w.counts[i]++; w.counts[i]%r.every == 0 {
 			s.Backoff = r.backoff
 			w.rejections[i] = append(w.rejections[i], rejection{node: k, at: now, backoff: r.backoff})
-			w.after(now.Add(2*time.Millisecond), func(now time.Time) {
+			w.at(now.Add(2*time.Millisecond), func(now time.Time) {
 				w.observe(now, k, i, s)
 				finish(now, place.Result{Neutral: true})
 				if led {
-					w.nodes[w.leader].led.Backoff(i, now.Add(holdTime))
+					w.nodes[w.leader].led.Backoff(i, now.Add(leaderBackoff))
 				}
-				if !w.nodes[k].away {
+				if !w.nodes[k].down {
 					w.send(now, k, sent, append(tried, i))
 				}
 			})
@@ -291,34 +294,34 @@
 	}
 	w.served++
 	if _, ok := w.script.rejectsAt(0, at); ok {
-		w.servedThen++
+		w.servedDuringRejections++
 	}
 	took := time.Duration(50+w.rand.IntN(300)) * time.Millisecond
-	w.after(now.Add(took), func(now time.Time) { w.observe(now, k, i, s) })
-	w.after(now.Add(2*took), func(now time.Time) { finish(now, place.Result{OK: true, Took: 2 * took}) })
+	w.at(now.Add(took), func(now time.Time) { w.observe(now, k, i, s) })
+	w.at(now.Add(2*took), func(now time.Time) { finish(now, place.Result{OK: true, Took: 2 * took}) })
 }
 
-// observe has a node pass on an answer and record its signals.
+// observe has a node relay an answer and record its signals.
 func (w *world) observe(now time.Time, k, i int, s signal.Signals) {
 	n := w.nodes[k]
-	if n.away {
+	if n.down {
 		return
 	}
-	if _, ok := n.passedOn[i]; s.Draining && !ok {
-		n.passedOn[i] = now
+	if _, ok := n.relayedAt[i]; s.Draining && !ok {
+		n.relayedAt[i] = now
 	}
 	c := n.registry.Observe(now, name(i), s)
 	if c.Draining {
-		w.learn(n, []string{name(i)})
+		w.exclude(n, []string{name(i)})
 	}
 	if !c.BackoffUntil.IsZero() {
 		n.own.Backoff(i, c.BackoffUntil)
 	}
 }
 
-// excused reports whether a node was in trouble of some kinds between two moments.
-func (n *worldNode) excused(from, to time.Time, kinds ...string) bool {
-	for _, s := range n.struck {
+// wasFaulty reports whether a node had a fault of one of the given kinds between two times.
+func (n *worldNode) wasFaulty(from, to time.Time, kinds ...string) bool {
+	for _, s := range n.faults {
 		if s.from.Before(to) && s.to.After(from) && strings.Contains(strings.Join(kinds, " "), s.kind) {
 			return true
 		}
@@ -326,26 +329,26 @@
 	return false
 }
 
-// check holds what reached the endpoints against the rules and the script.
+// check compares what reached the endpoints with the operators' requirements and the script.
 func (w *world) check() error {
 	for i := range w.arrivals {
 		w.checkDraining(i)
 		w.checkBackoff(i)
 	}
-	if share := float64(w.served) / float64(w.served+w.unserved); share < w.script.served {
-		w.found = append(w.found, fmt.Sprintf("%.3f of the requests were served, %.3f must be", share, w.script.served))
+	if share := float64(w.served) / float64(w.served+w.unserved); share < w.script.minServed {
+		w.violations = append(w.violations, fmt.Sprintf("%.3f of the requests were served, want at least %.3f", share, w.script.minServed))
 	}
 	rejected := 0
 	for _, list := range w.rejections {
 		rejected += len(list)
 	}
-	if share := float64(rejected) / float64(max(w.servedThen, 1)); w.script.rejected > 0 && share > w.script.rejected {
-		w.found = append(w.found, fmt.Sprintf("%d requests were rejected, %.3f of those served meanwhile, %.3f may be", rejected, share, w.script.rejected))
+	if share := float64(rejected) / float64(max(w.servedDuringRejections, 1)); w.script.maxRejected > 0 && share > w.script.maxRejected {
+		w.violations = append(w.violations, fmt.Sprintf("%d requests were rejected, %.3f of those served meanwhile, want at most %.3f", rejected, share, w.script.maxRejected))
 	}
-	if len(w.found) == 0 {
+	if len(w.violations) == 0 {
 		return nil
 	}
-	return errors.New(strings.Join(w.found[:min(len(w.found), 5)], "\n"))
+	return errors.New(strings.Join(w.violations[:min(len(w.violations), 5)], "\n"))
 }
 
 func (w *world) checkDraining(i int) {
@@ -356,11 +359,11 @@
 			if i >= d.count || a.at.Before(announced) {
 				continue
 			}
-			if at, ok := n.passedOn[i]; ok && a.sent.Sub(at) > drainTime && !n.excused(at, a.at, "restart", "freeze") {
-				w.found = append(w.found, fmt.Sprintf("%v: endpoint %d got a request of node %d sent %v after it had passed on that it drains", a.at.Sub(w.start), i, a.node, a.sent.Sub(at)))
+			if at, ok := n.relayedAt[i]; ok && a.sent.Sub(at) > drainReactionTime && !n.wasFaulty(at, a.at, "restart", "freeze") {
+				w.violations = append(w.violations, fmt.Sprintf("%v: draining endpoint %d got a request from node %d, sent %v after the node had relayed the announcement", a.at.Sub(w.start), i, a.node, a.sent.Sub(at)))
 			}
-			if w.script.learned > 0 && a.sent.Sub(announced) > w.script.learned && !n.excused(announced, a.at, "cut", "restart", "freeze") {
-				w.found = append(w.found, fmt.Sprintf("%v: endpoint %d got a request of node %d, %v after it began to drain", a.at.Sub(w.start), i, a.node, a.sent.Sub(announced)))
+			if w.script.learnWithin > 0 && a.sent.Sub(announced) > w.script.learnWithin && !n.wasFaulty(announced, a.at, "cut", "restart", "freeze") {
+				w.violations = append(w.violations, fmt.Sprintf("%v: endpoint %d got a request from node %d, %v after it began to drain", a.at.Sub(w.start), i, a.node, a.sent.Sub(announced)))
 			}
 		}
 	}
@@ -370,21 +373,21 @@
 	for _, r := range w.rejections[i] {
 		count := 0
 		for _, a := range w.arrivals[i] {
-			if a.node == r.node && a.at.After(r.at.Add(graceTime)) && a.at.Before(r.at.Add(r.backoff)) {
+			if a.node == r.node && a.at.After(r.at.Add(backoffReactionTime)) && a.at.Before(r.at.Add(r.backoff)) {
 				count++
 			}
 		}
-		if count > maxInBackoff && !w.nodes[r.node].excused(r.at, r.at.Add(r.backoff), "restart", "freeze", "cut") {
-			w.found = append(w.found, fmt.Sprintf("%v: endpoint %d got %d requests of node %d in the backoff that it asked for", r.at.Sub(w.start), i, count, r.node))
+		if count > maxInBackoff && !w.nodes[r.node].wasFaulty(r.at, r.at.Add(r.backoff), "restart", "freeze", "cut") {
+			w.violations = append(w.violations, fmt.Sprintf("%v: endpoint %d got %d requests from node %d during the requested backoff", r.at.Sub(w.start), i, count, r.node))
 		}
 	}
-	if w.script.again > 0 && len(w.rejections[i]) > 0 {
-		w.checkReturn(i)
+	if w.script.reuseWithin > 0 && len(w.rejections[i]) > 0 {
+		w.checkRecovery(i)
 	}
 }
 
-// checkReturn checks how soon, and how gently, an endpoint is in use again after its last backoff.
-func (w *world) checkReturn(i int) {
+// checkRecovery checks how soon, and how evenly, an endpoint is used again after its last backoff.
+func (w *world) checkRecovery(i int) {
 	ends := time.Time{}
 	for _, r := range w.rejections[i] {
 		if end := r.at.Add(r.backoff); end.After(ends) {
@@ -394,22 +397,22 @@
 	even := w.script.traffic / float64(w.script.endpoints)
 	inSecond, inTenth := 0, 0
 	for _, a := range w.arrivals[i] {
-		if back := a.at.Sub(ends); back >= 0 && back <= w.script.again {
-			inTenth = max(inTenth, w.count(i, a.at, a.at.Add(tickTime)))
-			if back <= w.script.again-time.Second {
+		if back := a.at.Sub(ends); back >= 0 && back <= w.script.reuseWithin {
+			inTenth = max(inTenth, w.count(i, a.at, a.at.Add(tickInterval)))
+			if back <= w.script.reuseWithin-time.Second {
 				inSecond = max(inSecond, w.count(i, a.at, a.at.Add(time.Second)))
 			}
 		}
 	}
 	if float64(inSecond) < even/2 {
-		w.found = append(w.found, fmt.Sprintf("endpoint %d got at most %d requests in a second within %v of its backoff, an even share is %.1f", i, inSecond, w.script.again, even))
+		w.violations = append(w.violations, fmt.Sprintf("endpoint %d got at most %d requests in a second within %v of its backoff, an even share is %.1f", i, inSecond, w.script.reuseWithin, even))
 	}
-	if w.script.herd > 0 && float64(inTenth) > w.script.herd*even {
-		w.found = append(w.found, fmt.Sprintf("endpoint %d got %d requests in a tenth of a second after its backoff, an even share of a second is %.1f", i, inTenth, even))
+	if w.script.maxHerd > 0 && float64(inTenth) > w.script.maxHerd*even {
+		w.violations = append(w.violations, fmt.Sprintf("endpoint %d got %d requests in a tenth of a second after its backoff, an even share of a second is %.1f", i, inTenth, even))
 	}
 }
 
-// count returns how many requests reached an endpoint from one moment to another.
+// count returns how many requests reached an endpoint in the given interval.
 func (w *world) count(i int, from, to time.Time) int {
 	n := 0
 	for _, a := range w.arrivals[i] {
@@ -422,8 +425,8 @@
 
 var worldSeeds = flag.Uint64("world-seeds", 1, "seeds with which each script of testdata/world is played")
 
-// TestSignalsAreHonored guards against nodes that ignore what endpoints announce, at 7, 59 and 295
-// nodes, whoever places the requests.
+// TestSignalsAreHonored guards against nodes that ignore signals. It plays each script with 7, 59
+// and 295 nodes.
 func TestSignalsAreHonored(t *testing.T) {
 	files, err := filepath.Glob("testdata/world/*.txt")
 	if err != nil || len(files) == 0 {
