--- a/internal/core/intake/share.go
+++ b/internal/core/intake/share.go
@@ -9,7 +9,7 @@
 // Placement says who chooses the endpoints of a service.
 type Placement int
 
-// The ways of placing.
+// Placements.
 const (
 	// ByNodes means that each node chooses for its own requests.
 	ByNodes Placement = iota
--- a/internal/core/signal/world_test.go
+++ b/internal/core/signal/world_test.go
@@ -15,7 +15,6 @@
 	"gradetiller.example/internal/simulated"
 )
 
-// The timing of the simulated nodes, as that of real ones.
 const (
 	// The timing of the simulated nodes, which is that of real ones.
 	tickInterval      = 100 * time.Millisecond
--- a/internal/core/stagepool/batchsplit_test.go
+++ b/internal/core/stagepool/batchsplit_test.go
@@ -38,7 +38,7 @@
 			SoftDeadline: w.now.Add(6 * time.Second), Deadline: w.now.Add(12 * time.Second),
 		})
 		if !ok {
-			w.t.Fatalf("%s is refused", name)
+			w.t.Fatalf("%s is rejected", name)
 		}
 		ids = append(ids, id)
 	}
--- a/internal/core/stagepool/bench_test.go
+++ b/internal/core/stagepool/bench_test.go
@@ -33,7 +33,7 @@
 			for range b.N {
 				v, _ := p.Submit(now, patient)
 				if !v.Accepted {
-					b.Fatal("the task was refused")
+					b.Fatal("the task was rejected")
 				}
 				p.Release(now, v.ID)
 			}
--- a/internal/core/stagepool/completion.go
+++ b/internal/core/stagepool/completion.go
@@ -34,7 +34,7 @@
 	delete(p.calls, id)
 	w := c.endpoint
 	delete(w.calls, id)
-	w.used -= c.reserved
+	w.usedBytes -= c.reserved
 	switch o.Status {
 	case Answered:
 		w.failures = 0
@@ -116,7 +116,7 @@
 	w := c.endpoint
 	st := &ref.task.stages[ref.stage]
 	if r.Status == Made {
-		made := &result{maker: w, handle: r.Handle, bytes: ref.bytes, begun: c.sent, expires: now.Add(w.service.conf.ResultLife)}
+		made := &result{endpoint: w, handle: r.Handle, bytes: ref.bytes, callSentAt: c.sent, expires: now.Add(w.service.conf.ResultLife)}
 		if !ref.wanted || st.results[ref.piece] != nil {
 			p.counters.Unused++
 			p.queueFree(now, w, []string{r.Handle}, ref.bytes)
@@ -328,17 +328,17 @@
 }
 
 func (p *Pool) freeDue(now time.Time) {
-	kept := p.frees[:0]
-	for _, f := range p.frees {
+	kept := p.scheduledFrees[:0]
+	for _, f := range p.scheduledFrees {
 		switch {
 		case f.at.After(now):
 			kept = append(kept, f)
-		case !f.task.stages[f.of].freed && p.dependentsStarted(f.task, f.of):
-			p.freeStage(now, f.task, f.of)
+		case !f.task.stages[f.stage].freed && p.dependentsStarted(f.task, f.stage):
+			p.freeStage(now, f.task, f.stage)
 		}
 	}
-	clear(p.frees[len(kept):])
-	p.frees = kept
+	clear(p.scheduledFrees[len(kept):])
+	p.scheduledFrees = kept
 }
 
 // requeueOverdue queues the pieces of a call for a retry if the call takes far too long.
@@ -350,7 +350,7 @@
 	}
 	c.overdue = true
 	w.speed = max(w.speed, float64(now.Sub(c.sent))/float64(c.expected))
-	w.measured = now
+	w.measuredAt = now
 	for _, ref := range c.items {
 		if _, ok := p.tasks[ref.task.id]; ok && ref.wanted && ref.task.stages[ref.stage].results[ref.piece] == nil {
 			p.requeue(now, ref, countedRetry)
--- a/internal/core/stagepool/dispatch.go
+++ b/internal/core/stagepool/dispatch.go
@@ -105,7 +105,7 @@
 // adjusted for used room and for the home domain.
 func (s *service) fastest(idle []*endpoint, first *entry) *endpoint {
 	score := func(w *endpoint) float64 {
-		v := w.speed + float64(w.used)/float64(max(w.usableRoom(), 1))/2
+		v := w.speed + float64(w.usedBytes)/float64(max(w.usableRoom(), 1))/2
 		if first.home != "" && w.spec.Domain != first.home {
 			v *= remoteCost
 		}
@@ -178,7 +178,7 @@
 	for _, after := range st.After {
 		for _, r := range t.stages[after].results {
 			if r != nil {
-				bytes[r.maker.spec.Domain] += r.bytes * int64(st.Pieces)
+				bytes[r.endpoint.spec.Domain] += r.bytes * int64(st.Pieces)
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 			fits = int(min(int64(n), room/st.ResultBytes))
 		}
 		n = min(n, s.conf.Batch)
-		if fits < n && (len(items) > 0 || w.used > 0) {
+		if fits < n && (len(items) > 0 || w.usedBytes > 0) {
 			// The stage waits for room for all its pieces, unless the endpoint is empty.
 			continue
 		}
@@ -283,7 +283,7 @@
 		ref.task.stages[ref.stage].state = running
 		out.Items = append(out.Items, item(now, ref))
 	}
-	w.used += c.reserved
+	w.usedBytes += c.reserved
 	w.recordCall(now)
 	w.calls[c.id] = c
 	p.calls[c.id] = c
@@ -330,7 +330,7 @@
 	for _, ref := range items {
 		for _, of := range ref.task.stages[ref.stage].After {
 			if p.dependentsStarted(ref.task, of) && p.makersCrowded(ref.task, of) {
-				p.frees = append(p.frees, pendingFree{at: now.Add(inputFetchTime), task: ref.task, of: of})
+				p.scheduledFrees = append(p.scheduledFrees, pendingFree{at: now.Add(inputFetchTime), task: ref.task, stage: of})
 			}
 		}
 	}
@@ -338,7 +338,7 @@
 
 func (p *Pool) makersCrowded(t *task, of int) bool {
 	for _, r := range t.stages[of].results {
-		if r != nil && float64(r.maker.used) > earlyFreeUsedShare*float64(r.maker.usableRoom()) {
+		if r != nil && float64(r.endpoint.usedBytes) > earlyFreeUsedShare*float64(r.endpoint.usableRoom()) {
 			return true
 		}
 	}
--- a/internal/core/stagepool/endpoint.go
+++ b/internal/core/stagepool/endpoint.go
@@ -30,20 +30,20 @@
 
 // endpoint is one endpoint of a stage service.
 type endpoint struct {
-	spec    catalog.Endpoint
-	service *service
-	calls   map[CallID]*call
-	results map[*result]struct{}
-	used    int64
+	spec      catalog.Endpoint
+	service   *service
+	calls     map[CallID]*call
+	results   map[*result]struct{}
+	usedBytes int64
 	// speed is the ratio of measured to expected call durations; lower is faster.
 	speed          float64
-	measured       time.Time
+	measuredAt     time.Time
 	failures       int
 	suspendedUntil time.Time
-	// foreign is the estimated room that another leader's results take. They live until
+	// foreignBytes is the estimated room that another leader's results take. They live until
 	// foreignUntil at most and may end at any time before, so the estimate decays linearly.
-	foreign      int64
-	foreignAt    time.Time
+	foreignBytes int64
+	foreignSince time.Time
 	foreignUntil time.Time
 	// contendedUntil is the time until which other leaders are assumed to send calls too.
 	contendedUntil time.Time
@@ -67,7 +67,7 @@
 
 // freeRoom returns how many bytes of results the endpoint can still hold.
 func (w *endpoint) freeRoom(now time.Time) int64 {
-	return max(w.usableRoom()-w.used-w.pendingFreeBytes-w.foreignRoom(now), 0)
+	return max(w.usableRoom()-w.usedBytes-w.pendingFreeBytes-w.foreignRoom(now), 0)
 }
 
 // foreignRoom returns the estimated size of results that other leaders hold at the endpoint.
@@ -75,8 +75,8 @@
 	if !now.Before(w.foreignUntil) {
 		return 0
 	}
-	left := w.foreignUntil.Sub(now).Seconds() / w.foreignUntil.Sub(w.foreignAt).Seconds()
-	return int64(left * float64(w.foreign))
+	left := w.foreignUntil.Sub(now).Seconds() / w.foreignUntil.Sub(w.foreignSince).Seconds()
+	return int64(left * float64(w.foreignBytes))
 }
 
 // observeFull records that a result of the given size found no room: whatever this pool doesn't
@@ -88,8 +88,8 @@
 	if !now.Before(w.foreignUntil) {
 		w.foreignUntil = now.Add(w.service.conf.ResultLife)
 	}
-	w.foreignAt = now
-	w.foreign = max(w.usableRoom()-w.used-max(bytes-1, 0), 0)
+	w.foreignSince = now
+	w.foreignBytes = max(w.usableRoom()-w.usedBytes-max(bytes-1, 0), 0)
 }
 
 // observeRoom records that a call found room for all its results.
@@ -97,8 +97,8 @@
 	if !now.Before(w.foreignUntil) {
 		return
 	}
-	w.foreign = max(w.foreignRoom(now)-int64(foreignDecay*float64(w.usableRoom())), 0)
-	w.foreignAt = now
+	w.foreignBytes = max(w.foreignRoom(now)-int64(foreignDecay*float64(w.usableRoom())), 0)
+	w.foreignSince = now
 }
 
 func (w *endpoint) available(now time.Time) bool {
@@ -108,12 +108,12 @@
 // fastEnough reports whether the endpoint is not much slower than the fastest one, or is due for a
 // probe.
 func (w *endpoint) fastEnough(now time.Time, best float64) bool {
-	return w.speed <= slowFactor*best || now.Sub(w.measured) > slowProbeInterval
+	return w.speed <= slowFactor*best || now.Sub(w.measuredAt) > slowProbeInterval
 }
 
 func (w *endpoint) recordLatency(now time.Time, actual, expected time.Duration) {
 	ratio := float64(actual) / float64(max(expected, time.Millisecond))
-	w.measured = now
+	w.measuredAt = now
 	if w.off.Has(mechanism.Speeds) {
 		return
 	}
@@ -134,7 +134,7 @@
 
 func (w *endpoint) add(r *result) {
 	w.results[r] = struct{}{}
-	w.used += r.bytes
+	w.usedBytes += r.bytes
 }
 
 func (w *endpoint) drop(now time.Time, r *result) bool {
@@ -142,8 +142,8 @@
 		return false
 	}
 	delete(w.results, r)
-	w.used -= r.bytes
-	w.service.observeHeld(now.Sub(r.begun), r.bytes)
+	w.usedBytes -= r.bytes
+	w.service.observeHeld(now.Sub(r.callSentAt), r.bytes)
 	return true
 }
 
--- a/internal/core/stagepool/endpoint_test.go
+++ b/internal/core/stagepool/endpoint_test.go
@@ -13,7 +13,7 @@
 func TestRecoveredEndpointIsUsedAtOnce(t *testing.T) {
 	const expected = 300 * time.Millisecond
 	now := time.Unix(1000, 0)
-	w := &endpoint{speed: 5, measured: now}
+	w := &endpoint{speed: 5, measuredAt: now}
 	if w.fastEnough(now.Add(time.Second), 1) {
 		t.Fatal("an endpoint five times slower than the others is used")
 	}
--- a/internal/core/stagepool/expired_test.go
+++ b/internal/core/stagepool/expired_test.go
@@ -8,17 +8,17 @@
 
 // expiryHarness drives a pool with one endpoint per service and records when each result expires.
 type expiryHarness struct {
-	t      *testing.T
-	pool   *Pool
-	now    time.Time
-	ends   map[string]time.Time
-	calls  []StartCall
-	failed map[TaskID]string
+	t         *testing.T
+	pool      *Pool
+	now       time.Time
+	expiresAt map[string]time.Time
+	calls     []StartCall
+	failed    map[TaskID]string
 }
 
 func newExpiryHarness(t *testing.T) *expiryHarness {
 	w := newWorld(t, 1, 1)
-	x := &expiryHarness{t: t, pool: New(), now: w.now, ends: make(map[string]time.Time), failed: make(map[TaskID]string)}
+	x := &expiryHarness{t: t, pool: New(), now: w.now, expiresAt: make(map[string]time.Time), failed: make(map[TaskID]string)}
 	x.handle(x.pool.Configure(x.now, testServices, w.listed()))
 	return x
 }
@@ -31,7 +31,7 @@
 			x.calls = append(x.calls, a)
 			for _, item := range a.Items {
 				for _, h := range item.Inputs {
-					if x.now.After(x.ends[h]) {
+					if x.now.After(x.expiresAt[h]) {
 						x.t.Errorf("%s is called at %v for a piece of %s whose input %s is gone", a.Endpoint, x.now.Sub(time.Unix(1000, 0)), item.RequestID, h)
 					}
 				}
@@ -52,7 +52,7 @@
 		o := Outcome{Status: Answered}
 		for _, item := range c.Items {
 			h := fmt.Sprintf("%s/%d-%d-%d", endpoint, c.Call, item.Stage, item.Piece)
-			x.ends[h] = x.now.Add(testServices[c.Service].Batching.ResultLife)
+			x.expiresAt[h] = x.now.Add(testServices[c.Service].Batching.ResultLife)
 			o.Items = append(o.Items, ItemResult{Handle: h})
 		}
 		x.handle(x.pool.Done(x.now, c.Call, o))
@@ -61,7 +61,7 @@
 	x.t.Fatalf("no call at %s", endpoint)
 }
 
-func (x *expiryHarness) pass(d time.Duration) {
+func (x *expiryHarness) advance(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(20 * time.Millisecond)
 		x.handle(x.pool.Tick(x.now))
@@ -82,15 +82,15 @@
 		return v.ID
 	}
 	submit(time.Minute)
-	x.pass(300 * time.Millisecond)
+	x.advance(300 * time.Millisecond)
 	x.end("tag-0") // the first task now occupies bill-0
 	patient := submit(time.Minute)
-	x.pass(300 * time.Millisecond)
+	x.advance(300 * time.Millisecond)
 	x.end("tag-0")
 	hurried := submit(3 * time.Second)
-	x.pass(300 * time.Millisecond)
+	x.advance(300 * time.Millisecond)
 	x.end("tag-0")
-	x.pass(4500 * time.Millisecond)
+	x.advance(4500 * time.Millisecond)
 	x.end("bill-0")
 	if reason, ok := x.failed[hurried]; !ok {
 		t.Error("the task that can't be on time has not failed")
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -43,17 +43,17 @@
 
 // Pool schedules all stage services on behalf of their leader. It is not safe for concurrent use.
 type Pool struct {
-	services map[string]*service
-	tasks    map[TaskID]*task
-	calls    map[CallID]*call
-	frees    []pendingFree
-	lastTask TaskID
-	lastCall CallID
-	budget   RetryBudget
-	counters Counters
-	off      mechanism.Off
-	paces    func(catalog.Endpoint) intake.Pace
-	out      []Action
+	services       map[string]*service
+	tasks          map[TaskID]*task
+	calls          map[CallID]*call
+	scheduledFrees []pendingFree
+	lastTask       TaskID
+	lastCall       CallID
+	budget         RetryBudget
+	counters       Counters
+	off            mechanism.Off
+	paces          func(catalog.Endpoint) intake.Pace
+	actions        []Action
 	// overruns holds the learned excess over the estimate, by task depth.
 	overruns [maxDepth + 1]overrun
 	// contendedUntil is when all calls of a previous leader have certainly ended.
@@ -62,9 +62,9 @@
 
 // pendingFree is a stage whose results are to be freed at a given time.
 type pendingFree struct {
-	at   time.Time
-	task *task
-	of   int
+	at    time.Time
+	task  *task
+	stage int
 }
 
 // New returns a pool without services.
@@ -126,7 +126,7 @@
 			continue
 		}
 		s.endpoints = append(s.endpoints, &endpoint{
-			spec: e, service: s, off: p.off, speed: 1, measured: now, pace: p.paces(e),
+			spec: e, service: s, off: p.off, speed: 1, measuredAt: now, pace: p.paces(e),
 			calls: make(map[CallID]*call), results: make(map[*result]struct{}),
 		})
 	}
@@ -276,7 +276,7 @@
 	for _, i := range t.finalStages() {
 		for _, r := range t.stages[i].results {
 			c.Handles = append(c.Handles, r.handle)
-			domain := r.maker.spec.Domain
+			domain := r.endpoint.spec.Domain
 			bytes[domain] += r.bytes
 			if bytes[domain] > c.Bytes {
 				c.Domain, c.Bytes = domain, bytes[domain]
@@ -378,14 +378,14 @@
 	bytes := make(map[*endpoint]int64)
 	var order []*endpoint
 	for _, r := range s.results {
-		if r == nil || !r.maker.drop(now, r) {
+		if r == nil || !r.endpoint.drop(now, r) {
 			continue
 		}
-		if byMaker[r.maker] == nil {
-			order = append(order, r.maker)
+		if byMaker[r.endpoint] == nil {
+			order = append(order, r.endpoint)
 		}
-		byMaker[r.maker] = append(byMaker[r.maker], r.handle)
-		bytes[r.maker] += r.bytes
+		byMaker[r.endpoint] = append(byMaker[r.endpoint], r.handle)
+		bytes[r.endpoint] += r.bytes
 	}
 	for _, w := range order {
 		p.queueFree(now, w, byMaker[w], bytes[w])
@@ -399,10 +399,10 @@
 	p.emit(Fail{Task: t.id, Reason: reason, RetryAfter: retryAfter})
 }
 
-func (p *Pool) emit(a Action) { p.out = append(p.out, a) }
+func (p *Pool) emit(a Action) { p.actions = append(p.actions, a) }
 
 func (p *Pool) takeActions() []Action {
-	out := p.out
-	p.out = nil
+	out := p.actions
+	p.actions = nil
 	return out
 }
--- a/internal/core/stagepool/pool_test.go
+++ b/internal/core/stagepool/pool_test.go
@@ -14,7 +14,7 @@
 	w := newWorld(t, 1, 5)
 	taken := w.load(15, 20*time.Second, 1900*time.Millisecond)
 	if len(taken) < 250 {
-		t.Fatalf("%d tasks taken, want nearly all of 300", len(taken))
+		t.Fatalf("%d tasks admitted, want nearly all of 300", len(taken))
 	}
 	for _, id := range taken {
 		if _, ok := w.done[id]; !ok {
@@ -48,7 +48,7 @@
 			}
 		}
 		if n := w.pool.Tasks(); n != 0 {
-			rt.Errorf("%d tasks are still known", n)
+			rt.Errorf("%d tasks are not released", n)
 		}
 		for id := range w.tasks {
 			_, done := w.done[id]
@@ -66,7 +66,7 @@
 		w := newWorld(t, rapid.Uint64().Draw(rt, "seed"), 2)
 		id, ok := w.submit(Task{RequestID: "r", Stages: testStages, SoftDeadline: w.now.Add(2 * time.Second), Deadline: w.now.Add(9 * time.Second)})
 		if !ok {
-			rt.Fatal("refused by an idle pool")
+			rt.Fatal("rejected by an idle pool")
 		}
 		leave := time.Duration(rapid.IntRange(0, 1500).Draw(rt, "leave")) * time.Millisecond
 		w.after(leave, func() { w.carryOut(w.pool.Release(w.now, id)) })
@@ -133,7 +133,7 @@
 		return n
 	}
 	before, under := onTime(calm, calm.tasks), onTime(w, w.tasks)
-	t.Logf("on time: %d in calm, %d of %d taken under overload, mean fill %.1f", before, under, len(taken), fill(w))
+	t.Logf("on time: %d under normal load, %d of %d admitted under overload, mean fill %.1f", before, under, len(taken), fill(w))
 	if under < before {
 		t.Errorf("overload brought goodput from %d down to %d", before, under)
 	}
@@ -219,7 +219,7 @@
 	for i := range 12 {
 		id, ok := w.submit(Task{RequestID: fmt.Sprint("r", i), Stages: testStages, SoftDeadline: w.now.Add(9 * time.Second), Deadline: w.now.Add(15 * time.Second)})
 		if !ok {
-			t.Fatal("refused")
+			t.Fatal("rejected")
 		}
 		ids = append(ids, id)
 	}
--- a/internal/core/stagepool/ratelimit_test.go
+++ b/internal/core/stagepool/ratelimit_test.go
@@ -113,6 +113,6 @@
 	})
 	w.load(6, 6*time.Second, 1900*time.Millisecond)
 	if after := len(w.sent["tag-0"]); before == 0 || after != before {
-		t.Errorf("%d requests reached it after %d before", after-before, before)
+		t.Errorf("%d requests reached the leaving endpoint, %d before it left", after-before, before)
 	}
 }
--- a/internal/core/stagepool/stats.go
+++ b/internal/core/stagepool/stats.go
@@ -44,7 +44,7 @@
 		if len(w.calls) > 0 {
 			st.Busy++
 		}
-		used += w.used
+		used += w.usedBytes
 		limit += w.usableRoom()
 	}
 	if limit > 0 {
--- a/internal/core/stagepool/task.go
+++ b/internal/core/stagepool/task.go
@@ -60,7 +60,7 @@
 // ItemStatus tells whether an endpoint produced the result of an item, and if not, why.
 type ItemStatus int
 
-// The reasons.
+// Item statuses.
 const (
 	// Made means that there is a result.
 	Made ItemStatus = iota
@@ -88,7 +88,7 @@
 // CallStatus tells how a call ended as a whole.
 type CallStatus int
 
-// The endings of a call.
+// Call statuses.
 const (
 	// Answered means that the call has a result for each item.
 	Answered CallStatus = iota
@@ -177,11 +177,11 @@
 
 // result is a result that its endpoint holds until it is freed.
 type result struct {
-	maker   *endpoint
-	handle  string
-	bytes   int64
-	begun   time.Time // when its call was sent
-	expires time.Time
+	endpoint   *endpoint
+	handle     string
+	bytes      int64
+	callSentAt time.Time // when its call was sent
+	expires    time.Time
 }
 
 type stage struct {
