--- a/internal/core/stagepool/ratelimit.go
+++ b/internal/core/stagepool/ratelimit.go
@@ -39,9 +39,9 @@
 	w.pendingFrees, w.pendingFreeBytes, w.nextTurnFrees = nil, 0, false
 }
 
-// flushFrees sends queued frees to the rate-limited endpoints that may be sent a request now. Frees
-// for a leaving endpoint are dropped: its results end with it, and a late free would reach it when
-// it must not get any more requests.
+// flushFrees sends the queued frees of the endpoints that may be sent a request now, that is, whose
+// rate limit permits it and whose backoff has ended. Frees for a leaving endpoint are dropped: its
+// results end with it, and a late free would reach it when it must not get any more requests.
 func (p *Pool) flushFrees(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		s := p.services[name]
