--- a/internal/core/place/pool.go
+++ b/internal/core/place/pool.go
@@ -95,7 +95,7 @@
 	p.rateLimited = false
 	for _, s := range specs {
 		wanted[s.Name] = s
-		p.rateLimited = p.rateLimited || s.Pace.Named()
+		p.rateLimited = p.rateLimited || s.Pace.Advertised()
 	}
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
--- a/internal/core/place/sendallowance.go
+++ b/internal/core/place/sendallowance.go
@@ -12,7 +12,7 @@
 	}
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if e.spec.Pace.Turn(now, &e.sends) && p.Accepts(now, i, req) {
+		if e.spec.Pace.HasTurn(now, &e.sends) && p.Accepts(now, i, req) {
 			return i
 		}
 	}
@@ -28,7 +28,7 @@
 		if !e.available(now, "") {
 			continue
 		}
-		n, ok := e.spec.Pace.Until(now, until, &e.sends)
+		n, ok := e.spec.Pace.AllowedUntil(now, until, &e.sends)
 		if !ok {
 			return 0, 0, false
 		}
--- a/internal/core/stagepool/admit.go
+++ b/internal/core/stagepool/admit.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// deadlineShare is the part of the time left within which a task that
-	// can't reach its aim must still end.
-	deadlineShare = 0.6
-	// spareShare of the predicted time is kept to spare: a task that is let in
-	// on the edge is late as soon as anything goes wrong, and makes others late.
-	spareShare    = 16
-	shortestAgain = 250 * time.Millisecond
-	longestAgain  = 3 * time.Second
+	// softMissDeadlineShare is the fraction of the time until the deadline within which a task that
+	// can't meet its soft deadline must be predicted to finish.
+	softMissDeadlineShare = 0.6
+	// One marginDivisor-th of the predicted time is added as a safety margin: a task admitted at
+	// the limit is late after any disturbance, and delays others.
+	marginDivisor = 16
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// callTime is the expected time of a call for n pieces of a service.
-func (p *Pool) callTime(name string, n int) time.Duration {
+// fastestCallTime returns the expected duration of a call for n pieces at the fastest endpoint of a
+// service.
+func (p *Pool) fastestCallTime(name string, n int) time.Duration {
 	s, ok := p.services[name]
 	if !ok {
 		return 0
 	}
-	return time.Duration(s.best() * float64(s.expected(min(n, s.conf.Batch))))
+	return time.Duration(s.fastestSpeed() * float64(s.callDuration(min(n, s.conf.Batch))))
 }
 
-// ahead counts the waiting pieces that go before a task of a priority.
-func (s *service) ahead(priority int) int {
+// piecesAhead returns the number of unassigned pieces that are served before a task of the given
+// priority.
+func (s *service) piecesAhead(priority int) int {
 	n := 0
 	for at, pieces := range s.backlog {
 		if at <= priority {
@@ -37,8 +39,8 @@
 	return n
 }
 
-// readyAt is when all stages that another comes after are finished.
-func readyAt(finish []time.Duration, after []int) time.Duration {
+// inputsReadyAt returns when all stages in after are finished.
+func inputsReadyAt(finish []time.Duration, after []int) time.Duration {
 	ready := time.Duration(0)
 	for _, i := range after {
 		ready = max(ready, finish[i])
@@ -46,21 +48,22 @@
 	return ready
 }
 
-// forecast returns the time until the last result of a task with a plan.
+// forecast returns the predicted time until the last result of a task: its estimate plus the
+// overrun learned for its depth.
 func (p *Pool) forecast(t Task, planned time.Duration) time.Duration {
 	if p.off.Has(mechanism.Forecast) {
 		return planned
 	}
-	return planned + p.beyond[t.steps()].value()
+	return planned + p.overruns[t.depth()].value()
 }
 
-// plan returns the time until a task's last result as far as queues, calls and room
-// tell it, and false when a service has no endpoint.
-func (p *Pool) plan(now time.Time, t Task) (time.Duration, bool) {
+// estimate returns the time until the last result of a task, given the current queues, calls and
+// room, and false when a service has no endpoint.
+func (p *Pool) estimate(now time.Time, t Task) (time.Duration, bool) {
 	finish := make([]time.Duration, len(t.Stages))
 	longest := time.Duration(0)
 	for i, st := range t.Stages {
-		ready := readyAt(finish, st.After)
+		ready := inputsReadyAt(finish, st.After)
 		if st.Pieces == 0 {
 			finish[i] = ready
 			continue
@@ -69,59 +72,59 @@
 		if !ok {
 			return 0, false
 		}
-		backoff, ok := s.awaits(now, t)
+		backoff, ok := s.backoffWait(now, t)
 		if !ok {
 			return 0, false
 		}
-		rate := s.rate(now.Add(backoff))
+		rate := s.pieceRate(now.Add(backoff))
 		if rate == 0 {
 			return 0, false
 		}
-		ahead := s.ahead(t.Priority)
+		ahead := s.piecesAhead(t.Priority)
 		queue := time.Duration(float64(ahead) / rate * float64(time.Second))
 		wait := max(queue-ready, backoff-ready, 0)
 		if ready == 0 {
-			wait = max(wait, s.free(now))
+			wait = max(wait, s.untilFree(now))
 		} else if queue > 0 {
-			wait = max(wait, s.expected(1)/time.Duration(2*max(len(s.endpoints), 1)))
+			wait = max(wait, s.callDuration(1)/time.Duration(2*max(len(s.endpoints), 1)))
 		}
 		calls := (st.Pieces + s.conf.Batch - 1) / s.conf.Batch
-		share := st.Pieces + min(s.ahead(t.Priority)/max(len(s.endpoints), 1), s.conf.Batch)
-		work := s.expected(min(share, s.conf.Batch))
+		share := st.Pieces + min(s.piecesAhead(t.Priority)/max(len(s.endpoints), 1), s.conf.Batch)
+		work := s.callDuration(min(share, s.conf.Batch))
 		rounds := (calls + len(s.endpoints) - 1) / max(len(s.endpoints), 1)
-		finish[i] = ready + wait + time.Duration(rounds)*time.Duration(s.best()*float64(work))
+		finish[i] = ready + wait + time.Duration(rounds)*time.Duration(s.fastestSpeed()*float64(work))
 		longest = max(longest, finish[i])
 	}
 	return longest, true
 }
 
-// shortest is the time that a task would take alone.
-func (p *Pool) shortest(t Task) time.Duration {
+// minDuration returns how long a task would take on an idle pool.
+func (p *Pool) minDuration(t Task) time.Duration {
 	finish := make([]time.Duration, len(t.Stages))
 	longest := time.Duration(0)
 	for i, st := range t.Stages {
-		ready := readyAt(finish, st.After)
+		ready := inputsReadyAt(finish, st.After)
 		finish[i] = ready
 		if st.Pieces > 0 {
-			finish[i] += p.callTime(st.Service, st.Pieces)
+			finish[i] += p.fastestCallTime(st.Service, st.Pieces)
 		}
 		longest = max(longest, finish[i])
 	}
 	return longest
 }
 
-// admit refuses a task that would be late because others wait. A task that
-// would be late even alone is taken as long as its deadline is safe.
+// admit rejects a task that would miss its soft deadline because of other tasks. A task that would
+// miss it even on an idle pool is admitted if its deadline is safe.
 func (p *Pool) admit(now time.Time, t Task, finish time.Duration) (Verdict, bool) {
-	aim := t.Aim.Sub(now)
-	if p.off.Has(mechanism.Admission) || finish+finish/spareShare <= aim+t.Allowance {
+	softLimit := t.SoftDeadline.Sub(now)
+	if p.off.Has(mechanism.Admission) || finish+finish/marginDivisor <= softLimit+t.Allowance {
 		return Verdict{}, false
 	}
-	alone := p.shortest(t)
-	limit := time.Duration(deadlineShare * float64(t.Deadline.Sub(now)))
-	if alone > aim && finish <= limit && finish < 2*alone {
+	unloaded := p.minDuration(t)
+	hardLimit := time.Duration(softMissDeadlineShare * float64(t.Deadline.Sub(now)))
+	if unloaded > softLimit && finish <= hardLimit && finish < 2*unloaded {
 		return Verdict{}, false
 	}
-	again := finish - max(aim, alone)
-	return Verdict{Finish: finish, Again: min(max(again, shortestAgain), longestAgain)}, true
+	retryAfter := finish - max(softLimit, unloaded)
+	return Verdict{Finish: finish, RetryAfter: min(max(retryAfter, minRetryAfter), maxRetryAfter)}, true
 }
--- a/internal/core/stagepool/bench_test.go
+++ b/internal/core/stagepool/bench_test.go
@@ -8,9 +8,9 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// BenchmarkSubmitBehindQueue submits and releases a task behind others, with all
-// endpoints of three services at work: what a leader does for each request of a
-// burst, with as many endpoints as 300 nodes have before them.
+// BenchmarkSubmitBehindQueue measures submitting and releasing a task while all endpoints of three
+// services are busy and other tasks are queued. A leader does so for each request of a burst. The
+// number of endpoints is that of a 300-node system.
 func BenchmarkSubmitBehindQueue(b *testing.B) {
 	const perService = 42
 	for _, waiting := range []int{0, 300} {
@@ -25,7 +25,7 @@
 				}
 			}
 			p.Configure(now, testServices, endpoints)
-			patient := Task{Key: "k", Stages: testStages, Aim: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
+			patient := Task{Key: "k", Stages: testStages, SoftDeadline: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
 			for range perService + waiting {
 				p.Submit(now, patient)
 			}
@@ -33,7 +33,7 @@
 			for range b.N {
 				v, _ := p.Submit(now, patient)
 				if !v.Accepted {
-					b.Fatal("the task was refused")
+					b.Fatal("the task was rejected")
 				}
 				p.Release(now, v.ID)
 			}
--- a/internal/core/stagepool/alone_test.go
+++ b/internal/core/stagepool/unpooled_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// alone is the naive way: several nodes each run a pool of their own, and
-// send their calls to the same endpoints without knowing of each other.
-type alone struct {
+// unpooled simulates nodes that each run a pool of their own and send calls to the same endpoints
+// without knowing of each other. It is the baseline for a shared pool.
+type unpooled struct {
 	*world
 	pools []*Pool
 	of    map[CallID]*Pool
 }
 
-// callShift keeps the call ids of the pools apart.
+// callShift separates the call IDs of the pools.
 const callShift = 32
 
-func newAlone(t testing.TB, seed uint64, endpoints, nodes int) *alone {
-	a := &alone{world: newWorld(t, seed, endpoints), of: make(map[CallID]*Pool)}
+func newUnpooled(t testing.TB, seed uint64, endpoints, nodes int) *unpooled {
+	a := &unpooled{world: newWorld(t, seed, endpoints), of: make(map[CallID]*Pool)}
 	a.queue = nil
 	for i := range nodes {
 		p := New()
@@ -30,11 +30,11 @@
 	return a
 }
 
-func (a *alone) poolOf(id uint64) *Pool { return a.pools[id>>callShift-1] }
+func (a *unpooled) poolOf(id uint64) *Pool { return a.pools[id>>callShift-1] }
 
-// load is world.load over all nodes in turn; it returns how many requests
-// were on time, and how many were asked.
-func (a *alone) load(perSecond float64, d, aim time.Duration) (onTime, asked int) {
+// load distributes the load of world.load over all nodes in turn. It returns how many requests
+// finished on time, and how many were submitted.
+func (a *unpooled) load(perSecond float64, d, aim time.Duration) (onTime, asked int) {
 	end := a.now.Add(d)
 	var next func()
 	next = func() {
@@ -43,7 +43,7 @@
 		}
 		asked++
 		p := a.pools[asked%len(a.pools)]
-		t := Task{RequestID: fmt.Sprintf("r%d", asked), Key: "k", Stages: testStages, Aim: a.now.Add(aim), Deadline: a.now.Add(15 * time.Second), Domain: "d0"}
+		t := Task{RequestID: fmt.Sprintf("r%d", asked), Key: "k", Stages: testStages, SoftDeadline: a.now.Add(aim), Deadline: a.now.Add(15 * time.Second), Domain: "d0"}
 		v, actions := p.Submit(a.now, t)
 		if v.Accepted {
 			a.tasks[v.ID] = t
@@ -62,15 +62,15 @@
 	a.after(0, tick)
 	a.run(d + 20*time.Second)
 	for id, t := range a.tasks {
-		if at, ok := a.done[id]; ok && !at.After(t.Aim) {
+		if at, ok := a.done[id]; ok && !at.After(t.SoftDeadline) {
 			onTime++
 		}
 	}
 	return onTime, asked
 }
 
-// play carries actions out, with the ends of calls going to their own pool.
-func (a *alone) play(actions []Action) {
+// play carries out actions; the end of a call is reported to the pool that started it.
+func (a *unpooled) play(actions []Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case StartCall:
@@ -85,12 +85,12 @@
 	}
 }
 
-func (a *alone) send(c StartCall) {
+func (a *unpooled) send(c StartCall) {
 	p := a.poolOf(uint64(c.Call))
 	s := a.endpoints[c.Endpoint]
 	a.after(time.Millisecond, func() {
 		if len(s.waiting) > 2 {
-			a.play(p.Done(a.now, c.Call, Outcome{Ending: NotRun}))
+			a.play(p.Done(a.now, c.Call, Outcome{Status: NotRun}))
 			return
 		}
 		s.waiting = append(s.waiting, c)
@@ -98,8 +98,8 @@
 	})
 }
 
-// begin is world.work with the answer going to the call's own pool.
-func (a *alone) begin(s *simEndpoint) {
+// begin is world.work, except that the result goes to the pool that started the call.
+func (a *unpooled) begin(s *simEndpoint) {
 	if s.busy || len(s.waiting) == 0 {
 		return
 	}
@@ -110,13 +110,13 @@
 	made := 0
 	for k, it := range c.Items {
 		results[k] = a.turn(s, it)
-		if results[k].Reason == Made {
+		if results[k].Status == Made {
 			made++
 		}
 	}
 	a.after(s.conf.CallTime+time.Duration(made)*s.conf.ItemTime, func() {
 		s.busy = false
-		a.play(a.poolOf(uint64(c.Call)).Done(a.now, c.Call, Outcome{Ending: Answered, Items: results}))
+		a.play(a.poolOf(uint64(c.Call)).Done(a.now, c.Call, Outcome{Status: Answered, Items: results}))
 		a.begin(s)
 	})
 }
