--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -130,13 +130,13 @@
 	// Keys maps an API key to the index of its client account.
 	Keys    map[string]int
 	byHost  map[string][]int
-	placing map[string]intake.Placing
+	placing map[string]intake.Placement
 }
 
 // BuildIndex builds the lookup tables; it must be called once before first use.
 func (c *Config) BuildIndex() {
 	c.byHost = make(map[string][]int)
-	c.placing = make(map[string]intake.Placing)
+	c.placing = make(map[string]intake.Placement)
 	for i := range c.Routes {
 		host := c.Routes[i].Host
 		c.byHost[host] = append(c.byHost[host], i)
@@ -161,7 +161,7 @@
 }
 
 // Placing returns who chooses the endpoints of a service.
-func (c *Config) Placing(service string) intake.Placing {
+func (c *Config) Placing(service string) intake.Placement {
 	if s, ok := c.Services[service]; ok && s.Batching != nil {
 		return intake.ByLeaders
 	}
--- a/internal/core/stagepool/dispatch.go
+++ b/internal/core/stagepool/dispatch.go
@@ -9,24 +9,23 @@
 )
 
 const (
-	// priorityStep is how much earlier a task is due for each rank of its
-	// priority.
+	// priorityStep is added to a task's due time per priority level.
 	priorityStep = 250 * time.Millisecond
-	// workedStep is how much earlier a task is due that has used work.
-	workedStep = 300 * time.Millisecond
-	// bigTransfer is the size in bytes from which on it counts whether a
-	// transfer crosses failure domains.
-	bigTransfer = 300_000
-	// mostWait bounds how long a stage waits for an endpoint of its home domain,
-	// as a part of the time of a full call, and crossSlack is what it leaves
-	// of the time that it can wait without being late.
-	crossSlack = 40 * time.Millisecond
-	mostWait   = 1.2
-	// elsewhere is the price of work outside of the home domain.
-	elsewhere = 1.5
-	// lostFactor and lostMargin tell when a call is given up as lost.
-	lostFactor = 6
-	lostMargin = 1500 * time.Millisecond
+	// startedBonus is subtracted from the due time of a task for which work was done.
+	startedBonus = 300 * time.Millisecond
+	// minLocalTransferBytes is the size above which transfers should stay within a failure domain.
+	minLocalTransferBytes = 300_000
+	// maxHomeWait limits how long a stage waits for an endpoint in its home domain, as a multiple
+	// of the duration of a full call. homeWaitMargin is the part of the stage's slack that it
+	// doesn't spend waiting.
+	homeWaitMargin = 40 * time.Millisecond
+	maxHomeWait    = 1.2
+	// remoteCost is the factor on the score of endpoints outside of the home domain.
+	remoteCost = 1.5
+	// A call is considered lost after callTimeoutFactor times its expected duration plus
+	// callTimeoutMargin.
+	callTimeoutFactor = 6
+	callTimeoutMargin = 1500 * time.Millisecond
 )
 
 func (p *Pool) dispatchAll(now time.Time) {
@@ -40,15 +39,15 @@
 	}
 }
 
-// dispatch forms calls while there are both waiting pieces and idle endpoints.
+// dispatch forms calls as long as there are queued pieces and available endpoints.
 func (p *Pool) dispatch(now time.Time, s *service) {
 	if len(s.queue) == 0 {
 		return
 	}
-	idle := s.idleEndpoints(now)
+	idle := s.availableEndpoints(now)
 	if len(idle) == 0 {
-		// Ordering the queue for nothing took 95 of 100 parts of the time of a
-		// submission behind 300 tasks (BenchmarkSubmitBehindQueue).
+		// Return before sorting the queue: sorting took 95% of the time of a submission behind
+		// 300 tasks (BenchmarkSubmitBehindQueue).
 		return
 	}
 	p.order(now, s)
@@ -62,22 +61,21 @@
 	}
 }
 
-// order sorts the queue: those that can still be in time by their slack, then
-// the others.
+// order sorts the queue by due time, with the entries that can't meet their soft deadline last.
 func (p *Pool) order(now time.Time, s *service) {
 	for _, e := range s.queue {
-		latest := e.task.Aim.Add(-p.need(e.task, e.stage))
+		latest := e.task.SoftDeadline.Add(-p.minRemaining(e.task, e.stage))
 		e.late = now.After(latest)
-		e.patience = e.since.Add(time.Duration(mostWait * float64(s.expected(s.conf.Batch))))
-		if slack := latest.Add(-crossSlack); !e.late && slack.Before(e.patience) {
-			e.patience = slack
+		e.homeWaitUntil = e.since.Add(time.Duration(maxHomeWait * float64(s.callDuration(s.conf.Batch))))
+		if slack := latest.Add(-homeWaitMargin); !e.late && slack.Before(e.homeWaitUntil) {
+			e.homeWaitUntil = slack
 		}
 		e.due = latest
 		if !p.off.Has(mechanism.Priorities) {
 			e.due = e.due.Add(time.Duration(e.task.Priority) * priorityStep)
 		}
-		if e.task.worked {
-			e.due = e.due.Add(-workedStep)
+		if e.task.started {
+			e.due = e.due.Add(-startedBonus)
 		}
 	}
 	slices.SortStableFunc(s.queue, func(a, b *entry) int {
@@ -91,57 +89,58 @@
 	})
 }
 
-func (s *service) idleEndpoints(now time.Time) []*endpoint {
-	best := s.best()
+func (s *service) availableEndpoints(now time.Time) []*endpoint {
+	best := s.fastestSpeed()
 	var idle []*endpoint
 	for _, w := range s.endpoints {
-		w.expire(now)
-		if w.idle(now) && w.usable(now, best) {
+		w.dropExpired(now)
+		if w.available(now) && w.fastEnough(now, best) {
 			idle = append(idle, w)
 		}
 	}
 	return idle
 }
 
-// fastest picks the endpoint that suits the first waiting stage best.
+// fastest picks the best endpoint for the first queued stage: the one with the lowest speed ratio,
+// adjusted for used room and for the home domain.
 func (s *service) fastest(idle []*endpoint, first *entry) *endpoint {
 	score := func(w *endpoint) float64 {
-		v := w.speed + float64(w.used)/float64(max(w.limit(), 1))/2
+		v := w.speed + float64(w.usedBytes)/float64(max(w.usableRoom(), 1))/2
 		if first.home != "" && w.spec.Domain != first.home {
-			v *= elsewhere
+			v *= remoteCost
 		}
 		return v
 	}
 	return slices.MinFunc(idle, func(a, b *endpoint) int { return cmp.Compare(score(a), score(b)) })
 }
 
-// predictHomes decides for each waiting stage whether it stays for an endpoint of
-// its home domain: as long as one is predicted to come free within the
-// stage's patience, the stages before it in the queue included.
+// predictHomes decides for each queued stage whether it waits for an endpoint in its home domain.
+// It does if one is predicted to be available before the stage's homeWaitUntil, after serving the
+// stages ahead of it in the queue.
 func (s *service) predictHomes(now time.Time) {
 	free := s.freeTimes(now)
 	ahead := make(map[string]int)
-	full := s.expected(s.conf.Batch)
+	full := s.callDuration(s.conf.Batch)
 	for _, e := range s.queue {
 		times := free[e.home]
-		e.stays = false
+		e.waitsForHome = false
 		if len(times) == 0 {
 			continue
 		}
 		turn := ahead[e.home] / s.conf.Batch
 		start := times[turn%len(times)].Add(time.Duration(turn/len(times)) * full)
-		e.stays = !start.After(e.patience) && now.Before(e.patience)
-		ahead[e.home] += len(e.task.stages[e.stage].waiting)
+		e.waitsForHome = !start.After(e.homeWaitUntil) && now.Before(e.homeWaitUntil)
+		ahead[e.home] += len(e.task.stages[e.stage].unassigned)
 	}
 }
 
-// freeTimes lists for each domain when its endpoints come free, the first ones
-// first. Endpoints that are down or far slower than the fastest are left out.
+// freeTimes returns, for each failure domain, the sorted times at which its endpoints become
+// available. Endpoints that are unavailable or much slower than the fastest are excluded.
 func (s *service) freeTimes(now time.Time) map[string][]time.Time {
-	best := s.best()
+	best := s.fastestSpeed()
 	free := make(map[string][]time.Time)
 	for _, w := range s.endpoints {
-		if w.leaving || now.Before(w.asideTo) || w.inBackoff(now) || w.speed > slowFactor*best {
+		if w.leaving || now.Before(w.suspendedUntil) || w.inBackoff(now) || w.speed > slowFactor*best {
 			continue
 		}
 		at := w.pace.Next(now, &w.sends)
@@ -158,12 +157,12 @@
 	return free
 }
 
-// mayGoTo reports whether a stage may go to an endpoint of a domain.
-func (e *entry) mayGoTo(domain string) bool {
-	return !e.stays || e.home == domain
+// mayUse reports whether the stage may be sent to an endpoint in the given domain.
+func (e *entry) mayUse(domain string) bool {
+	return !e.waitsForHome || e.home == domain
 }
 
-// home is the domain where a stage's big transfers stay inside, or "".
+// home returns the home domain of stage i, or "" if it has none or home domains are disabled.
 func (p *Pool) home(t *task, i int) string {
 	if p.off.Has(mechanism.Homes) {
 		return ""
@@ -171,22 +170,22 @@
 	return t.home(i)
 }
 
-// home is the domain that a stage's big transfers tie it to, or "": the
-// makers of its inputs, or where its own results are wanted.
+// home returns the failure domain that a stage's large transfers favor, or "". Inputs count where
+// they are held, and final results count where they are wanted.
 func (t *task) home(i int) string {
 	st := &t.stages[i]
 	bytes := make(map[string]int64)
 	for _, after := range st.After {
 		for _, r := range t.stages[after].results {
 			if r != nil {
-				bytes[r.maker.spec.Domain] += r.bytes * int64(st.Pieces)
+				bytes[r.endpoint.spec.Domain] += r.bytes * int64(st.Pieces)
 			}
 		}
 	}
-	if t.Domain != "" && slices.Contains(t.last(), i) {
+	if t.Domain != "" && slices.Contains(t.finalStages(), i) {
 		bytes[t.Domain] += st.ResultBytes * int64(st.Pieces)
 	}
-	home, most := "", int64(bigTransfer)
+	home, most := "", int64(minLocalTransferBytes)
 	for domain, n := range bytes {
 		if n > most || n == most && domain < home {
 			home, most = domain, n
@@ -195,26 +194,25 @@
 	return home
 }
 
-// pick takes pieces from the queue for one call. Waiting pieces are spread
-// over the idle endpoints; the pieces of one stage of a task stay together
-// where they fit.
+// pick takes pieces from the queue for one call. Queued pieces are spread over the available
+// endpoints; the pieces of one stage of a task stay together if they fit.
 func (p *Pool) pick(now time.Time, s *service, w *endpoint, idle int) []itemRef {
 	waiting := 0
 	for _, e := range s.queue {
-		waiting += len(e.task.stages[e.stage].waiting)
+		waiting += len(e.task.stages[e.stage].unassigned)
 	}
 	target := min((waiting+idle-1)/idle, s.conf.Batch)
 	if w.pace.Bounded(now) {
-		// Its calls are few: fuller ones make the most of them.
+		// A rate-limited endpoint gets few calls, so fill them.
 		target = s.conf.Batch
 	}
-	room := w.room(now)
+	room := w.freeRoom(now)
 	var items []itemRef
-	var together mates
+	var batch batchTasks
 	for _, e := range s.queue {
 		st := &e.task.stages[e.stage]
-		n := len(st.waiting)
-		if !e.mayGoTo(w.spec.Domain) || !together.admit(e.task) {
+		n := len(st.unassigned)
+		if !e.mayUse(w.spec.Domain) || !batch.allows(e.task) {
 			continue
 		}
 		if len(items) > 0 && len(items)+n > s.conf.Batch {
@@ -225,67 +223,68 @@
 			fits = int(min(int64(n), room/st.ResultBytes))
 		}
 		n = min(n, s.conf.Batch)
-		if fits < n && (len(items) > 0 || w.used > 0) {
-			// The whole stage waits for room, unless nothing else is held.
+		if fits < n && (len(items) > 0 || w.usedBytes > 0) {
+			// The stage waits for room for all its pieces, unless the endpoint is empty.
 			continue
 		}
 		n = min(n, fits)
-		together.add(e.task)
-		for _, piece := range st.waiting[:n] {
-			items = append(items, itemRef{task: e.task, stage: e.stage, piece: piece, bytes: st.ResultBytes, live: true})
+		batch.add(e.task)
+		for _, piece := range st.unassigned[:n] {
+			items = append(items, itemRef{task: e.task, stage: e.stage, piece: piece, bytes: st.ResultBytes, wanted: true})
 		}
 		room -= int64(n) * st.ResultBytes
-		st.waiting = st.waiting[n:]
+		st.unassigned = st.unassigned[n:]
 		s.backlog[e.task.Priority] -= n
 		if len(items) >= target {
 			break
 		}
 	}
-	s.queue = slices.DeleteFunc(s.queue, func(e *entry) bool { return len(e.task.stages[e.stage].waiting) == 0 })
+	s.queue = slices.DeleteFunc(s.queue, func(e *entry) bool { return len(e.task.stages[e.stage].unassigned) == 0 })
 	return items
 }
 
-// mates are the tasks that share a call.
-type mates struct {
-	list []*task
-	// most bounds them when their last calls broke off; then only such tasks share it.
-	most int
+// batchTasks is the set of tasks in one call.
+type batchTasks struct {
+	tasks []*task
+	// maxTasks limits the number of tasks if their previous calls broke; such tasks share calls
+	// only with each other. 0 means no limit.
+	maxTasks int
 }
 
-// admit reports whether a task may share the call.
-func (m *mates) admit(t *task) bool {
-	if len(m.list) == 0 || slices.Contains(m.list, t) {
+// allows reports whether the task may join the call.
+func (m *batchTasks) allows(t *task) bool {
+	if len(m.tasks) == 0 || slices.Contains(m.tasks, t) {
 		return true
 	}
-	if m.most == 0 || t.mates == 0 {
-		return m.most == t.mates
+	if m.maxTasks == 0 || t.maxTasksPerCall == 0 {
+		return m.maxTasks == t.maxTasksPerCall
 	}
-	return len(m.list) < min(m.most, t.mates)
+	return len(m.tasks) < min(m.maxTasks, t.maxTasksPerCall)
 }
 
-func (m *mates) add(t *task) {
-	if slices.Contains(m.list, t) {
+func (m *batchTasks) add(t *task) {
+	if slices.Contains(m.tasks, t) {
 		return
 	}
-	if len(m.list) == 0 || t.mates < m.most {
-		m.most = t.mates
+	if len(m.tasks) == 0 || t.maxTasksPerCall < m.maxTasks {
+		m.maxTasks = t.maxTasksPerCall
 	}
-	m.list = append(m.list, t)
+	m.tasks = append(m.tasks, t)
 }
 
 func (p *Pool) start(now time.Time, w *endpoint, items []itemRef) {
 	p.lastCall++
-	c := &call{id: p.lastCall, endpoint: w, items: items, sent: now, expected: w.service.expected(len(items))}
+	c := &call{id: p.lastCall, endpoint: w, items: items, sent: now, expected: w.service.callDuration(len(items))}
 	out := StartCall{Call: c.id, Service: w.service.name, Endpoint: w.spec.ID, Address: w.spec.Address}
-	out.Limit = time.Duration(lostFactor*float64(c.expected)) + lostMargin
+	out.Timeout = time.Duration(callTimeoutFactor*float64(c.expected)) + callTimeoutMargin
 	for _, ref := range items {
 		c.reserved += ref.bytes
-		ref.task.worked = true
+		ref.task.started = true
 		ref.task.stages[ref.stage].state = running
 		out.Items = append(out.Items, item(now, ref))
 	}
-	w.used += c.reserved
-	w.called(now)
+	w.usedBytes += c.reserved
+	w.recordCall(now)
 	w.calls[c.id] = c
 	p.calls[c.id] = c
 	p.counters.Calls++
@@ -293,7 +292,7 @@
 	w.service.calls++
 	w.service.pieces += uint64(len(items))
 	p.emit(out)
-	if !now.Before(w.contended) && !now.Before(p.alone) && !p.off.Has(mechanism.EarlyFrees) {
+	if !now.Before(w.contendedUntil) && !now.Before(p.contendedUntil) && !p.off.Has(mechanism.EarlyFrees) {
 		p.freeInputs(now, items)
 	}
 }
@@ -313,57 +312,56 @@
 	return it
 }
 
-// fetchTime is how long after its start a call of an idle endpoint has surely
+// inputFetchTime is the time after its start by which a call at an idle endpoint has certainly
 // fetched its inputs.
-const fetchTime = 60 * time.Millisecond
+const inputFetchTime = 60 * time.Millisecond
 
-// crowded is the share of a maker's room from which on inputs are given up
-// as soon as they are fetched; below it they are kept until the call's end,
-// so that a call that fails can be sent again.
-const crowded = 0.4
+// earlyFreeUsedShare is the fraction of used room at an endpoint above which inputs are freed as
+// soon as they have been fetched. Below it they are kept until the call ends, so that a failed call
+// can be retried.
+const earlyFreeUsedShare = 0.4
 
-// contention is how long an endpoint that declined a call, or took far too long,
-// is taken to work for another leader as well.
-const contention = 3 * time.Second
+// contentionPeriod is how long an endpoint that declined a call, or took far too long, is assumed
+// to work for another leader as well.
+const contentionPeriod = 3 * time.Second
 
-// freeInputs has inputs given up that no further piece needs.
+// freeInputs schedules freeing the inputs that no other piece needs.
 func (p *Pool) freeInputs(now time.Time, items []itemRef) {
 	for _, ref := range items {
 		for _, of := range ref.task.stages[ref.stage].After {
-			if p.allStarted(ref.task, of) && p.crowded(ref.task, of) {
-				p.frees = append(p.frees, pendingFree{at: now.Add(fetchTime), task: ref.task, of: of})
+			if p.dependentsStarted(ref.task, of) && p.makersCrowded(ref.task, of) {
+				p.scheduledFrees = append(p.scheduledFrees, pendingFree{at: now.Add(inputFetchTime), task: ref.task, stage: of})
 			}
 		}
 	}
 }
 
-func (p *Pool) crowded(t *task, of int) bool {
+func (p *Pool) makersCrowded(t *task, of int) bool {
 	for _, r := range t.stages[of].results {
-		if r != nil && float64(r.maker.used) > crowded*float64(r.maker.limit()) {
+		if r != nil && float64(r.endpoint.usedBytes) > earlyFreeUsedShare*float64(r.endpoint.usableRoom()) {
 			return true
 		}
 	}
 	return false
 }
 
-// allStarted reports whether every piece that needs the results of stage i is
-// in a call or made.
-func (p *Pool) allStarted(t *task, i int) bool {
+// dependentsStarted reports whether every piece that needs the results of stage i is in a call or
+// has a result.
+func (p *Pool) dependentsStarted(t *task, i int) bool {
 	for j := range t.stages {
 		s := &t.stages[j]
 		if s.Pieces == 0 || !slices.Contains(s.After, i) {
 			continue
 		}
-		if s.state == blocked || len(s.waiting) > 0 {
+		if s.state == blocked || len(s.unassigned) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// allMade reports whether every stage that needs the results of stage i is
-// finished.
-func (p *Pool) allMade(t *task, i int) bool {
+// dependentsFinished reports whether every stage that needs the results of stage i is finished.
+func (p *Pool) dependentsFinished(t *task, i int) bool {
 	for j := range t.stages {
 		s := &t.stages[j]
 		if s.Pieces > 0 && slices.Contains(s.After, i) && s.state != finished {
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -11,60 +11,60 @@
 	"gradetiller.example/internal/core/poison"
 )
 
-// Counters count what the pool did since its start.
+// Counters counts pool events since the pool was created.
 type Counters struct {
-	Accepted, Refused, Completed, Failed         uint64
-	Calls, Pieces, Again, NoRoom, Gone, Restarts uint64
-	// Unused counts results that nobody wanted any more.
+	Accepted, Refused, Completed, Failed           uint64
+	Calls, Pieces, Retried, NoRoom, Gone, Restarts uint64
+	// Unused counts results that were no longer needed when their call ended.
 	Unused uint64
 }
 
-// Budget allows repeated pieces.
-type Budget interface {
+// RetryBudget limits how many pieces are retried. Fresh records n first attempts, and Take reports
+// whether n retries are allowed.
+type RetryBudget interface {
 	Fresh(now time.Time, service string, n int)
 	Take(now time.Time, service string, n int) bool
 }
 
-// Option changes a new pool.
+// Option configures a new pool.
 type Option func(*Pool)
 
-// WithBudget bounds the pieces that are made again.
-func WithBudget(b Budget) Option { return func(p *Pool) { p.budget = b } }
+// WithRetryBudget limits the pieces that are retried.
+func WithRetryBudget(b RetryBudget) Option { return func(p *Pool) { p.budget = b } }
 
-// Without switches mechanisms off.
+// Without disables mechanisms.
 func Without(off mechanism.Disabled) Option { return func(p *Pool) { p.off = off } }
 
-// WithPaces tells the pace at which this leader may send requests to each endpoint: calls, and
-// results to give up.
+// WithPaces sets the function that returns the pace at which this leader may send requests, both
+// calls and frees, to an endpoint.
 func WithPaces(of func(catalog.Endpoint) intake.Pace) Option {
 	return func(p *Pool) { p.paces = of }
 }
 
-// Pool is the state of all stage services at their leader. It is not safe for
-// concurrent use.
+// Pool schedules all stage services on behalf of their leader. It is not safe for concurrent use.
 type Pool struct {
-	services map[string]*service
-	tasks    map[TaskID]*task
-	calls    map[CallID]*call
-	frees    []pendingFree
-	lastTask TaskID
-	lastCall CallID
-	budget   Budget
-	counters Counters
-	off      mechanism.Disabled
-	paces    func(catalog.Endpoint) intake.Pace
-	out      []Action
-	// beyond tells by steps what tasks took beyond their plan.
-	beyond [mostSteps + 1]beyond
-	// alone is when an earlier leader's calls have surely ended.
-	alone time.Time
+	services       map[string]*service
+	tasks          map[TaskID]*task
+	calls          map[CallID]*call
+	scheduledFrees []pendingFree
+	lastTask       TaskID
+	lastCall       CallID
+	budget         RetryBudget
+	counters       Counters
+	off            mechanism.Disabled
+	paces          func(catalog.Endpoint) intake.Pace
+	actions        []Action
+	// overruns holds the learned excess over the estimate, by task depth.
+	overruns [maxDepth + 1]overrun
+	// contendedUntil is when all calls of a previous leader have certainly ended.
+	contendedUntil time.Time
 }
 
-// pendingFree is a stage whose results are given up at a moment.
+// pendingFree is a stage whose results are to be freed at a given time.
 type pendingFree struct {
-	at   time.Time
-	task *task
-	of   int
+	at    time.Time
+	task  *task
+	stage int
 }
 
 // New returns a pool without services.
@@ -84,11 +84,11 @@
 // Counters returns a copy of the counters.
 func (p *Pool) Counters() Counters { return p.counters }
 
-// Tasks returns the number of tasks that are not released.
+// Tasks returns the number of tasks that have not been released.
 func (p *Pool) Tasks() int { return len(p.tasks) }
 
-// Configure puts services and their endpoints in force. An endpoint that is
-// draining or missing gets no new calls.
+// Configure applies the given services and endpoints. An endpoint that is draining or no longer
+// listed gets no new calls.
 func (p *Pool) Configure(now time.Time, services map[string]catalog.Service, endpoints []catalog.Endpoint) []Action {
 	for name, conf := range services {
 		if conf.Batching == nil {
@@ -126,25 +126,26 @@
 			continue
 		}
 		s.endpoints = append(s.endpoints, &endpoint{
-			spec: e, service: s, off: p.off, speed: 1, measured: now, pace: p.paces(e),
+			spec: e, service: s, off: p.off, speed: 1, measuredAt: now, pace: p.paces(e),
 			calls: make(map[CallID]*call), results: make(map[*result]struct{}),
 		})
 	}
-	p.failUnserved(now, endpoints)
+	p.failClosed(now, endpoints)
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// ClosedReason is the reason of tasks for which a service takes no work.
-const ClosedReason = "no endpoint of a stage takes work"
+// ReasonClosed is the failure reason of tasks that need a service none of whose endpoints accepts
+// work.
+const ReasonClosed = "no endpoint of a stage takes work"
 
-// closedAgain is when to come back to a service whose endpoints are all listed as taking
-// no work: they seldom change that within a second.
-const closedAgain = time.Second
+// closedRetryAfter is the retry delay for a service whose endpoints are all listed as draining,
+// which seldom changes within a second.
+const closedRetryAfter = time.Second
 
-// failUnserved gives the tasks up that wait for a service of which endpoints are listed, and
-// none takes work. Until others come they would wait in vain.
-func (p *Pool) failUnserved(now time.Time, endpoints []catalog.Endpoint) {
+// failClosed fails the tasks that wait for a service whose listed endpoints are all draining. They
+// would otherwise wait until other endpoints appear.
+func (p *Pool) failClosed(now time.Time, endpoints []catalog.Endpoint) {
 	closed := make(map[string]bool)
 	for _, e := range endpoints {
 		if before, ok := closed[e.Service]; !ok || before {
@@ -153,57 +154,57 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
 		t := p.tasks[id]
-		waits := slices.ContainsFunc(t.stages, func(s stage) bool { return len(s.waiting) > 0 && closed[s.Service] })
+		waits := slices.ContainsFunc(t.stages, func(s stage) bool { return len(s.unassigned) > 0 && closed[s.Service] })
 		if waits && !t.complete {
-			p.fail(now, t, ClosedReason, closedAgain)
+			p.fail(now, t, ReasonClosed, closedRetryAfter)
 		}
 	}
 }
 
-// Contend tells that another leader may be at work on the same endpoints
-// until a moment: a call may then wait for its turn behind the other's, so
-// that its inputs are kept until it ends.
-func (p *Pool) Contend(until time.Time) {
-	if until.After(p.alone) {
-		p.alone = until
+// ExpectContention records that another leader may use the same endpoints until the given time. A
+// call may then queue behind a call of the other leader, so its inputs are kept until it ends.
+func (p *Pool) ExpectContention(until time.Time) {
+	if until.After(p.contendedUntil) {
+		p.contendedUntil = until
 	}
 }
 
-// MoveReason is the reason of tasks that are given back for another leader.
-const MoveReason = "moved"
+// ReasonMoved is the failure reason of tasks that are handed off to another leader.
+const ReasonMoved = "moved"
 
-// GiveBack gives the tasks up for which no call was sent, so that another
-// leader takes them whole.
-func (p *Pool) GiveBack(now time.Time) []Action {
+// HandOff fails the tasks for which no call was sent, so that another leader can run them from the
+// start.
+func (p *Pool) HandOff(now time.Time) []Action {
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
-		if t := p.tasks[id]; !t.worked && !t.complete {
-			p.fail(now, t, MoveReason, 0)
+		if t := p.tasks[id]; !t.started && !t.complete {
+			p.fail(now, t, ReasonMoved, 0)
 		}
 	}
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// PoisonReason is the reason of tasks whose request is refused since it crashes endpoints.
-const PoisonReason = "the request crashes endpoints"
+// ReasonPoison is the failure reason of tasks whose request is refused because it crashes
+// endpoints.
+const ReasonPoison = "the request crashes endpoints"
 
-// Drop gives the tasks of a request up, which is refused from now on.
-func (p *Pool) Drop(now time.Time, content poison.ID) []Action {
+// FailContent fails all tasks of a request that is refused from now on.
+func (p *Pool) FailContent(now time.Time, content poison.ID) []Action {
 	for _, id := range slices.Sorted(maps.Keys(p.tasks)) {
 		if t := p.tasks[id]; t.Content == content && !t.complete {
-			p.fail(now, t, PoisonReason, 0)
+			p.fail(now, t, ReasonPoison, 0)
 		}
 	}
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// Submit takes a task, or refuses it.
+// Submit admits or rejects a task.
 func (p *Pool) Submit(now time.Time, t Task) (Verdict, []Action) {
-	planned, ok := p.plan(now, t)
+	planned, ok := p.estimate(now, t)
 	if !ok {
 		p.counters.Refused++
-		return Verdict{Again: p.retryAfter(now, t)}, nil
+		return Verdict{RetryAfter: p.retryAfter(now, t)}, nil
 	}
 	finish := p.forecast(t, planned)
 	if v, refused := p.admit(now, t, finish); refused {
@@ -212,33 +213,33 @@
 	}
 	p.counters.Accepted++
 	p.lastTask++
-	live := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), taken: now, planned: planned}
+	live := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), acceptedAt: now, estimate: planned}
 	for i, s := range t.Stages {
 		live.stages[i] = stage{Stage: s}
 	}
 	p.tasks[live.id] = live
 	p.begin(now, live)
 	p.dispatchAll(now)
-	return Verdict{Accepted: true, ID: live.id, Finish: finish}, p.take()
+	return Verdict{Accepted: true, ID: live.id, Finish: finish}, p.takeActions()
 }
 
-// begin counts all stages into the backlogs and queues those that are ready.
+// begin adds all stages of a task to the backlogs and queues those that are ready.
 func (p *Pool) begin(now time.Time, t *task) {
 	for i := range t.stages {
 		s := &t.stages[i]
 		s.results = make([]*result, s.Pieces)
-		s.waiting = make([]int, s.Pieces)
-		for k := range s.waiting {
-			s.waiting[k] = k
+		s.unassigned = make([]int, s.Pieces)
+		for k := range s.unassigned {
+			s.unassigned[k] = k
 		}
-		s.made = 0
+		s.completed = 0
 		s.state = blocked
 		s.freed = false
 		if s.Pieces == 0 {
 			s.state = finished
 			continue
 		}
-		p.services[s.Service].expect(s.ResultBytes)
+		p.services[s.Service].initOccupancy(s.ResultBytes)
 		p.services[s.Service].backlog[t.Priority] += s.Pieces
 		if p.budget != nil && t.restarts == 0 {
 			p.budget.Fresh(now, s.Service, s.Pieces)
@@ -247,8 +248,8 @@
 	p.advance(now, t)
 }
 
-// advance queues the stages whose inputs are all there, and completes a task
-// of which every stage is finished.
+// advance queues the stages whose inputs are complete, and completes a task whose stages are all
+// finished.
 func (p *Pool) advance(now time.Time, t *task) {
 	all := true
 	for i := range t.stages {
@@ -268,14 +269,14 @@
 	t.complete = true
 	p.counters.Completed++
 	if t.restarts == 0 {
-		p.beyond[t.steps()].ended(t.planned, now.Sub(t.taken))
+		p.overruns[t.depth()].observe(t.estimate, now.Sub(t.acceptedAt))
 	}
 	c := Complete{Task: t.id}
 	bytes := make(map[string]int64)
-	for _, i := range t.last() {
+	for _, i := range t.finalStages() {
 		for _, r := range t.stages[i].results {
 			c.Handles = append(c.Handles, r.handle)
-			domain := r.maker.spec.Domain
+			domain := r.endpoint.spec.Domain
 			bytes[domain] += r.bytes
 			if bytes[domain] > c.Bytes {
 				c.Domain, c.Bytes = domain, bytes[domain]
@@ -285,8 +286,8 @@
 	p.emit(c)
 }
 
-// last lists the stages that no other comes after.
-func (t *task) last() []int {
+// finalStages returns the stages that no other stage depends on.
+func (t *task) finalStages() []int {
 	var list []int
 	for i := range t.stages {
 		needed := false
@@ -321,21 +322,20 @@
 	s.queue = append(s.queue, &entry{task: t, stage: i, home: p.home(t, i), since: now})
 }
 
-// Release gives up a task and its results: its request has used them, or is
-// over.
+// Release removes a task and frees its results, either because its request has used them or because
+// the request has ended.
 func (p *Pool) Release(now time.Time, id TaskID) []Action {
 	t, ok := p.tasks[id]
 	if !ok {
-		return p.take()
+		return p.takeActions()
 	}
-	p.end(now, t)
+	p.remove(now, t)
 	p.dispatchAll(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// end forgets a task, takes its pieces out of all queues and frees its
-// results.
-func (p *Pool) end(now time.Time, t *task) {
+// remove deletes a task, removes its pieces from all queues, and frees its results.
+func (p *Pool) remove(now time.Time, t *task) {
 	delete(p.tasks, t.id)
 	p.withdraw(t)
 	for i := range t.stages {
@@ -350,8 +350,8 @@
 			continue
 		}
 		svc := p.services[s.Service]
-		svc.backlog[t.Priority] -= len(s.waiting)
-		s.waiting = nil
+		svc.backlog[t.Priority] -= len(s.unassigned)
+		s.unassigned = nil
 		kept := svc.queue[:0]
 		for _, e := range svc.queue {
 			if e.task != t || e.stage != i {
@@ -364,13 +364,13 @@
 	for _, c := range p.calls {
 		for k := range c.items {
 			if c.items[k].task == t {
-				c.items[k].live = false
+				c.items[k].wanted = false
 			}
 		}
 	}
 }
 
-// freeStage gives up the results of stage i.
+// freeStage frees the results of stage i.
 func (p *Pool) freeStage(now time.Time, t *task, i int) {
 	s := &t.stages[i]
 	s.freed = true
@@ -378,31 +378,31 @@
 	bytes := make(map[*endpoint]int64)
 	var order []*endpoint
 	for _, r := range s.results {
-		if r == nil || !r.maker.drop(now, r) {
+		if r == nil || !r.endpoint.drop(now, r) {
 			continue
 		}
-		if byMaker[r.maker] == nil {
-			order = append(order, r.maker)
+		if byMaker[r.endpoint] == nil {
+			order = append(order, r.endpoint)
 		}
-		byMaker[r.maker] = append(byMaker[r.maker], r.handle)
-		bytes[r.maker] += r.bytes
+		byMaker[r.endpoint] = append(byMaker[r.endpoint], r.handle)
+		bytes[r.endpoint] += r.bytes
 	}
 	for _, w := range order {
-		p.giveUp(now, w, byMaker[w], bytes[w])
+		p.queueFree(now, w, byMaker[w], bytes[w])
 	}
 }
 
-// fail gives a task up.
-func (p *Pool) fail(now time.Time, t *task, reason string, again time.Duration) {
+// fail removes a task and reports its failure.
+func (p *Pool) fail(now time.Time, t *task, reason string, retryAfter time.Duration) {
 	p.counters.Failed++
-	p.end(now, t)
-	p.emit(Fail{Task: t.id, Reason: reason, Again: again})
+	p.remove(now, t)
+	p.emit(Fail{Task: t.id, Reason: reason, RetryAfter: retryAfter})
 }
 
-func (p *Pool) emit(a Action) { p.out = append(p.out, a) }
+func (p *Pool) emit(a Action) { p.actions = append(p.actions, a) }
 
-func (p *Pool) take() []Action {
-	out := p.out
-	p.out = nil
+func (p *Pool) takeActions() []Action {
+	out := p.actions
+	p.actions = nil
 	return out
 }
--- a/internal/core/stagepool/intake_test.go
+++ b/internal/core/stagepool/ratelimit_test.go
@@ -11,26 +11,26 @@
 	"gradetiller.example/internal/core/signal"
 )
 
-// limit has the endpoints whose ids begin with a prefix take so many requests a second from
-// now on; below 0 is any number.
+// limit sets a rate limit on the endpoints whose IDs have the given prefix; a negative one removes
+// it.
 func (w *world) limit(prefix string, perSecond float64) {
 	limits := signal.NewLimits()
 	w.pool.paces = func(e catalog.Endpoint) intake.Pace {
 		if perSecond >= 0 && strings.HasPrefix(e.ID, prefix) {
-			rate, err := intake.RateOf(perSecond)
+			rate, err := intake.NewRate(perSecond)
 			if err != nil {
 				w.t.Fatal(err)
 			}
 			limits.Observe(w.now, e.ID, rate)
 		}
-		return intake.NewPace(limits.Bound(e.ID), intake.LeaderPart(intake.ByLeaders, 1, 1, time.Time{}))
+		return intake.NewPace(limits.Bound(e.ID), intake.LeaderShare(intake.ByLeaders, 1, 1, time.Time{}))
 	}
 	w.carryOut(w.pool.Configure(w.now, testServices, w.listed()))
 }
 
-// TestLimitedEndpoints has one of three endpoints of a service, then all, name a rate: calls
-// and results to give up together keep to it, all tasks that are let in end, and no result is
-// left behind in the end.
+// TestLimitedEndpoints guards against exceeding the rate limit of one endpoint, or of all
+// endpoints, of a service. Calls and frees together must stay within the limit, all admitted tasks
+// must end, and no result may remain at its endpoint.
 func TestLimitedEndpoints(t *testing.T) {
 	const perSecond = 1.5
 	for _, prefix := range []string{"tag-0", "tag", "bill", "print-1"} {
@@ -45,11 +45,11 @@
 					continue
 				}
 				sent := intaketest.After(w.sent[e.ID], from)
-				if got := intaketest.Most(sent, from); got > intaketest.Allowed(perSecond) {
+				if got := intaketest.MaxInSpan(sent, from); got > intaketest.Allowed(perSecond) {
 					t.Errorf("%s got %d requests in %v", e.ID, got, intaketest.Span)
 				}
 				if len(intaketest.After(sent, from.Add(5*time.Second))) == 0 {
-					t.Errorf("%s was left with nothing", e.ID)
+					t.Errorf("%s got no requests from 5 s on", e.ID)
 				}
 			}
 			for _, id := range taken {
@@ -61,20 +61,21 @@
 			w.limit(prefix, -1)
 			w.run(10 * time.Second)
 			if len(w.handles) != 0 {
-				t.Errorf("%d results were never given up", len(w.handles))
+				t.Errorf("%d results were never freed", len(w.handles))
 			}
-			t.Logf("%d tasks let in, %d done", len(taken), len(w.done))
+			t.Logf("%d tasks admitted, %d completed", len(taken), len(w.done))
 		})
 	}
 }
 
-// TestCrowdedOut has all endpoints of the first stage name a low rate while many tasks wait:
-// those that can't be in time any more are given up at once, long before their deadline.
-func TestCrowdedOut(t *testing.T) {
+// TestRateLimitFailsLateTasksEarly guards against tasks that wait until their deadline once all
+// endpoints of the first stage advertise a low rate limit: those that can't be on time fail at
+// once.
+func TestRateLimitFailsLateTasksEarly(t *testing.T) {
 	w := newWorld(t, 3, 2)
 	var waiting []TaskID
 	for range 40 {
-		if id, ok := w.submit(Task{RequestID: "r", Stages: testStages, Aim: w.now.Add(3 * time.Second), Deadline: w.now.Add(30 * time.Second)}); ok {
+		if id, ok := w.submit(Task{RequestID: "r", Stages: testStages, SoftDeadline: w.now.Add(3 * time.Second), Deadline: w.now.Add(30 * time.Second)}); ok {
 			waiting = append(waiting, id)
 		}
 	}
@@ -85,20 +86,20 @@
 		_, done := w.done[id]
 		reason, failed := w.failed[id]
 		switch {
-		case failed && reason == crowdedOutReason:
+		case failed && reason == reasonRateLimited:
 			given++
-		case !done && !failed && !w.pool.tasks[id].worked:
+		case !done && !failed && !w.pool.tasks[id].started:
 			left++
 		}
 	}
 	if given == 0 || left > 0 {
-		t.Errorf("%d tasks were given up, %d wait on", given, left)
+		t.Errorf("%d tasks failed early, %d are still waiting", given, left)
 	}
 }
 
-// TestNothingCollectedReachesALeavingEndpoint has an endpoint in need begin to leave while
-// results wait to be given up there.
-func TestNothingCollectedReachesALeavingEndpoint(t *testing.T) {
+// TestLeavingEndpointGetsNoQueuedFrees guards against requests to a rate-limited endpoint that
+// starts to leave while frees are queued for it.
+func TestLeavingEndpointGetsNoQueuedFrees(t *testing.T) {
 	w := newWorld(t, 5, 2)
 	w.limit("tag-0", 0.5)
 	before := 0
@@ -112,6 +113,6 @@
 	})
 	w.load(6, 6*time.Second, 1900*time.Millisecond)
 	if after := len(w.sent["tag-0"]); before == 0 || after != before {
-		t.Errorf("%d requests reached it after %d before", after-before, before)
+		t.Errorf("%d requests reached the leaving endpoint, %d before it left", after-before, before)
 	}
 }
