--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -65,7 +65,7 @@
 		n.log.Info(eventLeadsACell, zap.Int("cell", cell))
 		n.leaders.contend(cell, time.Now())
 		n.ratesChanged.Store(true)
-		n.crowd()
+		n.recordOtherLeader()
 		n.publishEntry()
 		go n.leaders.learnCaches()
 	}
@@ -85,7 +85,7 @@
 		shared := n.otherLeads(cell)
 		if shared {
 			n.leaders.contend(cell, time.Now())
-			n.crowd()
+			n.recordOtherLeader()
 		}
 		if !leaves && (!shared || n.ranksFirst(cell)) {
 			continue
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// acceptAfter is how long a node that stops takes new connections: the life
+	// acceptTime is how long a node that stops takes new connections: the life
 	// of a look-up answer, and half a second for the news that it leaves to reach
 	// the nodes that give them. Clients that hold an answer longer are better off
 	// with a connection refused, since they take another address at once.
-	acceptAfter = answerLife + 500*time.Millisecond
-	// lastMoment is what is left of the grace period when the node gives up
+	acceptTime = answerLife + 500*time.Millisecond
+	// shutdownMargin is what is left of the grace period when the node gives up
 	// what is still in flight.
-	lastMoment = 400 * time.Millisecond
-	// flushTime is how long clients have to read the end of an answer, where the
+	shutdownMargin = 400 * time.Millisecond
+	// flushTimeout is how long clients have to read the end of an answer, where the
 	// grace period leaves it; a link that is full takes that for some kilobytes.
-	flushTime = 500 * time.Millisecond
-	// lastAnswers is how long the last answers have to go out.
-	lastAnswers = 100 * time.Millisecond
-	drainPoll   = 10 * time.Millisecond
-	leadingPoll = 50 * time.Millisecond
-	// leaveTime is how long the news that this node is gone have to go out.
-	leaveTime = 50 * time.Millisecond
+	flushTimeout = 500 * time.Millisecond
+	// finalAnswersTimeout is how long the last answers have to go out.
+	finalAnswersTimeout = 100 * time.Millisecond
+	drainPollInterval   = 10 * time.Millisecond
+	leadingPollInterval = 50 * time.Millisecond
+	// leaveGossipTime is how long the news that this node is gone have to go out.
+	leaveGossipTime = 50 * time.Millisecond
 )
 
 // front is where clients' requests come in.
@@ -40,21 +40,21 @@
 // drain stops as planned: the node leaves the look-up answers of all nodes at
 // once, serves on for a while, and ends when nothing is in flight.
 func (n *Node) drain(f *front) {
-	s := n.beginStop()
-	time.Sleep(s.accepts)
+	s := n.beginShutdown()
+	time.Sleep(s.acceptFor)
 	_ = f.listener.Close()
-	bounded, cancel := context.WithDeadline(context.Background(), s.ends)
+	bounded, cancel := context.WithDeadline(context.Background(), s.endsAt)
 	defer cancel()
 	n.awaitRequests(bounded)
-	for n.leading() && bounded.Err() == nil {
-		time.Sleep(leadingPoll)
+	for n.leadsTasks() && bounded.Err() == nil {
+		time.Sleep(leadingPollInterval)
 	}
 	s.closing.Store(true)
 	clean := n.awaitRequests(bounded)
 	if clean {
 		f.flush(bounded)
 	}
-	n.endRequests(f)
+	n.abortRequests(f)
 	n.leave()
 	if clean {
 		n.log.Info(eventStopped)
@@ -66,16 +66,16 @@
 // flush waits for the ends of answers, which leave the process after the requests
 // are no longer counted.
 func (f *front) flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, flushTime)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	_ = f.server.Shutdown(ctx)
 }
 
-// beginStop has all nodes know that this one leaves.
-func (n *Node) beginStop() *stop {
+// beginShutdown has all nodes know that this one leaves.
+func (n *Node) beginShutdown() *shutdown {
 	now := time.Now()
-	ends := now.Add(n.settings.GracePeriod - lastMoment)
-	s := &stop{asked: now, accepts: min(acceptAfter, n.settings.GracePeriod/2), ends: ends, window: drain.Until(ends)}
+	ends := now.Add(n.settings.GracePeriod - shutdownMargin)
+	s := &shutdown{requestedAt: now, acceptFor: min(acceptTime, n.settings.GracePeriod/2), endsAt: ends, window: drain.Until(ends)}
 	n.stop.Store(s)
 	n.publishEntry()
 	n.log.Info(eventStopping, zap.Int64("in_flight", n.inFlight.Load()))
@@ -89,24 +89,24 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	return true
 }
 
-// endRequests gives up what is still in flight. Each request ends itself, so
+// abortRequests gives up what is still in flight. Each request ends itself, so
 // that its line in the log tells what became of it; then its answer goes out. A
 // request whose client does not read ends with its connection.
-func (n *Node) endRequests(f *front) {
-	n.giveUp(errStopped)
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+func (n *Node) abortRequests(f *front) {
+	n.giveUp(errTerminated)
+	ctx, cancel := context.WithTimeout(context.Background(), finalAnswersTimeout)
 	defer cancel()
 	if f.server.Shutdown(ctx) == nil {
 		return
 	}
 	n.log.Info(eventConnectionsCut, zap.Int64("in_flight", n.inFlight.Load()))
 	_ = f.server.Close()
-	time.Sleep(drainPoll)
+	time.Sleep(drainPollInterval)
 }
 
 // leave tells the other nodes that this one is gone.
@@ -116,11 +116,11 @@
 	sends := n.members.Tick(time.Now())
 	n.membersMu.Unlock()
 	n.sendGossip(sends)
-	time.Sleep(leaveTime)
+	time.Sleep(leaveGossipTime)
 }
 
-// leading reports whether this node still runs stages for others.
-func (n *Node) leading() bool {
+// leadsTasks reports whether this node still runs stages for others.
+func (n *Node) leadsTasks() bool {
 	n.leaders.mu.Lock()
 	defer n.leaders.mu.Unlock()
 	for _, c := range n.leaders.cells {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -47,7 +47,7 @@
 
 // late is when a stream comes that can't end within the grace period any more,
 // while the node still takes connections.
-const late = stopGrace - lastMoment - longStream + 100*time.Millisecond
+const late = stopGrace - shutdownMargin - longStream + 100*time.Millisecond
 
 // startStopping starts a node before an engine whose streams are long. Until it is
 // taught, it has served none of them.
@@ -80,7 +80,7 @@
 	route := r.node.view.Load().config.Match(platformtest.Host, path)
 	for range streamsBefore {
 		now := time.Now()
-		r.node.times.served(&request{in: platform.ClientRequest{MaxTokens: stated}, service: route.PickBackend(0), route: route, arrived: now.Add(-longStream)}, now)
+		r.node.times.observe(&request{in: platform.ClientRequest{MaxTokens: stated}, service: route.PickBackend(0), route: route, arrived: now.Add(-longStream)}, now)
 	}
 }
 
@@ -162,7 +162,7 @@
 	q := &request{in: platform.ClientRequest{RequestID: "slow", MaxTokens: stated}, view: n.node.view.Load(), service: "model", arrived: time.Now()}
 	q.route = q.view.config.Match(platformtest.Host, "/staged/")
 	q.deadline = q.arrived.Add(longTimeout)
-	n.node.stop.Store(&stop{asked: q.arrived, accepts: acceptAfter, ends: q.arrived, window: drain.Until(q.arrived.Add(longStream))})
+	n.node.stop.Store(&shutdown{requestedAt: q.arrived, acceptFor: acceptTime, endsAt: q.arrived, window: drain.Until(q.arrived.Add(longStream))})
 	w := httptest.NewRecorder()
 	n.node.serveStream(context.Background(), w, q)
 	checkTurnedAway(t, "slow", platformtest.Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After")}, model)
@@ -188,7 +188,7 @@
 	wait.Go(func() { do(n.Front, longRequest("in-flight", "/once/")) })
 	eventually(t, "the other request runs", func() bool { return model.Runs("in-flight") > 0 })
 	opened := n.connect(t)
-	time.Sleep(acceptAfter)
+	time.Sleep(acceptTime)
 	checkTurnedAway(t, "waiting", platformtest.DoOn(context.Background(), opened, n.Front, longRequest("waiting", "/once/")), model)
 	checkTurnedAway(t, "kept-2", platformtest.DoOn(context.Background(), kept, n.Front, longRequest("kept-2", "/once/")), model)
 	wait.Wait()
@@ -220,7 +220,7 @@
 	}
 	answer := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
 	streamed, refused := httptest.NewRecorder(), httptest.NewRecorder()
-	(&stream{node: n.node, q: before, w: streamed}).head(answer)
+	(&stream{node: n.node, q: before, w: streamed}).sendHead(answer)
 	n.node.refuse(refused, &request{arrived: before.arrived, view: n.node.view.Load()}, http.StatusBadGateway, "lost", 0)
 	for _, w := range []*httptest.ResponseRecorder{streamed, refused} {
 		if got := w.Header().Values("Connection"); len(got) != 1 || got[0] != "close" {
@@ -239,7 +239,7 @@
 	cfg := n.node.view.Load().config
 	ask := func(path string) (time.Duration, bool) {
 		route := cfg.Match(platformtest.Host, path)
-		return n.node.times.likely(&request{service: route.PickBackend(0), route: route})
+		return n.node.times.upperEstimate(&request{service: route.PickBackend(0), route: route})
 	}
 	for _, path := range []string{"/once/", "/plain/"} {
 		if takes, known := ask(path); !known || takes < longStream {
@@ -256,7 +256,7 @@
 // as lost when it is cut, even at the end of the grace period.
 func TestStopAcceptsInTime(t *testing.T) {
 	const allowed = 3 * time.Second
-	if acceptAfter >= allowed {
-		t.Errorf("connections are taken for %v, %v are allowed", acceptAfter, allowed)
+	if acceptTime >= allowed {
+		t.Errorf("connections are taken for %v, %v are allowed", acceptTime, allowed)
 	}
 }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	// againSoon is told to clients when no endpoint can take a request now.
-	againSoon = 300 * time.Millisecond
-	// defaultLeft is taken for clients that do not say how long they wait.
-	defaultLeft = 30 * time.Second
-	// maxBody bounds a request's body when the configuration does not.
-	maxBody = 8 << 20
-	// mostSends bounds the attempts that reached no endpoint.
-	mostSends = 6
-	// patienceShare of the objective, but leastPatience at least, is what an
+	// minRetryAfter is told to clients when no endpoint can take a request now.
+	minRetryAfter = 300 * time.Millisecond
+	// defaultTimeout is taken for clients that do not say how long they wait.
+	defaultTimeout = 30 * time.Second
+	// defaultMaxBodyBytes bounds a request's body when the configuration does not.
+	defaultMaxBodyBytes = 8 << 20
+	// maxSends bounds the attempts that reached no endpoint.
+	maxSends = 6
+	// attemptTimeoutFactor of the objective, but leastPatience at least, is what an
 	// endpoint has for its answer while another one may be asked.
-	patienceShare = 1.5
-	leastPatience = 400 * time.Millisecond
+	attemptTimeoutFactor = 1.5
+	minAttemptTimeout    = 400 * time.Millisecond
 	// delivered is the outcome of requests whose whole answer was passed on.
 	delivered = "delivered"
 )
@@ -51,20 +51,20 @@
 	// content tells tries of the same request; each has an id of its own.
 	content poison.ID
 	// prefix is the part of the prompt that decides the placement.
-	prefix   uint64
-	source   *http.Request
-	sent     int
-	ran      bool
-	endpoint string
-	outcome  string
+	prefix     uint64
+	source     *http.Request
+	sent       int
+	mayHaveRun bool
+	endpoint   string
+	outcome    string
 	// leader ran the stages, and predicted was its prediction of their time
 	// when it took or refused them.
 	leader    string
 	predicted time.Duration
-	// staged and first are the times from the arrival to the last stage's
+	// stagesTook and first are the times from the arrival to the last stage's
 	// results and to the answer's head, or 0.
-	staged time.Duration
-	first  time.Duration
+	stagesTook time.Duration
+	headTook   time.Duration
 	// afterStop is how long after the process was told to stop the request
 	// came, or 0.
 	afterStop time.Duration
@@ -76,12 +76,12 @@
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
 	if s := n.stop.Load(); s != nil {
-		q.afterStop = q.arrived.Sub(s.asked)
+		q.afterStop = q.arrived.Sub(s.requestedAt)
 	}
 	switch status := n.accept(w, q); status {
 	case 0:
 	case http.StatusServiceUnavailable:
-		n.refuse(w, q, status, "not ready", againSoon)
+		n.refuse(w, q, status, "not ready", minRetryAfter)
 		return
 	case http.StatusRequestTimeout:
 		n.refuse(w, q, status, "body came too slowly", 0)
@@ -93,8 +93,8 @@
 	if n.refusePoison(w, q) {
 		return
 	}
-	if !n.endsInTime(q) {
-		n.turnAway(w, q)
+	if !n.finishesInTime(q) {
+		n.rejectStopping(w, q)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
@@ -133,7 +133,7 @@
 	}
 	left := q.in.Timeout
 	if left <= 0 {
-		left = defaultLeft
+		left = defaultTimeout
 	}
 	if q.route.Timeout > 0 {
 		left = min(left, q.route.Timeout)
@@ -142,17 +142,17 @@
 	q.service = q.route.PickBackend(hash.Of(q.in.RequestID))
 	limit := cfg.Limits.BodyBytes
 	if limit <= 0 {
-		limit = maxBody
+		limit = defaultMaxBodyBytes
 	}
 	if status := n.readBody(w, q, limit); status != 0 {
 		return status
 	}
-	q.content = q.identify()
+	q.content = q.contentID()
 	return 0
 }
 
-// identify returns what tells this try from those of other requests.
-func (q *request) identify() poison.ID {
+// contentID returns what tells this try from those of other requests.
+func (q *request) contentID() poison.ID {
 	caller := q.account
 	if caller == "" {
 		caller = q.in.APIKey
@@ -184,9 +184,9 @@
 	return http.StatusBadRequest
 }
 
-// tellClose tells a client, before an answer's head goes out, that its connection
+// announceClose tells a client, before an answer's head goes out, that its connection
 // ends with it if this node stops. The client opens its next one elsewhere.
-func (n *Node) tellClose(w http.ResponseWriter) {
+func (n *Node) announceClose(w http.ResponseWriter) {
 	if n.stopping() {
 		w.Header().Set("Connection", "close")
 	}
@@ -195,7 +195,7 @@
 // refuse answers a request that the system ends itself.
 func (n *Node) refuse(w http.ResponseWriter, q *request, status int, reason string, again time.Duration) {
 	q.outcome = reason
-	n.tellClose(w)
+	n.announceClose(w)
 	platform.WriteError(w, q.in.RequestID, status, again)
 	n.logRequest(q, status)
 }
@@ -210,7 +210,7 @@
 		zap.String("id", q.in.RequestID), zap.Stringer("content", q.content), zap.String("route", route), zap.Int("status", status),
 		zap.String("outcome", q.outcome), zap.String("endpoint", q.endpoint), zap.Int("sent", q.sent),
 		zap.Uint64("config", q.view.version()), zap.String("leader", q.leader), zap.Duration("predicted", q.predicted),
-		zap.Duration("staged", q.staged), zap.Duration("first", q.first), zap.Duration("after_stop", q.afterStop), zap.Duration("took", time.Since(q.arrived)),
+		zap.Duration("staged", q.stagesTook), zap.Duration("first", q.headTook), zap.Duration("after_stop", q.afterStop), zap.Duration("took", time.Since(q.arrived)),
 	}
 	if q.lost(status) {
 		n.log.Warn(eventRequest, fields...)
@@ -238,8 +238,8 @@
 	return status < http.StatusBadRequest
 }
 
-// outbound is the request as it goes to an endpoint.
-func (n *Node) outbound(q *request, e catalog.Endpoint, now time.Time) platform.WorkerRequest {
+// workerRequest is the request as it goes to an endpoint.
+func (n *Node) workerRequest(q *request, e catalog.Endpoint, now time.Time) platform.WorkerRequest {
 	return platform.WorkerRequest{
 		Connections: intake.NewConnections(q.view.config.Services[e.Service].MaxConns, n.share.Load().nodes),
 		Endpoint:    e, Method: q.source.Method, Host: q.source.Host, Target: q.in.Target, Header: q.source.Header,
@@ -250,73 +250,73 @@
 // servePlain takes a request to an endpoint of a plain service.
 func (n *Node) servePlain(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
-	if n.rejectClosed(w, q, q.awaitLimit(q.arrived)) {
+	if n.rejectIfBackedOff(w, q, q.backoffWaitLimit(q.arrived)) {
 		return
 	}
 	var tried []string
-	for range mostSends {
+	for range maxSends {
 		if n.refusePoison(w, q) {
 			return
 		}
 		c, ok := n.choose(ctx, q, need{service: q.service, tried: tried})
 		if !ok {
-			n.endNotRun(w, q, noEndpointReason)
+			n.answerNotRun(w, q, noEndpointReason)
 			return
 		}
 		tried = append(tried, c.endpoint.ID)
 		a, body, event := n.tryPlain(ctx, q, c)
-		next := n.next(q, event, a)
+		next := n.nextAction(q, event, a)
 		switch next {
 		case attempt.Retry:
 			continue
 		case attempt.Deliver:
 			n.deliver(w, q, a, body)
 		case attempt.AnswerNotRun:
-			n.endNotRun(w, q, "endpoints declined")
+			n.answerNotRun(w, q, "endpoints declined")
 		default:
-			n.endUnknown(ctx, w, q, "no answer")
+			n.answerUnknown(ctx, w, q, "no answer")
 		}
 		return
 	}
-	n.endNotRun(w, q, "no endpoint reached")
+	n.answerNotRun(w, q, "no endpoint reached")
 }
 
 // noEndpointReason is the outcome of requests for which no endpoint is in use.
 const noEndpointReason = "no endpoint"
 
-// rejectClosed rejects a request at once if its service has no endpoint in use, nor will have
+// rejectIfBackedOff rejects a request at once if its service has no endpoint in use, nor will have
 // before a moment, so that no stage runs for it in vain. It reports whether it did.
-func (n *Node) rejectClosed(w http.ResponseWriter, q *request, by time.Time) bool {
-	reopens, closed := n.pools.closed(time.Now(), q.service)
+func (n *Node) rejectIfBackedOff(w http.ResponseWriter, q *request, by time.Time) bool {
+	reopens, closed := n.pools.allBackedOff(time.Now(), q.service)
 	if !closed || !reopens.IsZero() && reopens.Before(by) {
 		return false
 	}
-	n.endNotRun(w, q, noEndpointReason)
+	n.answerNotRun(w, q, noEndpointReason)
 	return true
 }
 
-// awaitShare is the share of the objective that a request may wait for the end of a backoff; one
+// backoffWaitShare is the share of the objective that a request may wait for the end of a backoff; one
 // whose stages have run may wait for that share of its deadline.
-const awaitShare = 0.5
+const backoffWaitShare = 0.5
 
-// awaitLimit is until when a request may wait for the end of a backoff.
-func (q *request) awaitLimit(now time.Time) time.Time {
-	if q.staged > 0 {
-		return now.Add(time.Duration(awaitShare * float64(q.deadline.Sub(now))))
+// backoffWaitLimit is until when a request may wait for the end of a backoff.
+func (q *request) backoffWaitLimit(now time.Time) time.Time {
+	if q.stagesTook > 0 {
+		return now.Add(time.Duration(backoffWaitShare * float64(q.deadline.Sub(now))))
 	}
-	return q.arrived.Add(time.Duration(awaitShare * float64(q.route.Objective)))
+	return q.arrived.Add(time.Duration(backoffWaitShare * float64(q.route.Objective)))
 }
 
 // choose picks the endpoint of an attempt. While backoffs keep all from use it waits for the end
 // of one, if that is near.
-func (n *Node) choose(ctx context.Context, q *request, wants need) (*placed, bool) {
-	limit := q.awaitLimit(time.Now())
+func (n *Node) choose(ctx context.Context, q *request, wants need) (*placedCall, bool) {
+	limit := q.backoffWaitLimit(time.Now())
 	for {
 		now := time.Now()
 		if c, ok := n.pools.choose(now, wants); ok {
 			return c, true
 		}
-		at := n.pools.reopens(now, wants)
+		at := n.pools.nextAfterBackoff(now, wants)
 		if at.IsZero() || !at.Before(limit) || ctx.Err() != nil {
 			return nil, false
 		}
@@ -324,27 +324,27 @@
 	}
 }
 
-// next decides about an ended attempt, within the budget of repeats.
-func (n *Node) next(q *request, event attempt.Event, a *platform.Response) attempt.Action {
-	ended := attempt.Outcome{Event: event, Repeatable: q.route.Repeatable(), Attempts: q.sent, MaxAttempts: q.route.MaxAttempts, MayHaveRun: q.ran}
+// nextAction decides about an ended attempt, within the budget of repeats.
+func (n *Node) nextAction(q *request, event attempt.Event, a *platform.Response) attempt.Action {
+	ended := attempt.Outcome{Event: event, Repeatable: q.route.Repeatable(), Attempts: q.sent, MaxAttempts: q.route.MaxAttempts, MayHaveRun: q.mayHaveRun}
 	if a != nil {
 		ended.ServerError = a.Status >= http.StatusInternalServerError
 	}
 	if event != attempt.NotSent && event != attempt.Rejected {
-		q.ran = true
+		q.mayHaveRun = true
 	}
 	next := attempt.Decide(ended)
-	if next != attempt.Retry || n.takesAnother(q, event) {
+	if next != attempt.Retry || n.mayRetry(q, event) {
 		return next
 	}
 	ended.MaxAttempts = ended.Attempts
 	return attempt.Decide(ended)
 }
 
-// takesAnother reports whether one more attempt may follow; one that reached no
+// mayRetry reports whether one more attempt may follow; one that reached no
 // endpoint costs nothing of the budget.
-func (n *Node) takesAnother(q *request, event attempt.Event) bool {
-	if n.ended() {
+func (n *Node) mayRetry(q *request, event attempt.Event) bool {
+	if n.terminated() {
 		return false
 	}
 	if event == attempt.NotSent {
@@ -354,13 +354,13 @@
 }
 
 // tryPlain sends one attempt and reads its whole answer.
-func (n *Node) tryPlain(ctx context.Context, q *request, c *placed) (*platform.Response, []byte, attempt.Event) {
+func (n *Node) tryPlain(ctx context.Context, q *request, c *placedCall) (*platform.Response, []byte, attempt.Event) {
 	q.endpoint = c.endpoint.ID
-	limited, cancel := context.WithTimeout(ctx, q.patience(time.Now()))
+	limited, cancel := context.WithTimeout(ctx, q.attemptTimeout(time.Now()))
 	defer cancel()
-	a, err := n.workers.Send(limited, n.outbound(q, c.endpoint, time.Now()))
+	a, err := n.workers.Send(limited, n.workerRequest(q, c.endpoint, time.Now()))
 	if err != nil {
-		return nil, nil, n.faulted(ctx, limited, q, c, err)
+		return nil, nil, n.recordSendError(ctx, limited, q, c, err)
 	}
 	defer a.Body.Close()
 	event := a.Event
@@ -382,27 +382,27 @@
 		event = attempt.Complete
 	}
 	now := time.Now()
-	c.end(now, place.Result{OK: event == attempt.Complete, Neutral: event == attempt.Fail && a.Status < 500 || a.Signals.Backoff > 0, Load: load(a, now)})
+	c.finish(now, place.Result{OK: event == attempt.Complete, Neutral: event == attempt.Fail && a.Status < 500 || a.Signals.Backoff > 0, Load: reportedLoad(a, now)})
 	return a, body, event
 }
 
-func load(a *platform.Response, now time.Time) place.Load {
+func reportedLoad(a *platform.Response, now time.Time) place.Load {
 	if !a.Signals.Load.Known {
 		return place.Load{}
 	}
 	return place.Load{Calls: a.Signals.Load.Busy, ReceivedAt: now}
 }
 
-// patience is how long an attempt may go without an answer: until the deadline,
+// attemptTimeout is how long an attempt may go without an answer: until the deadline,
 // but less when another endpoint may be asked. An endpoint that hangs must not
 // take all of the time.
-func (q *request) patience(now time.Time) time.Duration {
+func (q *request) attemptTimeout(now time.Time) time.Duration {
 	left := q.deadline.Sub(now)
 	if !q.route.Repeatable() || q.sent+1 >= q.route.MaxAttempts {
 		return left
 	}
-	usual := time.Duration(patienceShare * float64(q.route.Objective))
-	return min(max(usual, leastPatience), left/2)
+	usual := time.Duration(attemptTimeoutFactor * float64(q.route.Objective))
+	return min(max(usual, minAttemptTimeout), left/2)
 }
 
 // isBlocked reports whether an attempt was not sent since its endpoint's signals forbid it.
@@ -411,17 +411,17 @@
 	return errors.As(err, &blocked)
 }
 
-// faulted counts an attempt that has no answer; ctx is the request's, limited the
+// recordSendError counts an attempt that has no answer; ctx is the request's, limited the
 // attempt's own.
-func (n *Node) faulted(ctx, limited context.Context, q *request, c *placed, err error) attempt.Event {
+func (n *Node) recordSendError(ctx, limited context.Context, q *request, c *placedCall, err error) attempt.Event {
 	var fault *platform.SendError
 	sent := errors.As(err, &fault) && fault.Sent
 	// A client that left before its answer was late says nothing of the
 	// endpoint; one that waited longer than the objective does.
 	left := ctx.Err() != nil && time.Since(c.started) < q.route.Objective
 	blocked := isBlocked(err)
-	n.learnBlocked(err)
-	c.end(time.Now(), place.Result{Neutral: left || blocked, Unreachable: !sent && !blocked})
+	n.recordBlocked(err)
+	c.finish(time.Now(), place.Result{Neutral: left || blocked, Unreachable: !sent && !blocked})
 	n.log.Info(eventAttemptFailed, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Bool("sent", sent), zap.Error(err))
 	if !sent {
 		return attempt.NotSent
@@ -435,7 +435,7 @@
 func (n *Node) deliver(w http.ResponseWriter, q *request, a *platform.Response, body []byte) {
 	q.outcome = delivered
 	platform.CopyResponseHeader(w, a.Header)
-	n.tellClose(w)
+	n.announceClose(w)
 	w.WriteHeader(a.Status)
 	_, err := w.Write(body)
 	if err == nil && a.Status < http.StatusBadRequest {
@@ -444,21 +444,21 @@
 	n.logRequest(q, a.Status)
 }
 
-// endNotRun tells the client that its request has not run, and when to come
+// answerNotRun tells the client that its request has not run, and when to come
 // back; or promises nothing if it may have run.
-func (n *Node) endNotRun(w http.ResponseWriter, q *request, reason string) {
-	reason = n.givenUp(q, reason)
-	if q.ran {
+func (n *Node) answerNotRun(w http.ResponseWriter, q *request, reason string) {
+	reason = n.failureReason(q, reason)
+	if q.mayHaveRun {
 		n.refuse(w, q, http.StatusBadGateway, reason, 0)
 		return
 	}
 	n.refuse(w, q, http.StatusServiceUnavailable, reason, n.retryAfter(q.service))
 }
 
-// endUnknown tells the client that its request failed, and promises nothing.
-func (n *Node) endUnknown(ctx context.Context, w http.ResponseWriter, q *request, reason string) {
-	if n.ended() {
-		n.endNotRun(w, q, reason)
+// answerUnknown tells the client that its request failed, and promises nothing.
+func (n *Node) answerUnknown(ctx context.Context, w http.ResponseWriter, q *request, reason string) {
+	if n.terminated() {
+		n.answerNotRun(w, q, reason)
 		return
 	}
 	status := http.StatusBadGateway
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -67,9 +67,9 @@
 	tasks  map[ownerKey]stagepool.TaskID
 	// asks are what the requests ask of their models, placed where they were
 	// sent until their answers begin, turnWaits those that can't be sent yet.
-	asks      map[stagepool.TaskID]ask
-	placed    map[stagepool.TaskID]*placed
-	turnWaits []turnWait
+	asks      map[stagepool.TaskID]placementRequest
+	placed    map[stagepool.TaskID]*placedCall
+	turnWaits []pendingPlacement
 	logged    time.Time
 	// ticking tells whether the ticker runs; it does while there are tasks.
 	ticking bool
@@ -111,7 +111,7 @@
 	c = &leader{
 		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
 		owners: make(map[stagepool.TaskID]owner), tasks: make(map[ownerKey]stagepool.TaskID),
-		asks: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
+		asks: make(map[stagepool.TaskID]placementRequest), placed: make(map[stagepool.TaskID]*placedCall),
 	}
 	l.cells[cell] = c
 	c.configure(time.Now(), l.view)
@@ -181,12 +181,12 @@
 		return
 	}
 	now := time.Now()
-	wants := askOf(now, m)
-	f := l.models.predict(now, wants.at(now), m.Extra)
+	wants := newPlacementRequest(now, m)
+	f := l.models.predict(now, wants.needAt(now), m.Extra)
 	t := stagepool.Task{
 		RequestID: m.RequestID, Key: m.Key, Priority: m.Priority, Domain: f.domain,
-		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.read),
-		Allowance:    f.rest,
+		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.ttft),
+		Allowance:    f.extraPrefill,
 		Deadline:     now.Add(time.Duration(m.Deadline) * time.Millisecond),
 	}
 	// Nodes of an earlier version do not tell the content.
@@ -195,20 +195,20 @@
 		t.Stages = append(t.Stages, stagepool.Stage(s))
 	}
 	wants.aim = t.SoftDeadline
-	by := now.Add(leastTurnWait)
+	by := now.Add(minPlacementWait)
 	if latest := t.SoftDeadline.Add(t.Allowance); latest.After(by) {
 		by = latest
 	}
-	if again, ok := l.models.admits(now, m.Model, by); !ok && l.places() {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: again.Milliseconds(), Reason: noTurnReason})
+	if again, ok := l.models.admits(now, m.Model, by); !ok && l.placesCalls() {
+		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: again.Milliseconds(), Reason: noCapacityReason})
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	verdict, actions := c.pool.Submit(now, t)
 	if verdict.Accepted {
-		wants.promised = true
-		l.models.promise(m.Model)
+		wants.reserved = true
+		l.models.reserve(m.Model)
 		c.owners[verdict.ID] = o
 		c.tasks[o.key] = verdict.ID
 		c.asks[verdict.ID] = wants
@@ -247,7 +247,7 @@
 	for _, c := range l.all() {
 		c.mu.Lock()
 		if id, ok := c.tasks[key]; ok {
-			c.endPlaced(id, how)
+			c.finishPlaced(id, how)
 			c.forget(id)
 			c.carryOut(c.pool.Release(time.Now(), id))
 		}
@@ -256,8 +256,8 @@
 }
 
 func (c *leader) forget(id stagepool.TaskID) {
-	c.endPlaced(id, wire.PlacementUnused)
-	c.settle(id)
+	c.finishPlaced(id, wire.PlacementUnused)
+	c.releaseReservation(id)
 	delete(c.asks, id)
 	delete(c.tasks, c.owners[id].key)
 	delete(c.owners, id)
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -30,11 +30,14 @@
 		end  func(n *Node, w http.ResponseWriter, q *request)
 		want zapcore.Level
 	}{
-		"no answer":        {func(n *Node, w http.ResponseWriter, q *request) { n.endUnknown(t.Context(), w, q, "no answer") }, zap.WarnLevel},
-		"late":             {func(n *Node, w http.ResponseWriter, q *request) { n.endUnknown(expired, w, q, "no answer") }, zap.WarnLevel},
-		"may have run":     {func(n *Node, w http.ResponseWriter, q *request) { q.ran = true; n.endNotRun(w, q, "no endpoint") }, zap.WarnLevel},
+		"no answer": {func(n *Node, w http.ResponseWriter, q *request) { n.answerUnknown(t.Context(), w, q, "no answer") }, zap.WarnLevel},
+		"late":      {func(n *Node, w http.ResponseWriter, q *request) { n.answerUnknown(expired, w, q, "no answer") }, zap.WarnLevel},
+		"may have run": {func(n *Node, w http.ResponseWriter, q *request) {
+			q.mayHaveRun = true
+			n.answerNotRun(w, q, "no endpoint")
+		}, zap.WarnLevel},
 		"broken off":       {breakOff, zap.WarnLevel},
-		"not run":          {func(n *Node, w http.ResponseWriter, q *request) { n.endNotRun(w, q, "no endpoint") }, zap.InfoLevel},
+		"not run":          {func(n *Node, w http.ResponseWriter, q *request) { n.answerNotRun(w, q, "no endpoint") }, zap.InfoLevel},
 		"not allowed":      {func(n *Node, w http.ResponseWriter, q *request) { n.refuse(w, q, 401, "not allowed", 0) }, zap.InfoLevel},
 		"worker's 200":     {func(n *Node, w http.ResponseWriter, q *request) { n.deliver(w, q, worker(200), nil) }, zap.InfoLevel},
 		"worker's 404":     {func(n *Node, w http.ResponseWriter, q *request) { n.deliver(w, q, worker(404), nil) }, zap.InfoLevel},
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -47,7 +47,7 @@
 	m.set.NewGauge("gradetiller_poison_known", func() float64 { _, known := n.poisons.sizes(); return float64(known) })
 	m.set.NewGauge("gradetiller_endpoints_limited", func() float64 { return float64(n.signals.limited()) })
 	m.set.NewGauge("gradetiller_endpoints_draining", func() float64 { return float64(n.signals.draining()) })
-	m.set.NewGauge("gradetiller_endpoints_in_backoff", func() float64 { return float64(n.signals.backingOff(time.Now())) })
+	m.set.NewGauge("gradetiller_endpoints_in_backoff", func() float64 { return float64(n.signals.inBackoff(time.Now())) })
 	if n.droppedLines != nil {
 		m.droppedLines("ordinary", func() uint64 { return n.droppedLines(logging.Ordinary) })
 		m.droppedLines("urgent", func() uint64 { return n.droppedLines(logging.Urgent) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,8 +54,8 @@
 	jobs        *jobs
 	links       *peer.Links
 	patience    leaderPatience
-	sizes       *sizes
-	times       *times
+	sizes       *promptSizes
+	times       *durations
 	meters      *meters
 	// metricsAddress serves the metrics; it may be empty.
 	metricsAddress string
@@ -93,7 +93,7 @@
 	readers   atomic.Pointer[discovery.Ranking]
 	liveNodes atomic.Int64
 	// share is this node's part of all nodes.
-	share  atomic.Pointer[share]
+	share  atomic.Pointer[nodeShare]
 	peakMu sync.Mutex
 	peak   intake.Peak
 	// crowded is the time from the start until which another leader may be at work, and
@@ -128,7 +128,7 @@
 	signals       *signals
 	inFlight      atomic.Int64
 	// stop is the planned stop under way, or nil.
-	stop atomic.Pointer[stop]
+	stop atomic.Pointer[shutdown]
 	// serving is the context of all requests; giveUp ends it with a cause.
 	serving context.Context
 	giveUp  context.CancelCauseFunc
@@ -165,7 +165,7 @@
 func New(s platform.Settings, options ...Option) *Node {
 	n := &Node{
 		settings: s, incarnation: settings.Incarnation(), started: time.Now(), log: zap.NewNop(),
-		jobs: newJobs(), times: newTimes(), sizes: &sizes{usual: make(map[string]float64)},
+		jobs: newJobs(), times: newDurations(), sizes: &promptSizes{averages: make(map[string]float64)},
 		patience:    leaderPatience{first: verdictTimeout, second: secondVerdict},
 		peerAddress: s.PeerAddress,
 	}
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -10,12 +10,12 @@
 	"gradetiller.example/internal/wire"
 )
 
-// crowdedTime is how long after another leader was seen at work what it has sent, or still
+// otherLeaderTTL is how long after another leader was seen at work what it has sent, or still
 // sends, may take the place of what this one may send.
-const crowdedTime = 6 * time.Second
+const otherLeaderTTL = 6 * time.Second
 
-// share is this node's place among all nodes.
-type share struct{ rank, nodes int }
+// nodeShare is this node's place among all nodes.
+type nodeShare struct{ rank, nodes int }
 
 // bound is what an endpoint of a service takes from all nodes together.
 func (n *Node) bound(service catalog.Service, endpoint string, cold discovery.ColdPeriod) intake.Bound {
@@ -56,16 +56,16 @@
 	}
 }
 
-// shareOut finds this node's part of all nodes. One that has just begun may know none of
+// updateShare finds this node's part of all nodes. One that has just begun may know none of
 // them, but its seeds are others.
-func (n *Node) shareOut(now time.Time, entries []wire.Entry) {
+func (n *Node) updateShare(now time.Time, entries []wire.Entry) {
 	names := nodeNames(entries)
 	slices.Sort(names)
 	rank, _ := slices.BinarySearch(names, n.settings.Node)
 	n.peakMu.Lock()
 	defer n.peakMu.Unlock()
 	nodes := n.peak.Observe(now, max(len(names), len(n.settings.Seeds)+1))
-	next := share{rank: rank, nodes: nodes}
+	next := nodeShare{rank: rank, nodes: nodes}
 	if before := n.share.Swap(&next); before == nil || *before != next {
 		n.ratesChanged.Store(true)
 	}
@@ -87,16 +87,16 @@
 	if !n.ratesChanged.Swap(false) {
 		return
 	}
-	if v := n.view.Load(); len(v.cold) > 0 || n.signals.any() {
+	if v := n.view.Load(); len(v.cold) > 0 || n.signals.hasBounds() {
 		n.viewChanged()
 	}
 }
 
-// crowd has this node's part as a leader be smaller for a while, since another one was seen
+// recordOtherLeader has this node's part as a leader be smaller for a while, since another one was seen
 // at work, or may have been until now.
-func (n *Node) crowd() {
-	until := time.Since(n.started) + crowdedTime
-	if before := n.crowded.Swap(int64(until)); until-time.Duration(before) > crowdedTime/4 {
+func (n *Node) recordOtherLeader() {
+	until := time.Since(n.started) + otherLeaderTTL
+	if before := n.crowded.Swap(int64(until)); until-time.Duration(before) > otherLeaderTTL/4 {
 		n.ratesChanged.Store(true)
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -150,7 +150,7 @@
 func (n *Node) takeEntries(entries []wire.Entry) {
 	n.setEntries(entries)
 	n.poisons.membersChanged(entries)
-	n.signals.membersChanged(entries)
+	n.signals.forgetPeers(entries)
 	live := 0
 	for _, e := range entries {
 		if !e.Leaving {
@@ -286,7 +286,7 @@
 func (n *Node) takeStages(from wire.Hello, m *wire.StagesSubmit, answer peer.Answer) {
 	if s := n.stop.Load(); s != nil && (s.closing.Load() || n.othersStay(time.Now())) {
 		_ = answer(n.news())
-		_ = answer(leavingAnswer(m.ID, time.Until(s.ends)))
+		_ = answer(leavingAnswer(m.ID, time.Until(s.endsAt)))
 		return
 	}
 	n.claim(m.Cell)
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -13,17 +13,17 @@
 	"gradetiller.example/internal/wire"
 )
 
-// places reports whether leaders choose the endpoints of the requests whose stages they run.
-func (l *leaders) places() bool { return !l.off.Has(mechanism.Placement) }
+// placesCalls reports whether leaders choose the endpoints of the requests whose stages they run.
+func (l *leaders) placesCalls() bool { return !l.off.Has(mechanism.Placement) }
 
 const (
-	// listLimit is how long an engine may take to tell what it holds.
-	listLimit = 800 * time.Millisecond
-	// rejectedHold is how long a leader places nothing at an endpoint that asked some node for a
+	// cacheListTimeout is how long an engine may take to tell what it holds.
+	cacheListTimeout = 800 * time.Millisecond
+	// rejectedBackoff is how long a leader places nothing at an endpoint that asked some node for a
 	// backoff. One that rejects everything looks idle and would get each request of the others.
-	rejectedHold = 500 * time.Millisecond
-	// listsAtOnce bounds the engines that are asked at a time.
-	listsAtOnce = 32
+	rejectedBackoff = 500 * time.Millisecond
+	// maxCacheLists bounds the engines that are asked at a time.
+	maxCacheLists = 32
 )
 
 // learnCaches asks all model engines which parts of prompts they hold. A node that
@@ -41,7 +41,7 @@
 	// Work may come before the first list of endpoints, and the configuration too.
 	l.asks = len(engines) == 0
 	l.mu.Unlock()
-	turns := make(chan struct{}, listsAtOnce)
+	turns := make(chan struct{}, maxCacheLists)
 	for _, e := range engines {
 		turns <- struct{}{}
 		go func() {
@@ -52,7 +52,7 @@
 }
 
 func (l *leaders) learnCache(e catalog.Endpoint) {
-	ctx, cancel := context.WithTimeout(context.Background(), listLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), cacheListTimeout)
 	defer cancel()
 	held, err := l.workers.CachedPromptParts(ctx, e.ID, e.Address)
 	if err != nil {
@@ -63,12 +63,12 @@
 	for i, part := range held {
 		parts[i] = place.Part(part)
 	}
-	l.models.hold(e, parts)
+	l.models.recordCached(e, parts)
 	l.log.Info(eventCacheLearned, zap.String("endpoint", e.ID), zap.Int("parts", len(parts)))
 }
 
-// endPlaced counts the end of a placement; the lock is held.
-func (c *leader) endPlaced(id stagepool.TaskID, how wire.Placement) {
+// finishPlaced counts the end of a placement; the lock is held.
+func (c *leader) finishPlaced(id stagepool.TaskID, how wire.Placement) {
 	at, ok := c.placed[id]
 	if !ok {
 		return
@@ -76,13 +76,13 @@
 	delete(c.placed, id)
 	read := 0
 	if how == wire.PlacementServed {
-		read = at.ahead + at.work
+		read = at.queuedTokens + at.pendingTokens
 	}
 	now := time.Now()
-	at.end(now, place.Result{
+	at.finish(now, place.Result{
 		PrefillTokens: read, OK: how == wire.PlacementServed, Neutral: how == wire.PlacementUnused || how == wire.PlacementRejected, Unreachable: how == wire.PlacementUnreachable,
 	})
 	if how == wire.PlacementRejected {
-		c.group.models.backoff(at.endpoint.ID, now.Add(rejectedHold))
+		c.group.models.setBackoff(at.endpoint.ID, now.Add(rejectedBackoff))
 	}
 }
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -117,7 +117,7 @@
 		return false
 	}
 	n.meters.poisonRefused(q.route.Name)
-	if q.ran {
+	if q.mayHaveRun {
 		n.refuse(w, q, http.StatusBadGateway, poisonReason, 0)
 		return true
 	}
@@ -181,7 +181,7 @@
 
 // served takes in that a request was served well.
 func (n *Node) served(q *request) {
-	n.times.served(q, time.Now())
+	n.times.observe(q, time.Now())
 	n.learn(func(g *poison.Guard, now time.Time) poison.Outcome { return g.RecordSuccess(now, q.content) })
 }
 
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -25,25 +25,25 @@
 
 // pools holds the endpoints of the services that requests go to.
 type pools struct {
-	mu        sync.Mutex
-	seed      uint64
-	models    string // the policy for models
-	pace      pacing
-	off       mechanism.Disabled
-	byService map[string]*place.Pool
-	sharing   map[string]*place.KeySelector
-	// promised counts the calls of each service that were let in and are not placed yet.
-	promised map[string]int
+	mu           sync.Mutex
+	seed         uint64
+	models       string // the policy for models
+	pace         paceSource
+	off          mechanism.Disabled
+	byService    map[string]*place.Pool
+	keySelectors map[string]*place.KeySelector
+	// reserved counts the calls of each service that were let in and are not placed yet.
+	reserved map[string]int
 }
 
-// pacing returns, for a service of a view, when calls may go to an endpoint of it that is cold for a
+// paceSource returns, for a service of a view, when calls may go to an endpoint of it that is cold for a
 // time.
-type pacing func(v *view, service catalog.Service) endpointPace
+type paceSource func(v *view, service catalog.Service) endpointPace
 
 type endpointPace func(endpoint string, cold discovery.ColdPeriod) intake.Pace
 
-func newPools(seed uint64, models string, pace pacing, off mechanism.Disabled) *pools {
-	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), sharing: make(map[string]*place.KeySelector), promised: make(map[string]int)}
+func newPools(seed uint64, models string, pace paceSource, off mechanism.Disabled) *pools {
+	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), keySelectors: make(map[string]*place.KeySelector), reserved: make(map[string]int)}
 }
 
 func (p *pools) update(v *view) {
@@ -75,20 +75,20 @@
 	return pool
 }
 
-// placed is an endpoint that was chosen for a call, and counts it until it
+// placedCall is an endpoint that was chosen for a call, and counts it until it
 // ends.
-type placed struct {
-	pools    *pools
-	pool     *place.Pool
-	index    int
-	endpoint catalog.Endpoint
-	started  time.Time
-	work     int
-	// ahead is how many tokens of earlier calls the endpoint had to read.
-	ahead int
-	// copyFrom is the address of an endpoint that holds more of the prompt, or
+type placedCall struct {
+	pools         *pools
+	pool          *place.Pool
+	index         int
+	endpoint      catalog.Endpoint
+	started       time.Time
+	pendingTokens int
+	// queuedTokens is how many tokens of earlier calls the endpoint had to read.
+	queuedTokens int
+	// cacheSource is the address of an endpoint that holds more of the prompt, or
 	// "".
-	copyFrom string
+	cacheSource string
 	// bounded tells that the endpoint bounds what it takes, as far as this node knows.
 	bounded bool
 }
@@ -99,12 +99,12 @@
 	prefix  uint64
 	prompt  place.Prompt
 	tried   []string
-	// wanted is an endpoint that is taken if it can be, or "".
-	wanted string
+	// preferred is an endpoint that is taken if it can be, or "".
+	preferred string
 }
 
 // choose picks an endpoint that was not tried yet and counts a call there.
-func (p *pools) choose(now time.Time, n need) (*placed, bool) {
+func (p *pools) choose(now time.Time, n need) (*placedCall, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, req, i, ok := p.pick(now, n)
@@ -119,16 +119,16 @@
 	work := pool.Start(now, i, req)
 	spec := pool.At(i).Spec()
 	e := catalog.Endpoint{ID: spec.Name, Service: n.service, Address: spec.Address, Domain: spec.Domain, Slots: spec.Slots}
-	return &placed{pools: p, pool: pool, index: i, endpoint: e, started: now, work: work, ahead: ahead, copyFrom: copyFrom, bounded: spec.Pace.Bounded(now)}, true
+	return &placedCall{pools: p, pool: pool, index: i, endpoint: e, started: now, pendingTokens: work, queuedTokens: ahead, cacheSource: copyFrom, bounded: spec.Pace.Bounded(now)}, true
 }
 
 // forecast is where a prompt would go now.
 type forecast struct {
 	domain string
-	// read is the time that it would take to the first event.
-	read time.Duration
-	// rest is the time that reading some further tokens takes.
-	rest time.Duration
+	// ttft is the time that it would take to the first event.
+	ttft time.Duration
+	// extraPrefill is the time that reading some further tokens takes.
+	extraPrefill time.Duration
 }
 
 // predict tells where a call would go, and how long reading would take. extra
@@ -139,10 +139,10 @@
 	pool, req, i, ok := p.pick(now, n)
 	if !ok {
 		r := place.NewPrefillModel()
-		return forecast{read: r.Predict(n.prompt.Tokens), rest: r.Predict(extra) - r.Predict(0)}
+		return forecast{ttft: r.Predict(n.prompt.Tokens), extraPrefill: r.Predict(extra) - r.Predict(0)}
 	}
 	r := pool.PrefillModel()
-	return forecast{domain: pool.At(i).Spec().Domain, read: pool.PredictTTFT(now, i, req), rest: r.Predict(extra) - r.Predict(0)}
+	return forecast{domain: pool.At(i).Spec().Domain, ttft: pool.PredictTTFT(now, i, req), extraPrefill: r.Predict(extra) - r.Predict(0)}
 }
 
 func (p *pools) pick(now time.Time, n need) (*place.Pool, place.Request, int, bool) {
@@ -152,7 +152,7 @@
 	}
 	req := place.Request{Prefix: n.prefix, Prompt: n.prompt, Exclude: place.None, Tried: indices(pool, n.tried)}
 	req = pool.WithCacheHits(now, req)
-	if i := pool.Find(n.wanted); i != place.None && pool.Accepts(now, i, req) {
+	if i := pool.Find(n.preferred); i != place.None && pool.Accepts(now, i, req) {
 		req.ChosenByPeer = true
 		return pool, req, i, true
 	}
@@ -189,8 +189,8 @@
 	return list
 }
 
-// drain takes an endpoint out of use at once; the next update removes it.
-func (p *pools) drain(endpoint string) {
+// markDraining takes an endpoint out of use at once; the next update removes it.
+func (p *pools) markDraining(endpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.byService {
@@ -200,8 +200,8 @@
 	}
 }
 
-// backoff has nothing go to an endpoint until a moment.
-func (p *pools) backoff(endpoint string, until time.Time) {
+// setBackoff has nothing go to an endpoint until a moment.
+func (p *pools) setBackoff(endpoint string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.byService {
@@ -211,8 +211,8 @@
 	}
 }
 
-// of returns the backoffs of a service's endpoints.
-func (p *pools) of(service string, list []signal.Backoff) []signal.Backoff {
+// backoffsOf returns the backoffs of a service's endpoints.
+func (p *pools) backoffsOf(service string, list []signal.Backoff) []signal.Backoff {
 	if len(list) == 0 {
 		return nil
 	}
@@ -222,9 +222,9 @@
 	return slices.DeleteFunc(list, func(b signal.Backoff) bool { return !ok || pool.Find(b.Endpoint) == place.None })
 }
 
-// closed reports whether no endpoint of a service takes requests of this node, and the first end
+// allBackedOff reports whether no endpoint of a service takes requests of this node, and the first end
 // of a backoff there, or the zero time.
-func (p *pools) closed(now time.Time, service string) (reopens time.Time, closed bool) {
+func (p *pools) allBackedOff(now time.Time, service string) (reopens time.Time, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, ok := p.byService[service]
@@ -234,9 +234,9 @@
 	return pool.AllBackedOff(now)
 }
 
-// reopens is when an endpoint that is in backoff, or was of late, may first take a call, or the
+// nextAfterBackoff is when an endpoint that is in backoff, or was of late, may first take a call, or the
 // zero time.
-func (p *pools) reopens(now time.Time, n need) time.Time {
+func (p *pools) nextAfterBackoff(now time.Time, n need) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, ok := p.byService[n.service]
@@ -254,8 +254,8 @@
 	return list
 }
 
-// hold takes in what an endpoint tells to hold.
-func (p *pools) hold(e catalog.Endpoint, parts []place.Part) {
+// recordCached takes in what an endpoint tells to hold.
+func (p *pools) recordCached(e catalog.Endpoint, parts []place.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pool, ok := p.byService[e.Service]; ok {
@@ -271,10 +271,10 @@
 	if !ok {
 		return 0
 	}
-	shared, ok := p.sharing[q.service]
+	shared, ok := p.keySelectors[q.service]
 	if !ok {
 		shared = place.NewKeySelector()
-		p.sharing[q.service] = shared
+		p.keySelectors[q.service] = shared
 	}
 	parts := make([]uint64, len(q.in.PromptPrefix))
 	for i, part := range q.in.PromptPrefix {
@@ -283,14 +283,14 @@
 	return shared.Key(q.route.Name, parts, pool.Len())
 }
 
-// end counts the end of the call.
-func (c *placed) end(now time.Time, r place.Result) {
+// finish counts the end of the call.
+func (c *placedCall) finish(now time.Time, r place.Result) {
 	c.pools.mu.Lock()
 	defer c.pools.mu.Unlock()
 	if r.Latency == 0 {
 		r.Latency = now.Sub(c.started)
 	}
-	r.PendingTokens = c.work
+	r.PendingTokens = c.pendingTokens
 	if c.pools.off.Has(mechanism.Reading) {
 		r.PrefillTokens = 0
 	}
--- a/internal/node/refused.go
+++ b/internal/node/refused.go
@@ -8,9 +8,9 @@
 	"gradetiller.example/platform"
 )
 
-// mostRefusedLogged bounds the refused entries that are remembered as logged. Under a
+// maxRefusedLogged bounds the refused entries that are remembered as logged. Under a
 // flood of them the rest is only counted.
-const mostRefusedLogged = 256
+const maxRefusedLogged = 256
 
 // refusedEntry is an entry of the list of endpoints and why it was refused.
 type refusedEntry struct {
@@ -25,8 +25,8 @@
 	faults map[platform.EntryFault]bool
 }
 
-// noteRefused logs each refused entry once for each fault, and counts all by fault.
-func (n *Node) noteRefused(list []*platform.EntryError) {
+// recordRefused logs each refused entry once for each fault, and counts all by fault.
+func (n *Node) recordRefused(list []*platform.EntryError) {
 	counts := make(map[platform.EntryFault]int)
 	now := make(map[refusedEntry]bool, len(list))
 	for _, refused := range list {
@@ -36,7 +36,7 @@
 		switch {
 		case n.refused.logged[key]:
 			now[key] = true
-		case len(n.refused.logged)+len(now) < mostRefusedLogged:
+		case len(n.refused.logged)+len(now) < maxRefusedLogged:
 			now[key] = true
 			n.log.Warn(eventEntryRefused, zap.String("entry", refused.Key), zap.Error(refused))
 		}
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -51,16 +51,16 @@
 	return s.registry.Draining().Len()
 }
 
-// backingOff returns the number of endpoints to which this node sends nothing since they asked
+// inBackoff returns the number of endpoints to which this node sends nothing since they asked
 // it to.
-func (s *signals) backingOff(now time.Time) int {
+func (s *signals) inBackoff(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.registry.Backoffs().Active(now))
 }
 
-// any reports whether a signal bounds, or lately bounded, what any endpoint takes.
-func (s *signals) any() bool {
+// hasBounds reports whether a signal bounds, or lately bounded, what any endpoint takes.
+func (s *signals) hasBounds() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registry.HasBounds()
@@ -74,8 +74,8 @@
 	return s.registry.Bound(endpoint), s.registry.ColdUntil(endpoint)
 }
 
-// isNew reports whether a signal that is logged once is to be logged.
-func (s *signals) isNew(l loggedSignal) bool {
+// markLogged reports whether a signal that is logged once is to be logged.
+func (s *signals) markLogged(l loggedSignal) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.logged[l] || len(s.logged) >= maxLoggedSignals {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// membersChanged drops what is kept for nodes that are gone.
-func (s *signals) membersChanged(live []wire.Entry) {
+// forgetPeers drops what is kept for nodes that are gone.
+func (s *signals) forgetPeers(live []wire.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registry.ForgetPeers(noneOf(live))
@@ -94,7 +94,7 @@
 
 // observeSignals records the signals of an endpoint's answer.
 func (n *Node) observeSignals(endpoint string, s signal.Signals) {
-	n.logUnusable(endpoint, s)
+	n.logUnusableSignals(endpoint, s)
 	if s.Limit.Rate.Bounded() {
 		n.meters.observedLimit()
 	}
@@ -114,7 +114,7 @@
 	}
 	if !c.BackoffUntil.IsZero() {
 		n.meters.observedBackoff()
-		n.pools.backoff(endpoint, c.BackoffUntil)
+		n.pools.setBackoff(endpoint, c.BackoffUntil)
 		n.leaders.backoff(now, endpoint, c.BackoffUntil)
 		n.log.Info(eventEndpointBackoff, zap.String("endpoint", endpoint), zap.Duration("asked", s.Backoff), zap.Duration("left", c.BackoffUntil.Sub(now)))
 	}
@@ -127,12 +127,12 @@
 	return n.signals.registry.Check(time.Now(), endpoint)
 }
 
-// learnBlocked has the pools know why a request was not sent. A pool that was made after the
+// recordBlocked has the pools know why a request was not sent. A pool that was made after the
 // signal was observed lacks it.
-func (n *Node) learnBlocked(err error) {
+func (n *Node) recordBlocked(err error) {
 	var blocked *signal.BlockedError
 	if errors.As(err, &blocked) && !blocked.Until.IsZero() {
-		n.pools.backoff(blocked.Endpoint, blocked.Until)
+		n.pools.setBackoff(blocked.Endpoint, blocked.Until)
 	}
 }
 
@@ -141,18 +141,18 @@
 	n.signals.mu.Lock()
 	active := n.signals.registry.Backoffs().Active(now)
 	n.signals.mu.Unlock()
-	return n.pools.of(service, active)
+	return n.pools.backoffsOf(service, active)
 }
 
-// logUnusable logs, once for each endpoint, signals that are invalid or unknown.
-func (n *Node) logUnusable(endpoint string, s signal.Signals) {
+// logUnusableSignals logs, once for each endpoint, signals that are invalid or unknown.
+func (n *Node) logUnusableSignals(endpoint string, s signal.Signals) {
 	for _, err := range s.Invalid {
-		if n.signals.isNew(loggedSignal{endpoint, err.Error()}) {
+		if n.signals.markLogged(loggedSignal{endpoint, err.Error()}) {
 			n.log.Warn(eventSignalInvalid, zap.String("endpoint", endpoint), zap.Error(err))
 		}
 	}
 	for _, name := range s.Unknown {
-		if n.signals.isNew(loggedSignal{endpoint, name}) {
+		if n.signals.markLogged(loggedSignal{endpoint, name}) {
 			n.log.Warn(eventSignalUnknown, zap.String("endpoint", endpoint), zap.String("header", name))
 		}
 	}
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// elsewhere is told to clients that a stopping node turns away: the other
+	// retryElsewhereAfter is told to clients that a stopping node turns away: the other
 	// nodes can take them now.
-	elsewhere = 10 * time.Millisecond
+	retryElsewhereAfter = 10 * time.Millisecond
 	// stoppingReason is the outcome of requests that a stopping node turns away.
 	stoppingReason = "this node stops before it could answer"
 )
 
-// errStopped is why requests end that are still in flight at the end of the
+// errTerminated is why requests end that are still in flight at the end of the
 // grace period.
-var errStopped = errors.New("the process ends")
+var errTerminated = errors.New("the process ends")
 
-// stop is a planned stop under way.
-type stop struct {
-	// asked is when the process was told to stop.
-	asked time.Time
-	// accepts is how long from then on new connections are taken.
-	accepts time.Duration
-	// ends is when the process gives up what is still in flight.
-	ends   time.Time
+// shutdown is a planned stop under way.
+type shutdown struct {
+	// requestedAt is when the process was told to stop.
+	requestedAt time.Time
+	// acceptFor is how long from then on new connections are taken.
+	acceptFor time.Duration
+	// endsAt is when the process gives up what is still in flight.
+	endsAt time.Time
 	window drain.Window
 	// closing tells that connections are about to be closed. On those that clients
 	// keep, requests may come until then, and be answered; closed earlier, some would
@@ -39,61 +39,61 @@
 // stopping reports whether a planned stop is under way.
 func (n *Node) stopping() bool { return n.stop.Load() != nil }
 
-// endsInTime reports whether a request that has come will be answered before a
+// finishesInTime reports whether a request that has come will be answered before a
 // planned stop ends the process. What is begun and broken off then is lost to the
 // client, and may not be sent again; so it is not begun.
-func (n *Node) endsInTime(q *request) bool {
+func (n *Node) finishesInTime(q *request) bool {
 	s := n.stop.Load()
 	switch {
 	case s == nil:
 		return true
 	case s.closing.Load():
 		return false
-	case s.surely(q):
+	case s.coversDeadline(q):
 		return true
-	case q.afterStop > s.accepts:
+	case q.afterStop > s.acceptFor:
 		// It came on a connection that was opened earlier, and the client has
 		// other addresses by now.
 		return false
 	}
-	takes, known := n.times.likely(q)
+	takes, known := n.times.upperEstimate(q)
 	return known && s.window.Fits(time.Now(), takes)
 }
 
-// stillEndsInTime reports the same of a request whose stages have ended.
-func (n *Node) stillEndsInTime(q *request) bool {
+// finishesAfterStages reports the same of a request whose stages have ended.
+func (n *Node) finishesAfterStages(q *request) bool {
 	s := n.stop.Load()
-	if s == nil || s.surely(q) {
+	if s == nil || s.coversDeadline(q) {
 		return true
 	}
-	takes, known := n.times.even(q)
+	takes, known := n.times.medianAfterStages(q)
 	return known && s.window.Fits(time.Now(), takes)
 }
 
-// surely reports whether the client stops waiting for a request before the end.
-func (s *stop) surely(q *request) bool {
+// coversDeadline reports whether the client stops waiting for a request before the end.
+func (s *shutdown) coversDeadline(q *request) bool {
 	now := time.Now()
 	return s.window.Fits(now, q.deadline.Sub(now))
 }
 
-// turnAway answers a request that this node could not end.
-func (n *Node) turnAway(w http.ResponseWriter, q *request) {
+// rejectStopping answers a request that this node could not end.
+func (n *Node) rejectStopping(w http.ResponseWriter, q *request) {
 	n.meters.turnedAway(q.route.Name)
-	again := againSoon
+	again := minRetryAfter
 	if n.othersStay(time.Now()) {
-		again = elsewhere
+		again = retryElsewhereAfter
 	}
 	n.refuse(w, q, http.StatusServiceUnavailable, stoppingReason, again)
 }
 
-// ended reports whether the process ends now and gives up its requests.
-func (n *Node) ended() bool { return n.serving.Err() != nil }
+// terminated reports whether the process ends now and gives up its requests.
+func (n *Node) terminated() bool { return n.serving.Err() != nil }
 
-// givenUp returns why a request ends: that the process does, if it does.
-func (n *Node) givenUp(q *request, reason string) string {
-	if !n.ended() {
+// failureReason returns why a request ends: that the process does, if it does.
+func (n *Node) failureReason(q *request, reason string) string {
+	if !n.terminated() {
 		return reason
 	}
 	n.meters.givenUp(q.route.Name)
-	return errStopped.Error()
+	return errTerminated.Error()
 }
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -19,8 +19,8 @@
 	"gradetiller.example/platform"
 )
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event.
+const maxEventBytes = 1 << 20
 
 var (
 	errEventTooLarge = errors.New("an event is larger than allowed")
@@ -30,13 +30,13 @@
 
 // stream is the passing on of a stream's events.
 type stream struct {
-	node    *Node
-	q       *request
-	w       http.ResponseWriter
-	flush   *http.ResponseController
-	started bool
-	last    string
-	results stageResults
+	node        *Node
+	q           *request
+	w           http.ResponseWriter
+	flush       *http.ResponseController
+	started     bool
+	lastEventID string
+	results     stageResults
 	// placement is how the endpoint that the leader chose did.
 	placement wire.Placement
 	events    int
@@ -45,23 +45,23 @@
 // serveStream takes a request through its stages and passes its events on.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
-	if n.rejectClosed(w, q, q.reopenLimit()) {
+	if n.rejectIfBackedOff(w, q, q.backoffEndLimit()) {
 		return
 	}
 	q.prefix = n.pools.prefix(q)
 	s := &stream{node: n, q: q, w: w, flush: http.NewResponseController(w)}
 	defer func() { s.release() }()
 	var tried []string
-	for range mostSends {
+	for range maxSends {
 		if err := n.prepare(ctx, s); err != nil {
-			n.endUnprepared(ctx, s, err)
+			n.endStagesFailed(ctx, s, err)
 			return
 		}
-		if !q.ran && !n.stillEndsInTime(q) {
-			n.turnAway(w, q)
+		if !q.mayHaveRun && !n.finishesAfterStages(q) {
+			n.rejectStopping(w, q)
 			return
 		}
-		if n.endPoison(ctx, s) {
+		if n.endIfPoison(ctx, s) {
 			return
 		}
 		c, ok := n.choose(ctx, q, s.need(tried))
@@ -77,7 +77,7 @@
 			n.logRequest(q, http.StatusOK)
 			return
 		}
-		next := n.next(q, event, a)
+		next := n.nextAction(q, event, a)
 		if next == attempt.Retry {
 			continue
 		}
@@ -87,18 +87,18 @@
 	n.endStream(ctx, s, attempt.AnswerUnknown, "no endpoint reached")
 }
 
-// reopenLimit is by when the service of a stream has to be out of backoff so that it is begun:
+// backoffEndLimit is by when the service of a stream has to be out of backoff so that it is begun:
 // its stages run meanwhile.
-func (q *request) reopenLimit() time.Time {
+func (q *request) backoffEndLimit() time.Time {
 	if len(q.route.Stages) == 0 {
-		return q.awaitLimit(q.arrived)
+		return q.backoffWaitLimit(q.arrived)
 	}
 	return q.arrived.Add(q.route.Objective)
 }
 
-// endPoison ends a stream whose request is refused since it crashes endpoints, and reports
+// endIfPoison ends a stream whose request is refused since it crashes endpoints, and reports
 // whether it is.
-func (n *Node) endPoison(ctx context.Context, s *stream) bool {
+func (n *Node) endIfPoison(ctx context.Context, s *stream) bool {
 	if !s.started {
 		return n.refusePoison(s.w, s.q)
 	}
@@ -115,16 +115,16 @@
 func (s *stream) need(tried []string) need {
 	q := s.q
 	asks := need{
-		service: q.service, prefix: q.prefix, tried: tried, wanted: s.results.endpoint,
+		service: q.service, prefix: q.prefix, tried: tried, preferred: s.results.endpoint,
 		prompt: place.Prompt{Tokens: q.in.PromptTokens},
 	}
 	if limit, _ := s.node.signals.bound(s.results.endpoint); !s.results.bounded && limit.At(time.Now()).Bounded() {
 		// The leader does not know what this node has heard, so it has not counted the
 		// request: one that has just begun, or is of an earlier version.
-		asks.wanted = ""
+		asks.preferred = ""
 	}
 	if s.node.poisons.suspected(q.content) {
-		asks.prefix, asks.wanted = q.content.Key(), ""
+		asks.prefix, asks.preferred = q.content.Key(), ""
 	}
 	return asks
 }
@@ -137,8 +137,8 @@
 	s.placement = wire.PlacementUnused
 }
 
-// note keeps how the endpoint that the leader chose did.
-func (s *stream) note(c *placed, how wire.Placement) {
+// recordPlacement keeps how the endpoint that the leader chose did.
+func (s *stream) recordPlacement(c *placedCall, how wire.Placement) {
 	if c.endpoint.ID == s.results.endpoint {
 		s.placement = how
 	}
@@ -157,7 +157,7 @@
 	work.aim = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
 	if !n.off.Has(mechanism.Sizes) {
-		work.submit.Extra = n.sizes.extra(q.route.Name, q.in.PromptTokens)
+		work.submit.Extra = n.sizes.excess(q.route.Name, q.in.PromptTokens)
 	}
 	any := false
 	for i, st := range q.route.Stages {
@@ -178,7 +178,7 @@
 		return err
 	}
 	s.results = results
-	q.staged = time.Since(q.arrived)
+	q.stagesTook = time.Since(q.arrived)
 	q.leader = results.leader
 	q.predicted = results.predicted
 	return nil
@@ -200,14 +200,14 @@
 	return list
 }
 
-// endUnprepared ends a request whose stages were not run.
-func (n *Node) endUnprepared(ctx context.Context, s *stream, err error) {
+// endStagesFailed ends a request whose stages were not run.
+func (n *Node) endStagesFailed(ctx context.Context, s *stream, err error) {
 	var refused *refusal
 	if errors.As(err, &refused) {
 		s.q.predicted = refused.predicted
 	}
-	if refused != nil && !s.started && !s.q.ran {
-		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.again, againSoon))
+	if refused != nil && !s.started && !s.q.mayHaveRun {
+		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.again, minRetryAfter))
 		return
 	}
 	n.endStream(ctx, s, attempt.AnswerUnknown, err.Error())
@@ -218,55 +218,55 @@
 func (n *Node) endStream(ctx context.Context, s *stream, next attempt.Action, reason string) {
 	switch {
 	case s.started:
-		s.q.outcome = "broken: " + n.givenUp(s.q, reason)
+		s.q.outcome = "broken: " + n.failureReason(s.q, reason)
 		n.logRequest(s.q, http.StatusOK)
 		s.release()
 		panic(http.ErrAbortHandler)
 	case next == attempt.AnswerNotRun:
-		n.endNotRun(s.w, s.q, reason)
+		n.answerNotRun(s.w, s.q, reason)
 	default:
-		n.endUnknown(ctx, s.w, s.q, reason)
+		n.answerUnknown(ctx, s.w, s.q, reason)
 	}
 }
 
 // tryStream sends one attempt and passes its events on.
-func (n *Node) tryStream(ctx context.Context, s *stream, c *placed) (*platform.Response, attempt.Event) {
+func (n *Node) tryStream(ctx context.Context, s *stream, c *placedCall) (*platform.Response, attempt.Event) {
 	q := s.q
 	q.endpoint = c.endpoint.ID
 	parent := ctx
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	hung := time.AfterFunc(q.patience(time.Now()), cancel)
-	out := n.outbound(q, c.endpoint, time.Now())
+	hung := time.AfterFunc(q.attemptTimeout(time.Now()), cancel)
+	out := n.workerRequest(q, c.endpoint, time.Now())
 	out.Inputs = s.results.handles
-	out.LastEventID = s.last
+	out.LastEventID = s.lastEventID
 	if c.endpoint.ID == s.results.endpoint {
 		out.CacheSource = s.results.copyFrom
 	}
 	a, err := n.workers.Send(ctx, out)
 	hung.Stop()
 	if err != nil {
-		event := n.faulted(parent, ctx, q, c, err)
+		event := n.recordSendError(parent, ctx, q, c, err)
 		switch {
 		case parent.Err() != nil || isBlocked(err):
 		case event == attempt.NotSent:
-			s.note(c, wire.PlacementUnreachable)
+			s.recordPlacement(c, wire.PlacementUnreachable)
 		default:
-			s.note(c, wire.PlacementFailed)
+			s.recordPlacement(c, wire.PlacementFailed)
 		}
 		return nil, event
 	}
 	defer a.Body.Close()
-	s.note(c, wire.PlacementServed)
+	s.recordPlacement(c, wire.PlacementServed)
 	if !a.Misdirected {
 		q.sent++
 	}
 	if a.Event != attempt.FirstByte {
-		return a, n.declined(ctx, s, c, a)
+		return a, n.handleNoStream(ctx, s, c, a)
 	}
-	err = s.pass(a)
+	err = s.forward(a)
 	now := time.Now()
-	c.end(now, place.Result{OK: err == nil, Neutral: parent.Err() != nil, Load: load(a, now)})
+	c.finish(now, place.Result{OK: err == nil, Neutral: parent.Err() != nil, Load: reportedLoad(a, now)})
 	if err != nil {
 		n.log.Info(eventStreamBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
 		if !errors.Is(err, errClientGone) {
@@ -277,25 +277,25 @@
 	return a, attempt.Complete
 }
 
-// declined handles an answer that is no stream. Results that are gone are
+// handleNoStream handles an answer that is no stream. Results that are gone are
 // made again.
-func (n *Node) declined(ctx context.Context, s *stream, c *placed, a *platform.Response) attempt.Event {
+func (n *Node) handleNoStream(ctx context.Context, s *stream, c *placedCall, a *platform.Response) attempt.Event {
 	now := time.Now()
 	switch {
 	case a.Signals.Backoff > 0:
-		s.note(c, wire.PlacementRejected)
+		s.recordPlacement(c, wire.PlacementRejected)
 	case a.Status != http.StatusConflict:
-		s.note(c, wire.PlacementFailed)
+		s.recordPlacement(c, wire.PlacementFailed)
 	}
 	if a.Event == attempt.Rejected {
 		n.log.Info(eventEndpointDeclined, zap.String("id", s.q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("status", a.Status))
-		c.end(now, place.Result{Neutral: a.Status == http.StatusConflict || a.Signals.Backoff > 0, Load: load(a, now)})
+		c.finish(now, place.Result{Neutral: a.Status == http.StatusConflict || a.Signals.Backoff > 0, Load: reportedLoad(a, now)})
 		if a.Status == http.StatusConflict {
 			s.release()
 		}
 		return a.Event
 	}
-	c.end(now, place.Result{Neutral: a.Status < 500 || a.Signals.Backoff > 0, Load: load(a, now)})
+	c.finish(now, place.Result{Neutral: a.Status < 500 || a.Signals.Backoff > 0, Load: reportedLoad(a, now)})
 	if s.started {
 		return attempt.NoResponse
 	}
@@ -308,8 +308,8 @@
 	return attempt.Fail
 }
 
-// pass passes whole events on until the stream ends.
-func (s *stream) pass(a *platform.Response) error {
+// forward passes whole events on until the stream ends.
+func (s *stream) forward(a *platform.Response) error {
 	in := bufio.NewReader(a.Body)
 	var event []byte
 	for {
@@ -317,43 +317,43 @@
 		event = append(event, line...)
 		switch {
 		case err == io.EOF && len(bytes.TrimSpace(event)) == 0:
-			s.head(a)
+			s.sendHead(a)
 			return nil
 		case err == io.EOF:
 			return io.ErrUnexpectedEOF
 		case err != nil:
 			return err
-		case len(event) > maxEvent:
+		case len(event) > maxEventBytes:
 			return errEventTooLarge
 		case len(bytes.TrimRight(line, "\r\n")) > 0:
 			continue
 		}
-		if err := s.event(a, event); err != nil {
+		if err := s.forwardEvent(a, event); err != nil {
 			return err
 		}
 		event = event[:0]
 	}
 }
 
-// head sends the head of the first answer.
-func (s *stream) head(a *platform.Response) {
+// sendHead sends the head of the first answer.
+func (s *stream) sendHead(a *platform.Response) {
 	if s.started {
 		return
 	}
 	s.started = true
-	s.q.first = time.Since(s.q.arrived)
+	s.q.headTook = time.Since(s.q.arrived)
 	platform.CopyResponseHeader(s.w, a.Header)
 	s.w.Header().Del("Content-Length")
-	s.node.tellClose(s.w)
+	s.node.announceClose(s.w)
 	s.w.WriteHeader(a.Status)
 	s.release()
 }
 
-// event passes one whole event on.
-func (s *stream) event(a *platform.Response, event []byte) error {
-	s.head(a)
+// forwardEvent passes one whole event on.
+func (s *stream) forwardEvent(a *platform.Response, event []byte) error {
+	s.sendHead(a)
 	if id := eventID(event); id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
 	s.events++
 	if _, err := s.w.Write(event); err != nil {
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// leastTurnWait is how long a request whose stages have been run waits for an endpoint's
+	// minPlacementWait is how long a request whose stages have been run waits for an endpoint's
 	// turn at least. Its aim may be over sooner, and then that work would be lost.
-	leastTurnWait = 300 * time.Millisecond
-	// longestAgain bounds the time after which a request that finds no turn may come back.
-	longestAgain = 3 * time.Second
-	// noTurnReason is the outcome of requests that no endpoint takes in time, since all bound
+	minPlacementWait = 300 * time.Millisecond
+	// maxRetryAfter bounds the time after which a request that finds no turn may come back.
+	maxRetryAfter = 3 * time.Second
+	// noCapacityReason is the outcome of requests that no endpoint takes in time, since all bound
 	// what they take.
-	noTurnReason = "endpoints take no more now"
+	noCapacityReason = "endpoints take no more now"
 )
 
-// turnWait is a request whose stages have been run and that waits for an endpoint's turn.
-type turnWait struct {
-	done     stagepool.Complete
+// pendingPlacement is a request whose stages have been run and that waits for an endpoint's turn.
+type pendingPlacement struct {
+	stages   stagepool.Complete
 	priority int
 	aim      time.Time
 	until    time.Time
@@ -42,35 +42,35 @@
 		return 0, true
 	}
 	turns, perSecond, bounded := pool.SendAllowance(now, by)
-	missing := p.promised[service] + 1 - turns
+	missing := p.reserved[service] + 1 - turns
 	if !bounded || missing <= 0 {
 		return 0, true
 	}
-	seconds := float64(missing) / max(perSecond, 1/longestAgain.Seconds())
-	return clampAgain(time.Duration(seconds * float64(time.Second))), false
+	seconds := float64(missing) / max(perSecond, 1/maxRetryAfter.Seconds())
+	return clampRetryAfter(time.Duration(seconds * float64(time.Second))), false
 }
 
-func clampAgain(d time.Duration) time.Duration { return min(max(d, againSoon), longestAgain) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// promise counts a call that was let in.
-func (p *pools) promise(service string) {
+// reserve counts a call that was let in.
+func (p *pools) reserve(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.promised[service]++
+	p.reserved[service]++
 }
 
-// settle counts one that was placed, or that is over.
-func (p *pools) settle(service string) {
+// releaseReservation counts one that was placed, or that is over.
+func (p *pools) releaseReservation(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.promised[service]--; p.promised[service] == 0 {
-		delete(p.promised, service)
+	if p.reserved[service]--; p.reserved[service] == 0 {
+		delete(p.reserved, service)
 	}
 }
 
-// nextTurn is how long until an endpoint of a service takes a call of this node, or false if
+// timeToNextSend is how long until an endpoint of a service takes a call of this node, or false if
 // none is available.
-func (p *pools) nextTurn(now time.Time, service string) (time.Duration, bool) {
+func (p *pools) timeToNextSend(now time.Time, service string) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, ok := p.byService[service]
@@ -90,15 +90,15 @@
 // before this one, so for these it is longestAgain at most.
 func (n *Node) retryAfter(service string) time.Duration {
 	now := time.Now()
-	if reopens, closed := n.pools.closed(now, service); closed && !reopens.IsZero() {
+	if reopens, closed := n.pools.allBackedOff(now, service); closed && !reopens.IsZero() {
 		wait := reopens.Sub(now)
-		return max(wait+rand.N(1+min(wait/4, retryJitter)), againSoon)
+		return max(wait+rand.N(1+min(wait/4, retryJitter)), minRetryAfter)
 	}
-	wait, ok := n.pools.nextTurn(now, service)
+	wait, ok := n.pools.timeToNextSend(now, service)
 	if !ok {
-		return againSoon
+		return minRetryAfter
 	}
-	return clampAgain(wait)
+	return clampRetryAfter(wait)
 }
 
 // complete tells a request's owner that its stages are done and where it should run; the lock
@@ -110,11 +110,11 @@
 		return
 	}
 	a := c.asks[done.Task]
-	until := now.Add(leastTurnWait)
+	until := now.Add(minPlacementWait)
 	if a.aim.After(until) {
 		until = a.aim
 	}
-	c.turnWaits = append(c.turnWaits, turnWait{done: done, priority: a.priority, aim: a.aim, until: until})
+	c.turnWaits = append(c.turnWaits, pendingPlacement{stages: done, priority: a.priority, aim: a.aim, until: until})
 }
 
 // placeWaiting gives turns that have come to those that wait, the most urgent first, and ends
@@ -123,19 +123,19 @@
 	if len(c.turnWaits) == 0 {
 		return
 	}
-	slices.SortStableFunc(c.turnWaits, func(a, b turnWait) int {
+	slices.SortStableFunc(c.turnWaits, func(a, b pendingPlacement) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), a.aim.Compare(b.aim))
 	})
-	var ended []turnWait
+	var ended []pendingPlacement
 	kept := c.turnWaits[:0]
 	for _, w := range c.turnWaits {
-		if _, ok := c.owners[w.done.Task]; !ok {
+		if _, ok := c.owners[w.stages.Task]; !ok {
 			continue
 		}
-		m, waits := c.place(now, w.done)
+		m, waits := c.place(now, w.stages)
 		switch {
 		case !waits:
-			c.tell(w.done.Task, m)
+			c.tell(w.stages.Task, m)
 		case now.Before(w.until):
 			kept = append(kept, w)
 		default:
@@ -145,19 +145,19 @@
 	clear(c.turnWaits[len(kept):])
 	c.turnWaits = kept
 	for _, w := range ended {
-		c.giveUpTurn(now, w)
+		c.failPending(now, w)
 	}
 }
 
-// giveUpTurn ends a request for which no turn came; the lock is held.
-func (c *leader) giveUpTurn(now time.Time, w turnWait) {
-	again := againSoon
-	if wait, ok := c.group.models.nextTurn(now, c.asks[w.done.Task].service); ok {
-		again = clampAgain(wait)
+// failPending ends a request for which no turn came; the lock is held.
+func (c *leader) failPending(now time.Time, w pendingPlacement) {
+	again := minRetryAfter
+	if wait, ok := c.group.models.timeToNextSend(now, c.asks[w.stages.Task].service); ok {
+		again = clampRetryAfter(wait)
 	}
-	c.tell(w.done.Task, wire.StagesDone{Failed: noTurnReason, Again: again.Milliseconds()})
-	c.forget(w.done.Task)
-	c.carryOut(c.pool.Release(now, w.done.Task))
+	c.tell(w.stages.Task, wire.StagesDone{Failed: noCapacityReason, Again: again.Milliseconds()})
+	c.forget(w.stages.Task)
+	c.carryOut(c.pool.Release(now, w.stages.Task))
 }
 
 // place chooses the endpoint for a request whose stages are done, or reports that it has to
@@ -165,47 +165,47 @@
 func (c *leader) place(now time.Time, done stagepool.Complete) (m wire.StagesDone, waits bool) {
 	m = wire.StagesDone{Handles: done.Handles}
 	a, ok := c.asks[done.Task]
-	if !ok || !c.group.places() {
+	if !ok || !c.group.placesCalls() {
 		return m, false
 	}
-	wants := a.at(now)
+	wants := a.needAt(now)
 	wants.prompt.InputDomain = done.Domain
 	wants.prompt.InputBytes = done.Bytes
 	at, ok := c.group.models.choose(now, wants)
 	if !ok {
-		wait, turns := c.group.models.nextTurn(now, wants.service)
+		wait, turns := c.group.models.timeToNextSend(now, wants.service)
 		return m, turns && wait > 0
 	}
-	c.settle(done.Task)
+	c.releaseReservation(done.Task)
 	c.placed[done.Task] = at
 	m.Endpoint = at.endpoint.ID
-	m.CopyFrom = at.copyFrom
+	m.CopyFrom = at.cacheSource
 	m.Bounded = at.bounded
 	return m, false
 }
 
-// settle counts the promise to a request as kept or over; the lock is held.
-func (c *leader) settle(id stagepool.TaskID) {
-	if a, ok := c.asks[id]; ok && a.promised {
-		a.promised = false
+// releaseReservation counts the promise to a request as kept or over; the lock is held.
+func (c *leader) releaseReservation(id stagepool.TaskID) {
+	if a, ok := c.asks[id]; ok && a.reserved {
+		a.reserved = false
 		c.asks[id] = a
-		c.group.models.settle(a.service)
+		c.group.models.releaseReservation(a.service)
 	}
 }
 
-// ask is what a request asks of its model endpoint.
-type ask struct {
+// placementRequest is what a request asks of its model endpoint.
+type placementRequest struct {
 	need
 	// avoid are endpoints in backoff towards the request's node.
 	avoid    []signal.Backoff
 	priority int
 	aim      time.Time
-	// promised is true until it is placed.
-	promised bool
+	// reserved is true until it is placed.
+	reserved bool
 }
 
-// at is the need at a moment, without the endpoints that are in backoff then.
-func (a *ask) at(now time.Time) need {
+// needAt is the need at a moment, without the endpoints that are in backoff then.
+func (a *placementRequest) needAt(now time.Time) need {
 	n := a.need
 	for _, b := range a.avoid {
 		if now.Before(b.Until) {
@@ -215,9 +215,9 @@
 	return n
 }
 
-// askOf is what a submitted request asks of its model endpoint.
-func askOf(now time.Time, m *wire.StagesSubmit) ask {
-	a := ask{need: need{service: m.Model, prefix: m.Prefix, prompt: place.Prompt{Tokens: m.Tokens}}, priority: m.Priority}
+// newPlacementRequest is what a submitted request asks of its model endpoint.
+func newPlacementRequest(now time.Time, m *wire.StagesSubmit) placementRequest {
+	a := placementRequest{need: need{service: m.Model, prefix: m.Prefix, prompt: place.Prompt{Tokens: m.Tokens}}, priority: m.Priority}
 	for _, part := range m.Parts {
 		a.prompt.Parts = append(a.prompt.Parts, place.Part(part))
 	}
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -200,7 +200,7 @@
 		return
 	}
 	n.pools.update(v)
-	n.times.keep(v.config)
+	n.times.retainRoutes(v.config)
 	n.leaders.update(time.Now(), v)
 }
 
@@ -291,7 +291,7 @@
 }
 
 // specs returns the endpoints of a service that take new work.
-func (v *view) specs(service catalog.Service, pace pacing, off mechanism.Disabled) []place.Spec {
+func (v *view) specs(service catalog.Service, pace paceSource, off mechanism.Disabled) []place.Spec {
 	cache := service.PromptCache
 	if off.Has(mechanism.Holdings) {
 		cache.Tokens = 0
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -99,7 +99,7 @@
 				continue
 			}
 			inVain = 0
-			n.noteRefused(list.Refused)
+			n.recordRefused(list.Refused)
 			n.readEndpoints(list.Endpoints, list.Revision, asked)
 			silent++
 			n.askIfBack(silent)
@@ -157,7 +157,7 @@
 // store.
 func (n *Node) setEntries(entries []wire.Entry) {
 	n.entries.Store(&entries)
-	n.shareOut(time.Now(), entries)
+	n.updateShare(time.Now(), entries)
 	readers := n.rankReaders(entries)
 	n.readers.Store(&readers)
 }
