--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// acceptTime is how long a node that stops takes new connections: the life
-	// of a look-up answer, and half a second for the news that it leaves to reach
-	// the nodes that give them. Clients that hold an answer longer are better off
-	// with a connection refused, since they take another address at once.
+	// acceptTime is how long a stopping node accepts new connections: the lifetime of a lookup
+	// answer, plus half a second for the gossip that it is leaving to reach the nodes that give
+	// those answers. Clients that use an answer for longer are better served by a refused
+	// connection, because they try another address at once.
 	acceptTime = answerLife + 500*time.Millisecond
-	// shutdownMargin is what is left of the grace period when the node gives up
-	// what is still in flight.
+	// shutdownMargin is the part of the grace period that remains when the node aborts the
+	// requests still in flight.
 	shutdownMargin = 400 * time.Millisecond
-	// flushTimeout is how long clients have to read the end of an answer, where the
-	// grace period leaves it; a link that is full takes that for some kilobytes.
+	// flushTimeout bounds the time for clients to read the end of a response, within the grace
+	// period. On a saturated link a few kilobytes take this long.
 	flushTimeout = 500 * time.Millisecond
-	// finalAnswersTimeout is how long the last answers have to go out.
+	// finalAnswersTimeout bounds the time for sending the responses of aborted requests.
 	finalAnswersTimeout = 100 * time.Millisecond
 	drainPollInterval   = 10 * time.Millisecond
 	leadingPollInterval = 50 * time.Millisecond
-	// leaveGossipTime is how long the news that this node is gone have to go out.
+	// leaveGossipTime is the time for the final gossip to be sent before the process exits.
 	leaveGossipTime = 50 * time.Millisecond
 )
 
-// front is where clients' requests come in.
+// front is the HTTP server for client requests.
 type front struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// drain stops as planned: the node leaves the look-up answers of all nodes at
-// once, serves on for a while, and ends when nothing is in flight.
+// drain shuts down gracefully: all nodes stop listing this node in lookup answers at once, while
+// it keeps serving for acceptTime and then until no request is in flight.
 func (n *Node) drain(f *front) {
 	s := n.beginShutdown()
 	time.Sleep(s.acceptFor)
 	_ = f.listener.Close()
-	bounded, cancel := context.WithDeadline(context.Background(), s.endsAt)
+	ctx, cancel := context.WithDeadline(context.Background(), s.endsAt)
 	defer cancel()
-	n.awaitRequests(bounded)
-	for n.leadsTasks() && bounded.Err() == nil {
+	n.awaitRequests(ctx)
+	for n.leadsTasks() && ctx.Err() == nil {
 		time.Sleep(leadingPollInterval)
 	}
 	s.closing.Store(true)
-	clean := n.awaitRequests(bounded)
+	clean := n.awaitRequests(ctx)
 	if clean {
-		f.flush(bounded)
+		f.flush(ctx)
 	}
 	n.abortRequests(f)
 	n.leave()
@@ -63,15 +63,15 @@
 	n.log.Warn(eventStoppedWithRequestsInFlight)
 }
 
-// flush waits for the ends of answers, which leave the process after the requests
-// are no longer counted.
+// flush waits until the ends of responses are sent, which happens after their requests are no
+// longer counted as in flight.
 func (f *front) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	_ = f.server.Shutdown(ctx)
 }
 
-// beginShutdown has all nodes know that this one leaves.
+// beginShutdown starts a graceful shutdown and announces to all nodes that this one is leaving.
 func (n *Node) beginShutdown() *shutdown {
 	now := time.Now()
 	ends := now.Add(n.settings.GracePeriod - shutdownMargin)
@@ -82,8 +82,7 @@
 	return s
 }
 
-// awaitRequests waits until nothing is in flight, and reports false if ctx ends
-// first.
+// awaitRequests waits until no request is in flight, and reports false if ctx ends first.
 func (n *Node) awaitRequests(ctx context.Context) bool {
 	for n.inFlight.Load() > 0 {
 		if ctx.Err() != nil {
@@ -94,9 +93,8 @@
 	return true
 }
 
-// abortRequests gives up what is still in flight. Each request ends itself, so
-// that its line in the log tells what became of it; then its answer goes out. A
-// request whose client does not read ends with its connection.
+// abortRequests aborts the requests still in flight. Each of them writes its own log line and
+// response. A request whose client doesn't read is ended by closing its connection.
 func (n *Node) abortRequests(f *front) {
 	n.giveUp(errTerminated)
 	ctx, cancel := context.WithTimeout(context.Background(), finalAnswersTimeout)
@@ -109,7 +107,7 @@
 	time.Sleep(drainPollInterval)
 }
 
-// leave tells the other nodes that this one is gone.
+// leave announces to the other nodes that this one has left.
 func (n *Node) leave() {
 	n.membersMu.Lock()
 	n.members.Leave()
@@ -119,7 +117,7 @@
 	time.Sleep(leaveGossipTime)
 }
 
-// leadsTasks reports whether this node still runs stages for others.
+// leadsTasks reports whether this node, as a leader, has stage tasks that are not finished.
 func (n *Node) leadsTasks() bool {
 	n.leaders.mu.Lock()
 	defer n.leaders.mu.Unlock()
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -9,10 +9,11 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// sweepInterval is how often endpoints that drained and are gone are dropped.
+// sweepInterval is the minimum interval between sweeps of the set of draining endpoints.
 const sweepInterval = time.Second
 
-// drainingChanged takes endpoints out of use that are newly known to drain.
+// drainingChanged stops calls to endpoints that were found to be draining, and schedules them for
+// gossip.
 func (n *Node) drainingChanged(source string, endpoints ...string) {
 	if len(endpoints) == 0 {
 		return
@@ -27,7 +28,8 @@
 	n.signals.mu.Unlock()
 }
 
-// markDraining marks the endpoints of a list that announced draining, whatever the store says.
+// markDraining marks the endpoints of a list that announced draining, regardless of their state in
+// the store.
 func (s *signals) markDraining(list []catalog.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +41,7 @@
 	}
 }
 
-// applyDraining marks endpoints in the view that are newly known to drain.
+// applyDraining marks endpoints in the view that were found to be draining since the last call.
 func (n *Node) applyDraining() {
 	n.signals.mu.Lock()
 	stale := n.signals.viewStale
@@ -57,7 +59,7 @@
 	n.viewChanged()
 }
 
-// sweepDraining drops endpoints that drained and are gone.
+// sweepDraining removes draining endpoints that have terminated from the set.
 func (n *Node) sweepDraining(now time.Time) {
 	s := n.signals
 	s.mu.Lock()
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -21,23 +21,24 @@
 )
 
 const (
-	// minRetryAfter is told to clients when no endpoint can take a request now.
+	// minRetryAfter is the shortest retry delay announced to clients when no endpoint
+	// accepts a request.
 	minRetryAfter = 300 * time.Millisecond
-	// defaultTimeout is taken for clients that do not say how long they wait.
+	// defaultTimeout applies to clients that don't send a timeout.
 	defaultTimeout = 30 * time.Second
-	// defaultMaxBodyBytes bounds a request's body when the configuration does not.
+	// defaultMaxBodyBytes bounds the request body if the configuration doesn't.
 	defaultMaxBodyBytes = 8 << 20
-	// maxSends bounds the attempts that reached no endpoint.
+	// maxSends bounds the attempts per request, including those that reached no endpoint.
 	maxSends = 6
-	// attemptTimeoutFactor of the objective, but leastPatience at least, is what an
-	// endpoint has for its answer while another one may be asked.
+	// An attempt that may be followed by another times out after attemptTimeoutFactor times
+	// the route's objective, but not before minAttemptTimeout.
 	attemptTimeoutFactor = 1.5
 	minAttemptTimeout    = 400 * time.Millisecond
-	// delivered is the outcome of requests whose whole answer was passed on.
+	// delivered is the outcome of requests whose response was forwarded completely.
 	delivered = "delivered"
 )
 
-// request is a client's request on its way.
+// request is a client request in flight.
 type request struct {
 	in       platform.ClientRequest
 	route    *catalog.Route
@@ -48,29 +49,29 @@
 	arrived  time.Time
 	deadline time.Time
 	body     []byte
-	// content tells tries of the same request; each has an id of its own.
+	// content identifies the request across client retries, each of which has a request id
+	// of its own.
 	content poison.ID
-	// prefix is the part of the prompt that decides the placement.
+	// prefix is the key of the prompt prefix by which the request is placed.
 	prefix     uint64
 	source     *http.Request
 	sent       int
 	mayHaveRun bool
 	endpoint   string
 	outcome    string
-	// leader ran the stages, and predicted was its prediction of their time
-	// when it took or refused them.
+	// leader is the node that ran the stages, and predicted the duration that it predicted
+	// for them when it accepted or refused them.
 	leader    string
 	predicted time.Duration
-	// stagesTook and first are the times from the arrival to the last stage's
-	// results and to the answer's head, or 0.
+	// stagesTook and headTook are the times from the arrival to the results of the last
+	// stage and to the response header, or 0.
 	stagesTook time.Duration
 	headTook   time.Duration
-	// afterStop is how long after the process was told to stop the request
-	// came, or 0.
+	// afterStop is the time from the start of the shutdown to the arrival, or 0.
 	afterStop time.Duration
 }
 
-// serveFront takes a client's request.
+// serveFront handles a client request.
 func (n *Node) serveFront(w http.ResponseWriter, r *http.Request) {
 	q := &request{in: platform.ParseClientRequest(r), view: n.view.Load(), arrived: time.Now(), source: r}
 	n.inFlight.Add(1)
@@ -106,8 +107,8 @@
 	n.servePlain(ctx, w, q)
 }
 
-// accept checks a request against the configuration and reads its body. It
-// returns a status when the request ends here.
+// accept checks a request against the configuration and reads its body. It returns the
+// status with which to reject the request, or 0.
 func (n *Node) accept(w http.ResponseWriter, q *request) int {
 	if !q.view.complete() || !n.caughtUp() {
 		return http.StatusServiceUnavailable
@@ -151,7 +152,8 @@
 	return 0
 }
 
-// contentID returns what tells this try from those of other requests.
+// contentID returns an ID that is the same for all retries of a request by its client, and
+// differs between requests.
 func (q *request) contentID() poison.ID {
 	caller := q.account
 	if caller == "" {
@@ -160,9 +162,9 @@
 	return poison.Identify(poison.Content{Caller: caller, Method: q.source.Method, Host: q.in.Host, Target: q.in.Target, Body: q.body})
 }
 
-// readBody reads the request's body and returns a status when the request ends here.
-// A body that has not come when the request's time is over ends it as not run: without
-// a bound, a client that stops in the middle would be held for ever.
+// readBody reads the request body and returns the status with which to reject the request,
+// or 0. The body must arrive by the request's deadline: without a limit, a client that stops
+// sending would occupy its connection forever.
 func (n *Node) readBody(w http.ResponseWriter, q *request, limit int64) int {
 	if q.source.ContentLength == 0 {
 		return 0
@@ -184,19 +186,19 @@
 	return http.StatusBadRequest
 }
 
-// announceClose tells a client, before an answer's head goes out, that its connection
-// ends with it if this node stops. The client opens its next one elsewhere.
+// announceClose adds "Connection: close" to a response header that is not yet sent if this
+// node is shutting down, so that the client opens its next connection to another node.
 func (n *Node) announceClose(w http.ResponseWriter) {
 	if n.stopping() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// refuse answers a request that the system ends itself.
-func (n *Node) refuse(w http.ResponseWriter, q *request, status int, reason string, again time.Duration) {
+// refuse answers a request with an error of this system and logs it.
+func (n *Node) refuse(w http.ResponseWriter, q *request, status int, reason string, retryAfter time.Duration) {
 	q.outcome = reason
 	n.announceClose(w)
-	platform.WriteError(w, q.in.RequestID, status, again)
+	platform.WriteError(w, q.in.RequestID, status, retryAfter)
 	n.logRequest(q, status)
 }
 
@@ -219,12 +221,11 @@
 	n.log.Info(eventRequest, fields...)
 }
 
-// lost reports whether a request failed that may have run or was cut off: it
-// ended without a worker's whole answer, and was not refused. Its line is a
-// warning, for which the log keeps room. Refusals are none. Those for the
-// client's fault are the client's; those as not run come in bursts, which would
-// fill that room just when requests are lost, their cause stands in the leader's
-// and the node's state lines, and gradetiller_requests_total counts each.
+// lost reports whether a request ended without a complete response although it may have run.
+// Lost requests are logged as warnings, for which the log reserves space. Refusals are not:
+// some are caused by the client, and 503 responses come in bursts that would use up the
+// reserved space just when requests are lost. The cause of a 503 is in the state lines of the
+// leader and the node, and gradetiller_requests_total counts each of them.
 func (q *request) lost(status int) bool {
 	switch {
 	case q.outcome == delivered:
@@ -234,11 +235,11 @@
 	case status >= http.StatusInternalServerError:
 		return true
 	}
-	// The head of a stream that was cut off had told success.
+	// The header of an aborted stream had already announced success.
 	return status < http.StatusBadRequest
 }
 
-// workerRequest is the request as it goes to an endpoint.
+// workerRequest returns the request as sent to an endpoint.
 func (n *Node) workerRequest(q *request, e catalog.Endpoint, now time.Time) platform.WorkerRequest {
 	return platform.WorkerRequest{
 		Connections: intake.NewConnections(q.view.config.Services[e.Service].MaxConns, n.share.Load().nodes),
@@ -247,7 +248,7 @@
 	}
 }
 
-// servePlain takes a request to an endpoint of a plain service.
+// servePlain forwards a request to an endpoint of a plain service, with retries.
 func (n *Node) servePlain(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
 	if n.rejectIfBackedOff(w, q, q.backoffWaitLimit(q.arrived)) {
@@ -281,11 +282,12 @@
 	n.answerNotRun(w, q, "no endpoint reached")
 }
 
-// noEndpointReason is the outcome of requests for which no endpoint is in use.
+// noEndpointReason is the outcome of requests for which no endpoint is available.
 const noEndpointReason = "no endpoint"
 
-// rejectIfBackedOff rejects a request at once if its service has no endpoint in use, nor will have
-// before a moment, so that no stage runs for it in vain. It reports whether it did.
+// rejectIfBackedOff rejects a request if all endpoints of its service are in backoff and none
+// leaves it before the given time, and reports whether it did. This avoids running stages whose
+// results could not be used.
 func (n *Node) rejectIfBackedOff(w http.ResponseWriter, q *request, by time.Time) bool {
 	reopens, closed := n.pools.allBackedOff(time.Now(), q.service)
 	if !closed || !reopens.IsZero() && reopens.Before(by) {
@@ -295,11 +297,11 @@
 	return true
 }
 
-// backoffWaitShare is the share of the objective that a request may wait for the end of a backoff; one
-// whose stages have run may wait for that share of its deadline.
+// backoffWaitShare is the share of the objective that a request may wait for the end of a
+// backoff. A request whose stages have run may wait for that share of its remaining time.
 const backoffWaitShare = 0.5
 
-// backoffWaitLimit is until when a request may wait for the end of a backoff.
+// backoffWaitLimit returns the time until which a request may wait for the end of a backoff.
 func (q *request) backoffWaitLimit(now time.Time) time.Time {
 	if q.stagesTook > 0 {
 		return now.Add(time.Duration(backoffWaitShare * float64(q.deadline.Sub(now))))
@@ -307,8 +309,8 @@
 	return q.arrived.Add(time.Duration(backoffWaitShare * float64(q.route.Objective)))
 }
 
-// choose picks the endpoint of an attempt. While backoffs keep all from use it waits for the end
-// of one, if that is near.
+// choose picks the endpoint of an attempt. If all endpoints are in backoff it waits for the first
+// one to leave it, up to backoffWaitLimit.
 func (n *Node) choose(ctx context.Context, q *request, wants need) (*placedCall, bool) {
 	limit := q.backoffWaitLimit(time.Now())
 	for {
@@ -324,7 +326,7 @@
 	}
 }
 
-// nextAction decides about an ended attempt, within the budget of repeats.
+// nextAction decides what follows an attempt, within the retry budget.
 func (n *Node) nextAction(q *request, event attempt.Event, a *platform.Response) attempt.Action {
 	ended := attempt.Outcome{Event: event, Repeatable: q.route.Repeatable(), Attempts: q.sent, MaxAttempts: q.route.MaxAttempts, MayHaveRun: q.mayHaveRun}
 	if a != nil {
@@ -341,8 +343,8 @@
 	return attempt.Decide(ended)
 }
 
-// mayRetry reports whether one more attempt may follow; one that reached no
-// endpoint costs nothing of the budget.
+// mayRetry reports whether another attempt may follow. An attempt that reached no endpoint
+// doesn't use the retry budget.
 func (n *Node) mayRetry(q *request, event attempt.Event) bool {
 	if n.terminated() {
 		return false
@@ -353,7 +355,7 @@
 	return time.Until(q.deadline) > 0 && n.budget.Take(time.Now(), q.service, 1)
 }
 
-// tryPlain sends one attempt and reads its whole answer.
+// tryPlain sends one attempt and reads the complete response.
 func (n *Node) tryPlain(ctx context.Context, q *request, c *placedCall) (*platform.Response, []byte, attempt.Event) {
 	q.endpoint = c.endpoint.ID
 	limited, cancel := context.WithTimeout(ctx, q.attemptTimeout(time.Now()))
@@ -393,9 +395,9 @@
 	return place.Load{Calls: a.Signals.Load.Busy, ReceivedAt: now}
 }
 
-// attemptTimeout is how long an attempt may go without an answer: until the deadline,
-// but less when another endpoint may be asked. An endpoint that hangs must not
-// take all of the time.
+// attemptTimeout returns how long an attempt may wait for a response: until the deadline, or
+// less if another attempt may follow, so that an endpoint that hangs doesn't use up all of the
+// request's time.
 func (q *request) attemptTimeout(now time.Time) time.Duration {
 	left := q.deadline.Sub(now)
 	if !q.route.Repeatable() || q.sent+1 >= q.route.MaxAttempts {
@@ -405,19 +407,19 @@
 	return min(max(usual, minAttemptTimeout), left/2)
 }
 
-// isBlocked reports whether an attempt was not sent since its endpoint's signals forbid it.
+// isBlocked reports whether an attempt was not sent because of a signal from its endpoint.
 func isBlocked(err error) bool {
 	var blocked *signal.BlockedError
 	return errors.As(err, &blocked)
 }
 
-// recordSendError counts an attempt that has no answer; ctx is the request's, limited the
-// attempt's own.
+// recordSendError records an attempt without a response. ctx is the context of the request and
+// limited that of the attempt.
 func (n *Node) recordSendError(ctx, limited context.Context, q *request, c *placedCall, err error) attempt.Event {
 	var fault *platform.SendError
 	sent := errors.As(err, &fault) && fault.Sent
-	// A client that left before its answer was late says nothing of the
-	// endpoint; one that waited longer than the objective does.
+	// A client that disconnects within the objective says nothing about the endpoint; one that
+	// waited longer than the objective does.
 	left := ctx.Err() != nil && time.Since(c.started) < q.route.Objective
 	blocked := isBlocked(err)
 	n.recordBlocked(err)
@@ -431,7 +433,7 @@
 	return attempt.NoResponse
 }
 
-// deliver passes a whole answer on.
+// deliver forwards a complete response to the client.
 func (n *Node) deliver(w http.ResponseWriter, q *request, a *platform.Response, body []byte) {
 	q.outcome = delivered
 	platform.CopyResponseHeader(w, a.Header)
@@ -444,8 +446,8 @@
 	n.logRequest(q, a.Status)
 }
 
-// answerNotRun tells the client that its request has not run, and when to come
-// back; or promises nothing if it may have run.
+// answerNotRun rejects a request as not executed, with a retry delay. If the request may have
+// been executed, it answers 502 without one.
 func (n *Node) answerNotRun(w http.ResponseWriter, q *request, reason string) {
 	reason = n.failureReason(q, reason)
 	if q.mayHaveRun {
@@ -455,7 +457,7 @@
 	n.refuse(w, q, http.StatusServiceUnavailable, reason, n.retryAfter(q.service))
 }
 
-// answerUnknown tells the client that its request failed, and promises nothing.
+// answerUnknown answers a request that failed and may have been executed.
 func (n *Node) answerUnknown(ctx context.Context, w http.ResponseWriter, q *request, reason string) {
 	if n.terminated() {
 		n.answerNotRun(w, q, reason)
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -194,7 +194,7 @@
 	for _, s := range m.Stages {
 		t.Stages = append(t.Stages, stagepool.Stage(s))
 	}
-	wants.aim = t.SoftDeadline
+	wants.softDeadline = t.SoftDeadline
 	by := now.Add(minPlacementWait)
 	if latest := t.SoftDeadline.Add(t.Allowance); latest.After(by) {
 		by = latest
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -10,54 +10,54 @@
 	"gradetiller.example/internal/wire"
 )
 
-// otherLeaderTTL is how long after another leader was seen at work what it has sent, or still
-// sends, may take the place of what this one may send.
+// otherLeaderTTL is how long another leader counts as active after it was last observed. Requests
+// that it sent, or still sends, use up part of the bounds that this node has a share of.
 const otherLeaderTTL = 6 * time.Second
 
-// nodeShare is this node's place among all nodes.
+// nodeShare is this node's rank among all nodes, and their number.
 type nodeShare struct{ rank, nodes int }
 
-// bound is what an endpoint of a service takes from all nodes together.
+// bound returns the bound on the requests of all nodes to an endpoint of a service.
 func (n *Node) bound(service catalog.Service, endpoint string, cold discovery.ColdPeriod) intake.Bound {
-	bears := intake.ColdLimit{PerSecond: service.ColdRate, Excess: n.settings.ColdExcess, Slack: n.settings.ColdSlack}
+	coldLimit := intake.ColdLimit{PerSecond: service.ColdRate, Excess: n.settings.ColdExcess, Slack: n.settings.ColdSlack}
 	limit, until := n.signals.bound(endpoint)
 	if cold.Until.After(until) {
 		until = cold.Until
 	}
-	return limit.WithCold(bears, until)
+	return limit.WithCold(coldLimit, until)
 }
 
-// leaderPace is the pace of what this node chooses for all others. Its part is found once for all
-// endpoints of a service, since that looks at the whole list.
+// leaderPace returns the paces of calls that this node places as a leader. The share is computed
+// once for all endpoints of a service, because that scans the list of endpoints.
 func (n *Node) leaderPace(v *view, service catalog.Service) endpointPace {
-	part := n.leaderPart(v, service)
+	share := n.leaderShare(v, service)
 	return func(endpoint string, cold discovery.ColdPeriod) intake.Pace {
-		return intake.NewPace(n.bound(service, endpoint, cold), part)
+		return intake.NewPace(n.bound(service, endpoint, cold), share)
 	}
 }
 
-// leaderPart is this node's part as a leader. Each stage endpoint belongs to one cell, which
-// has all of it; the leaders of all cells share the others.
-func (n *Node) leaderPart(v *view, service catalog.Service) intake.Share {
-	crowded := n.started.Add(time.Duration(n.crowded.Load()))
+// leaderShare returns this node's share as a leader. A stage endpoint belongs to one cell, whose
+// leader has all of it. Other endpoints are shared among the leaders of all cells.
+func (n *Node) leaderShare(v *view, service catalog.Service) intake.Share {
+	contendedUntil := n.started.Add(time.Duration(n.crowded.Load()))
 	if service.Batching != nil {
-		return intake.LeaderShare(intake.ByLeaders, 1, 1, crowded)
+		return intake.LeaderShare(intake.ByLeaders, 1, 1, contendedUntil)
 	}
-	return intake.LeaderShare(v.config.Placing(service.Name), n.cellsLed(), v.cellCount(), crowded)
+	return intake.LeaderShare(v.config.Placing(service.Name), n.cellsLed(), v.cellCount(), contendedUntil)
 }
 
-// ownPace is the pace of what this node chooses for its own requests.
+// ownPace returns the paces of calls that this node places for its own requests.
 func (n *Node) ownPace(v *view, service catalog.Service) endpointPace {
 	s := n.share.Load()
 	placing := v.config.Placing(service.Name)
 	return func(endpoint string, cold discovery.ColdPeriod) intake.Pace {
-		part := intake.NodeShare(placing, s.rank, s.nodes, endpoint)
-		return intake.NewPace(n.bound(service, endpoint, cold), part)
+		share := intake.NodeShare(placing, s.rank, s.nodes, endpoint)
+		return intake.NewPace(n.bound(service, endpoint, cold), share)
 	}
 }
 
-// updateShare finds this node's part of all nodes. One that has just begun may know none of
-// them, but its seeds are others.
+// updateShare updates this node's rank and the number of nodes. A node that has just started may not
+// know any other member yet, so it counts at least its seeds and itself.
 func (n *Node) updateShare(now time.Time, entries []wire.Entry) {
 	names := nodeNames(entries)
 	slices.Sort(names)
@@ -71,7 +71,7 @@
 	}
 }
 
-// stagePace is the pace of requests to a stage endpoint of a cell that this node leads.
+// stagePace returns the pace of calls to a stage endpoint of a cell that this node leads.
 func (n *Node) stagePace(e catalog.Endpoint) intake.Pace {
 	v := n.view.Load()
 	if v.config == nil {
@@ -81,8 +81,7 @@
 	return n.leaderPace(v, service)(e.ID, v.coldness(service, e))
 }
 
-// recomputeRates puts in force what this node may send to endpoints that bound what they take, if
-// it has changed and there are any.
+// recomputeRates applies changed paces to all pools, if any endpoint has a rate limit or is cold.
 func (n *Node) recomputeRates() {
 	if !n.ratesChanged.Swap(false) {
 		return
@@ -92,8 +91,8 @@
 	}
 }
 
-// recordOtherLeader has this node's part as a leader be smaller for a while, since another one was seen
-// at work, or may have been until now.
+// recordOtherLeader reduces this node's share as a leader for otherLeaderTTL, because another leader
+// was observed, or may have been active until now.
 func (n *Node) recordOtherLeader() {
 	until := time.Since(n.started) + otherLeaderTTL
 	if before := n.crowded.Swap(int64(until)); until-time.Duration(before) > otherLeaderTTL/4 {
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -13,22 +13,24 @@
 	"gradetiller.example/internal/wire"
 )
 
-// placesCalls reports whether leaders choose the endpoints of the requests whose stages they run.
+// placesCalls reports whether leaders choose the model endpoints of the requests whose stages they
+// run.
 func (l *leaders) placesCalls() bool { return !l.off.Has(mechanism.Placement) }
 
 const (
-	// cacheListTimeout is how long an engine may take to tell what it holds.
+	// cacheListTimeout bounds the time of a request for an engine's cached prompts.
 	cacheListTimeout = 800 * time.Millisecond
-	// rejectedBackoff is how long a leader places nothing at an endpoint that asked some node for a
-	// backoff. One that rejects everything looks idle and would get each request of the others.
+	// rejectedBackoff is how long a leader places no calls at an endpoint that requested a backoff
+	// of any node. An endpoint that rejects everything looks idle and would otherwise be chosen for
+	// all requests of the other nodes.
 	rejectedBackoff = 500 * time.Millisecond
-	// maxCacheLists bounds the engines that are asked at a time.
+	// maxCacheLists bounds the concurrent requests for cached prompts.
 	maxCacheLists = 32
 )
 
-// learnCaches asks all model engines which parts of prompts they hold. A node that
-// begins to lead knows nothing of what was sent there before, and would have
-// shared parts read again elsewhere.
+// learnCaches asks all model engines which prompt parts they have cached. A new leader doesn't know
+// which prompts were sent to them before, and would place shared prefixes at engines that have to
+// prefill them again.
 func (l *leaders) learnCaches() {
 	if l.off.Has(mechanism.Lists) || l.off.Has(mechanism.Holdings) {
 		return
@@ -38,14 +40,14 @@
 	if l.view != nil {
 		engines = l.models.cachingEndpoints(time.Now(), l.view)
 	}
-	// Work may come before the first list of endpoints, and the configuration too.
+	// The node may lead before it has the first list of endpoints or the configuration.
 	l.asks = len(engines) == 0
 	l.mu.Unlock()
-	turns := make(chan struct{}, maxCacheLists)
+	sem := make(chan struct{}, maxCacheLists)
 	for _, e := range engines {
-		turns <- struct{}{}
+		sem <- struct{}{}
 		go func() {
-			defer func() { <-turns }()
+			defer func() { <-sem }()
 			l.learnCache(e)
 		}()
 	}
@@ -67,7 +69,7 @@
 	l.log.Info(eventCacheLearned, zap.String("endpoint", e.ID), zap.Int("parts", len(parts)))
 }
 
-// finishPlaced counts the end of a placement; the lock is held.
+// finishPlaced records the result of a placed call. The caller must hold the lock.
 func (c *leader) finishPlaced(id stagepool.TaskID, how wire.Placement) {
 	at, ok := c.placed[id]
 	if !ok {
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -14,16 +14,16 @@
 	"gradetiller.example/internal/wire"
 )
 
-// The placement policies of the two kinds of service. A leader places the
-// prompts of all nodes by what is left to read at each endpoint; a node that
-// places its own alone can't know that.
+// The placement policies of plain services and models. A leader places the prompts of all nodes,
+// by the tokens that each endpoint still has to prefill. A node that places only its own requests
+// can't know these.
 const (
 	plainPolicy  = "predicted_finish"
 	modelPolicy  = "prefix_affinity"
 	leaderPolicy = place.LeastWork
 )
 
-// pools holds the endpoints of the services that requests go to.
+// pools holds the endpoint pools of plain services and models. Stage services have their own.
 type pools struct {
 	mu           sync.Mutex
 	seed         uint64
@@ -32,14 +32,14 @@
 	off          mechanism.Disabled
 	byService    map[string]*place.Pool
 	keySelectors map[string]*place.KeySelector
-	// reserved counts the calls of each service that were let in and are not placed yet.
+	// reserved counts the calls of each service that were admitted but not yet placed.
 	reserved map[string]int
 }
 
-// paceSource returns, for a service of a view, when calls may go to an endpoint of it that is cold for a
-// time.
+// paceSource returns the paces of the endpoints of a service in a view.
 type paceSource func(v *view, service catalog.Service) endpointPace
 
+// endpointPace returns the pace of calls to an endpoint, given its cold period.
 type endpointPace func(endpoint string, cold discovery.ColdPeriod) intake.Pace
 
 func newPools(seed uint64, models string, pace paceSource, off mechanism.Disabled) *pools {
@@ -69,14 +69,13 @@
 	}
 	pool, err := place.NewPool(policy, seed)
 	if err != nil {
-		// The names are constants of this file.
+		// The policy names are constants.
 		panic(err)
 	}
 	return pool
 }
 
-// placedCall is an endpoint that was chosen for a call, and counts it until it
-// ends.
+// placedCall is a call in flight at the endpoint chosen for it. It counts as load until finish.
 type placedCall struct {
 	pools         *pools
 	pool          *place.Pool
@@ -84,26 +83,25 @@
 	endpoint      catalog.Endpoint
 	started       time.Time
 	pendingTokens int
-	// queuedTokens is how many tokens of earlier calls the endpoint had to read.
+	// queuedTokens is the number of tokens that the endpoint had to prefill for earlier calls.
 	queuedTokens int
-	// cacheSource is the address of an endpoint that holds more of the prompt, or
-	// "".
+	// cacheSource is the address of an endpoint that has cached more of the prompt, or "".
 	cacheSource string
-	// bounded tells that the endpoint bounds what it takes, as far as this node knows.
+	// bounded is true if, as far as this node knows, the endpoint has a rate limit.
 	bounded bool
 }
 
-// need is what a call asks of its endpoint.
+// need is what a call requires of its endpoint.
 type need struct {
 	service string
 	prefix  uint64
 	prompt  place.Prompt
 	tried   []string
-	// preferred is an endpoint that is taken if it can be, or "".
+	// preferred is the endpoint to choose if it accepts the call, or "".
 	preferred string
 }
 
-// choose picks an endpoint that was not tried yet and counts a call there.
+// choose picks an endpoint that was not tried yet and records a call to it.
 func (p *pools) choose(now time.Time, n need) (*placedCall, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,17 +120,17 @@
 	return &placedCall{pools: p, pool: pool, index: i, endpoint: e, started: now, pendingTokens: work, queuedTokens: ahead, cacheSource: copyFrom, bounded: spec.Pace.Bounded(now)}, true
 }
 
-// forecast is where a prompt would go now.
+// forecast is the predicted placement of a prompt.
 type forecast struct {
 	domain string
-	// ttft is the time that it would take to the first event.
+	// ttft is the time to the first event.
 	ttft time.Duration
-	// extraPrefill is the time that reading some further tokens takes.
+	// extraPrefill is the prefill time of the extra tokens.
 	extraPrefill time.Duration
 }
 
-// predict tells where a call would go, and how long reading would take. extra
-// tokens of the prompt are counted apart.
+// predict returns where a call would be placed and its time to first token. The prefill time of
+// the given number of extra tokens, which are part of the prompt, is also returned separately.
 func (p *pools) predict(now time.Time, n need, extra int) forecast {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +158,7 @@
 	return pool, req, i, ok
 }
 
-// promptParts are the parts of a request's prompt.
+// promptParts returns the parts of a request's prompt.
 func (q *request) promptParts() []wire.PromptPart {
 	parts := make([]wire.PromptPart, len(q.in.PromptPrefix))
 	for i, part := range q.in.PromptPrefix {
@@ -169,8 +167,8 @@
 	return parts
 }
 
-// cachingEndpoints lists the endpoints of model engines that keep prompts and may be asked
-// about them. One that bounds the requests that it takes is not, as that would be one.
+// cachingEndpoints lists the endpoints of model engines that cache prompts and may be asked for
+// them. Endpoints with a rate limit are left out, because the question would count against it.
 func (p *pools) cachingEndpoints(now time.Time, v *view) []catalog.Endpoint {
 	paces := make(map[string]endpointPace)
 	var list []catalog.Endpoint
@@ -189,7 +187,7 @@
 	return list
 }
 
-// markDraining takes an endpoint out of use at once; the next update removes it.
+// markDraining stops calls to an endpoint at once; the next update removes it.
 func (p *pools) markDraining(endpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,7 +198,7 @@
 	}
 }
 
-// setBackoff has nothing go to an endpoint until a moment.
+// setBackoff stops calls to an endpoint until the given time.
 func (p *pools) setBackoff(endpoint string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -211,7 +209,8 @@
 	}
 }
 
-// backoffsOf returns the backoffs of a service's endpoints.
+// backoffsOf returns those of a list of backoffs that belong to endpoints of a service. It modifies
+// the list.
 func (p *pools) backoffsOf(service string, list []signal.Backoff) []signal.Backoff {
 	if len(list) == 0 {
 		return nil
@@ -222,8 +221,8 @@
 	return slices.DeleteFunc(list, func(b signal.Backoff) bool { return !ok || pool.Find(b.Endpoint) == place.None })
 }
 
-// allBackedOff reports whether no endpoint of a service takes requests of this node, and the first end
-// of a backoff there, or the zero time.
+// allBackedOff reports whether all endpoints of a service are leaving, removed or in backoff. It
+// also returns the earliest end of a backoff, or the zero time if there is none.
 func (p *pools) allBackedOff(now time.Time, service string) (reopens time.Time, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,8 +233,8 @@
 	return pool.AllBackedOff(now)
 }
 
-// nextAfterBackoff is when an endpoint that is in backoff, or was of late, may first take a call, or the
-// zero time.
+// nextAfterBackoff returns the earliest time at which an endpoint that is in backoff, or in slow
+// start after one, may accept a call, or the zero time if there is no such endpoint.
 func (p *pools) nextAfterBackoff(now time.Time, n need) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,7 +253,7 @@
 	return list
 }
 
-// recordCached takes in what an endpoint tells to hold.
+// recordCached records the prompt parts that an endpoint reports as cached.
 func (p *pools) recordCached(e catalog.Endpoint, parts []place.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,7 +262,7 @@
 	}
 }
 
-// prefix returns the part of a request's prompt by which it is placed.
+// prefix returns the key of the prompt prefix by which a request is placed.
 func (p *pools) prefix(q *request) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -283,7 +282,7 @@
 	return shared.Key(q.route.Name, parts, pool.Len())
 }
 
-// finish counts the end of the call.
+// finish records the result of the call, which no longer counts as load.
 func (c *placedCall) finish(now time.Time, r place.Result) {
 	c.pools.mu.Lock()
 	defer c.pools.mu.Unlock()
--- a/internal/node/refused.go
+++ b/internal/node/refused.go
@@ -8,24 +8,25 @@
 	"gradetiller.example/platform"
 )
 
-// maxRefusedLogged bounds the refused entries that are remembered as logged. Under a
-// flood of them the rest is only counted.
+// maxRefusedLogged bounds the refused entries that are remembered as logged. Further ones are
+// counted but not logged.
 const maxRefusedLogged = 256
 
-// refusedEntry is an entry of the list of endpoints and why it was refused.
+// refusedEntry identifies an entry of the endpoint list and the fault for which it was refused.
 type refusedEntry struct {
 	key   string
 	fault platform.EntryFault
 }
 
-// refusedEntries counts what the last list that was read had to leave out, and remembers
-// what was logged. Only the goroutine that reads the list uses it.
+// refusedEntries remembers which refused entries of the endpoint list were logged and which faults
+// were counted. It is used only by the goroutine that reads the list.
 type refusedEntries struct {
 	logged map[refusedEntry]bool
 	faults map[platform.EntryFault]bool
 }
 
-// recordRefused logs each refused entry once for each fault, and counts all by fault.
+// recordRefused logs each refused entry once for each fault, and sets the gauges of refused entries
+// by fault.
 func (n *Node) recordRefused(list []*platform.EntryError) {
 	counts := make(map[platform.EntryFault]int)
 	now := make(map[refusedEntry]bool, len(list))
@@ -41,7 +42,7 @@
 			n.log.Warn(eventEntryRefused, zap.String("entry", refused.Key), zap.Error(refused))
 		}
 	}
-	// What is listed no more may be logged again when it comes back.
+	// An entry that is no longer listed is logged again if it reappears.
 	n.refused.logged = now
 	for fault := range n.refused.faults {
 		name := fmt.Sprintf(`gradetiller_entries_refused{fault=%q}`, fault)
--- a/internal/node/signalgossip.go
+++ b/internal/node/signalgossip.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// maxUpdates bounds the updates of one message: 6 kB.
+	// maxUpdates bounds the updates of each kind in one message, to about 6 kB.
 	maxUpdates = 128
-	// gossipInterval is how often changes are sent to all neighbors at once. Without it,
-	// endpoints whose signals come and go would keep all nodes sending.
+	// gossipInterval is the minimum interval between updates to all neighbors. Without it,
+	// endpoints whose signals flap would keep all nodes sending.
 	gossipInterval = 300 * time.Millisecond
 )
 
-// Where signals come from, in log lines, besides peers.
+// Values of the log key "source" for signal changes that don't come from a peer.
 const (
 	sourceEndpoint = "endpoint"
 	sourceAge      = "age"
 )
 
-// limitsChanged applies changed rate limits and has them sent with the next heartbeat.
+// limitsChanged applies changed rate limits and schedules them for gossip.
 func (n *Node) limitsChanged(source string, changes ...signal.LimitChange) {
 	if len(changes) == 0 {
 		return
@@ -38,8 +38,8 @@
 	n.signals.mu.Unlock()
 }
 
-// expireSignals ends signals that are too old, and reports whether all neighbors are to be sent
-// an update now.
+// expireSignals removes expired signals, and reports whether an update must be sent to all neighbors
+// now.
 func (n *Node) expireSignals(now time.Time) bool {
 	n.applyDraining()
 	n.sweepDraining(now)
@@ -55,7 +55,7 @@
 	return send
 }
 
-// appendSignals adds the updates to a message that its receiver may not have.
+// appendSignals adds to a message the checksums and the updates that its receiver may not have.
 func (n *Node) appendSignals(to string, m wire.Gossip) wire.Gossip {
 	s := n.signals
 	s.mu.Lock()
@@ -78,7 +78,7 @@
 	return m
 }
 
-// mergeSignals applies the updates of another node, and reports whether that node lacks some.
+// mergeSignals applies the updates of a peer, and reports whether there are updates for the peer.
 func (n *Node) mergeSignals(m *wire.Gossip) bool {
 	lacksLimits, lacksDraining := n.mergeLimits(m), n.mergeDraining(m)
 	return lacksLimits || lacksDraining
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -12,23 +12,25 @@
 	"gradetiller.example/internal/wire"
 )
 
-// maxLoggedSignals bounds the invalid and unknown signals that are remembered as logged; further
+// maxLoggedSignals bounds the invalid and unknown signals that are remembered as logged. Further
 // ones are not logged.
 const maxLoggedSignals = 256
 
-// loggedSignal is a signal that is logged once, and the endpoint that sent it.
+// loggedSignal identifies an invalid or unknown signal of an endpoint, which is logged once.
 type loggedSignal struct{ endpoint, text string }
 
-// signals guards what endpoints announce, as this node knows it.
+// signals is the registry of endpoint signals with the state for logging and gossip. It is safe for
+// concurrent use.
 type signals struct {
 	mu       sync.Mutex
 	registry *signal.Registry
 	logged   map[loggedSignal]bool
-	// pending is true while a change is to be sent, sentAt when the last one was.
+	// pending is true if there are changes to send to all neighbors. sentAt is the time of the
+	// last such update.
 	pending bool
 	sentAt  time.Time
-	// viewStale is true while the view lacks an endpoint that drains, and swept when the set was
-	// last swept.
+	// viewStale is true if an endpoint that announced draining is not marked in the view. swept is
+	// the time of the last sweepDraining.
 	viewStale bool
 	swept     time.Time
 }
@@ -51,30 +53,28 @@
 	return s.registry.Draining().Len()
 }
 
-// inBackoff returns the number of endpoints to which this node sends nothing since they asked
-// it to.
+// inBackoff returns the number of endpoints in backoff towards this node.
 func (s *signals) inBackoff(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.registry.Backoffs().Active(now))
 }
 
-// hasBounds reports whether a signal bounds, or lately bounded, what any endpoint takes.
+// hasBounds reports whether any endpoint has a rate limit, had one recently, or is cold.
 func (s *signals) hasBounds() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registry.HasBounds()
 }
 
-// bound returns the bound that an endpoint's rate limit sets, and until when its answers announce
-// that it is cold.
+// bound returns the bound set by an endpoint's rate limit, and the end of its announced cold period.
 func (s *signals) bound(endpoint string) (limit intake.Bound, coldUntil time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.registry.Bound(endpoint), s.registry.ColdUntil(endpoint)
 }
 
-// markLogged reports whether a signal that is logged once is to be logged.
+// markLogged records a signal as logged, and reports whether it must be logged now.
 func (s *signals) markLogged(l loggedSignal) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,14 +85,14 @@
 	return true
 }
 
-// forgetPeers drops what is kept for nodes that are gone.
+// forgetPeers removes the state kept for nodes that are not in the list.
 func (s *signals) forgetPeers(live []wire.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registry.ForgetPeers(noneOf(live))
 }
 
-// observeSignals records the signals of an endpoint's answer.
+// observeSignals applies the signals in an endpoint's response.
 func (n *Node) observeSignals(endpoint string, s signal.Signals) {
 	n.logUnusableSignals(endpoint, s)
 	if s.Limit.Rate.Bounded() {
@@ -120,15 +120,15 @@
 	}
 }
 
-// checkSignals returns an error if the signals of an endpoint forbid to send it anything.
+// checkSignals returns an error if no request may be sent to an endpoint because of its signals.
 func (n *Node) checkSignals(endpoint string) error {
 	n.signals.mu.Lock()
 	defer n.signals.mu.Unlock()
 	return n.signals.registry.Check(time.Now(), endpoint)
 }
 
-// recordBlocked has the pools know why a request was not sent. A pool that was made after the
-// signal was observed lacks it.
+// recordBlocked sets the backoff that blocked a request in the pools. A pool created after the
+// signal was observed doesn't have it.
 func (n *Node) recordBlocked(err error) {
 	var blocked *signal.BlockedError
 	if errors.As(err, &blocked) && !blocked.Until.IsZero() {
@@ -136,7 +136,7 @@
 	}
 }
 
-// backoffs returns the backoffs in force that concern a request.
+// backoffs returns the backoffs in force of a service's endpoints.
 func (n *Node) backoffs(now time.Time, service string) []signal.Backoff {
 	n.signals.mu.Lock()
 	active := n.signals.registry.Backoffs().Active(now)
@@ -144,7 +144,7 @@
 	return n.pools.backoffsOf(service, active)
 }
 
-// logUnusableSignals logs, once for each endpoint, signals that are invalid or unknown.
+// logUnusableSignals logs invalid and unknown signals, each once per endpoint.
 func (n *Node) logUnusableSignals(endpoint string, s signal.Signals) {
 	for _, err := range s.Invalid {
 		if n.signals.markLogged(loggedSignal{endpoint, err.Error()}) {
--- a/internal/node/sizes.go
+++ b/internal/node/sizes.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// promptSizes learns the usual size of a route's prompts, so that large requests
-// are not refused more often than others because reading them takes longer.
+// promptSizes keeps the average prompt size of each route, in tokens. It is used to avoid refusing
+// large requests more often than others because their prefill takes longer.
 type promptSizes struct {
 	mu       sync.Mutex
 	averages map[string]float64
@@ -11,7 +11,8 @@
 
 const sizeEWMAWeight = 0.05
 
-// excess is by how many tokens a prompt is longer than its route's usually are.
+// excess returns the number of tokens by which a prompt exceeds the average of its route, and
+// adds the prompt to that average.
 func (s *promptSizes) excess(route string, tokens int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// retryElsewhereAfter is told to clients that a stopping node turns away: the other
-	// nodes can take them now.
+	// retryElsewhereAfter is the retry delay announced to clients that a stopping node rejects
+	// while other nodes can accept them.
 	retryElsewhereAfter = 10 * time.Millisecond
-	// stoppingReason is the outcome of requests that a stopping node turns away.
+	// stoppingReason is the outcome of requests that a stopping node rejects.
 	stoppingReason = "this node stops before it could answer"
 )
 
-// errTerminated is why requests end that are still in flight at the end of the
-// grace period.
+// errTerminated is the reason for aborting requests that are in flight at the end of the grace
+// period.
 var errTerminated = errors.New("the process ends")
 
-// shutdown is a planned stop under way.
+// shutdown is the state of a graceful shutdown.
 type shutdown struct {
-	// requestedAt is when the process was told to stop.
+	// requestedAt is the time at which the shutdown was requested.
 	requestedAt time.Time
-	// acceptFor is how long from then on new connections are taken.
+	// acceptFor is the time from requestedAt during which new connections are accepted.
 	acceptFor time.Duration
-	// endsAt is when the process gives up what is still in flight.
+	// endsAt is the time at which requests still in flight are aborted.
 	endsAt time.Time
 	window drain.Window
-	// closing tells that connections are about to be closed. On those that clients
-	// keep, requests may come until then, and be answered; closed earlier, some would
-	// be closed just when their request has been read and its work begun.
+	// closing is true if connections are about to be closed. Until then, requests on idle
+	// connections that clients keep open are answered. If these were closed earlier, some would
+	// be closed just after a request was read and its execution started.
 	closing atomic.Bool
 }
 
-// stopping reports whether a planned stop is under way.
+// stopping reports whether a graceful shutdown is in progress.
 func (n *Node) stopping() bool { return n.stop.Load() != nil }
 
-// finishesInTime reports whether a request that has come will be answered before a
-// planned stop ends the process. What is begun and broken off then is lost to the
-// client, and may not be sent again; so it is not begun.
+// finishesInTime reports whether a request is expected to be answered before a graceful shutdown
+// ends the process. Other requests are not started: if one were aborted, its client would lose it
+// and might not be allowed to retry.
 func (n *Node) finishesInTime(q *request) bool {
 	s := n.stop.Load()
 	switch {
@@ -52,44 +52,44 @@
 	case s.coversDeadline(q):
 		return true
 	case q.afterStop > s.acceptFor:
-		// It came on a connection that was opened earlier, and the client has
-		// other addresses by now.
+		// It arrived on a connection opened before, and the client knows other addresses by now.
 		return false
 	}
-	takes, known := n.times.upperEstimate(q)
-	return known && s.window.Fits(time.Now(), takes)
+	duration, known := n.times.upperEstimate(q)
+	return known && s.window.Fits(time.Now(), duration)
 }
 
-// finishesAfterStages reports the same of a request whose stages have ended.
+// finishesAfterStages is finishesInTime for a request whose stages have ended.
 func (n *Node) finishesAfterStages(q *request) bool {
 	s := n.stop.Load()
 	if s == nil || s.coversDeadline(q) {
 		return true
 	}
-	takes, known := n.times.medianAfterStages(q)
-	return known && s.window.Fits(time.Now(), takes)
+	duration, known := n.times.medianAfterStages(q)
+	return known && s.window.Fits(time.Now(), duration)
 }
 
-// coversDeadline reports whether the client stops waiting for a request before the end.
+// coversDeadline reports whether a request's deadline is before the end of the process.
 func (s *shutdown) coversDeadline(q *request) bool {
 	now := time.Now()
 	return s.window.Fits(now, q.deadline.Sub(now))
 }
 
-// rejectStopping answers a request that this node could not end.
+// rejectStopping rejects a request that this node can't finish before it stops.
 func (n *Node) rejectStopping(w http.ResponseWriter, q *request) {
 	n.meters.turnedAway(q.route.Name)
-	again := minRetryAfter
+	retryAfter := minRetryAfter
 	if n.othersStay(time.Now()) {
-		again = retryElsewhereAfter
+		retryAfter = retryElsewhereAfter
 	}
-	n.refuse(w, q, http.StatusServiceUnavailable, stoppingReason, again)
+	n.refuse(w, q, http.StatusServiceUnavailable, stoppingReason, retryAfter)
 }
 
-// terminated reports whether the process ends now and gives up its requests.
+// terminated reports whether the grace period is over and requests are aborted.
 func (n *Node) terminated() bool { return n.serving.Err() != nil }
 
-// failureReason returns why a request ends: that the process does, if it does.
+// failureReason returns reason, or errTerminated's text if the request is aborted by the shutdown,
+// which it also counts.
 func (n *Node) failureReason(q *request, reason string) string {
 	if !n.terminated() {
 		return reason
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -19,16 +19,16 @@
 	"gradetiller.example/platform"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds a single event of a stream.
 const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("an event is larger than allowed")
-	// errClientGone is why a stream ends whose events the client does not take.
-	errClientGone = errors.New("the client takes no events")
+	errEventTooLarge = errors.New("stream event exceeds 1 MiB")
+	// errClientGone reports that an event could not be written to the client.
+	errClientGone = errors.New("cannot write to the client")
 )
 
-// stream is the passing on of a stream's events.
+// stream forwards the events of an endpoint's response to a client.
 type stream struct {
 	node        *Node
 	q           *request
@@ -37,12 +37,12 @@
 	started     bool
 	lastEventID string
 	results     stageResults
-	// placement is how the endpoint that the leader chose did.
+	// placement is the result at the endpoint that the leader chose.
 	placement wire.Placement
 	events    int
 }
 
-// serveStream takes a request through its stages and passes its events on.
+// serveStream runs the stages of a request and forwards the events of its response.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
 	if n.rejectIfBackedOff(w, q, q.backoffEndLimit()) {
@@ -87,8 +87,9 @@
 	n.endStream(ctx, s, attempt.AnswerUnknown, "no endpoint reached")
 }
 
-// backoffEndLimit is by when the service of a stream has to be out of backoff so that it is begun:
-// its stages run meanwhile.
+// backoffEndLimit returns the time by which the backoff of a stream's service must end for the
+// stream to be started. It is later than backoffWaitLimit for a request with stages, which run
+// in the meantime.
 func (q *request) backoffEndLimit() time.Time {
 	if len(q.route.Stages) == 0 {
 		return q.backoffWaitLimit(q.arrived)
@@ -96,8 +97,8 @@
 	return q.arrived.Add(q.route.Objective)
 }
 
-// endIfPoison ends a stream whose request is refused since it crashes endpoints, and reports
-// whether it is.
+// endIfPoison ends a stream whose request is refused because it crashes endpoints, and reports
+// whether it did.
 func (n *Node) endIfPoison(ctx context.Context, s *stream) bool {
 	if !s.started {
 		return n.refusePoison(s.w, s.q)
@@ -109,9 +110,10 @@
 	return refused
 }
 
-// need is what the next attempt asks of its endpoint. A suspect is kept apart from the
-// prompts that share its beginning: sent to the endpoint that holds it, as they are, it
-// would end with them each endpoint that they are sent to next, and make suspects of them.
+// need returns what the next attempt requires of its endpoint. A request suspected of crashing
+// endpoints is placed apart from the prompts that share its prefix. Otherwise it would be sent to
+// the endpoint that caches the prefix, crash each endpoint that those prompts move to, and make
+// them suspects too.
 func (s *stream) need(tried []string) need {
 	q := s.q
 	asks := need{
@@ -119,8 +121,8 @@
 		prompt: place.Prompt{Tokens: q.in.PromptTokens},
 	}
 	if limit, _ := s.node.signals.bound(s.results.endpoint); !s.results.bounded && limit.At(time.Now()).Bounded() {
-		// The leader does not know what this node has heard, so it has not counted the
-		// request: one that has just begun, or is of an earlier version.
+		// The leader doesn't know the rate limit that this node knows, so it has not counted the
+		// request against it: it has just become leader, or runs an earlier version.
 		asks.preferred = ""
 	}
 	if s.node.poisons.suspected(q.content) {
@@ -137,14 +139,15 @@
 	s.placement = wire.PlacementUnused
 }
 
-// recordPlacement keeps how the endpoint that the leader chose did.
+// recordPlacement records the result of an attempt if it went to the endpoint that the leader
+// chose.
 func (s *stream) recordPlacement(c *placedCall, how wire.Placement) {
 	if c.endpoint.ID == s.results.endpoint {
 		s.placement = how
 	}
 }
 
-// prepare has the stages run unless their results are there.
+// prepare runs the stages unless their results are available.
 func (n *Node) prepare(ctx context.Context, s *stream) error {
 	q := s.q
 	if s.results.release != nil || len(q.route.Stages) == 0 {
@@ -159,19 +162,18 @@
 	if !n.off.Has(mechanism.Sizes) {
 		work.submit.Extra = n.sizes.excess(q.route.Name, q.in.PromptTokens)
 	}
-	any := false
+	hasPieces := false
 	for i, st := range q.route.Stages {
 		out := wire.Stage{Service: st.Service, After: st.After, ResultBytes: st.ResultBytes}
 		if i < len(q.in.Pieces) {
 			out.Pieces = q.in.Pieces[i]
 		}
-		any = any || out.Pieces > 0
+		hasPieces = hasPieces || out.Pieces > 0
 		work.submit.Stages = append(work.submit.Stages, out)
 	}
 	results, err := n.runStages(ctx, work)
-	if err != nil && !any && ctx.Err() == nil {
-		// Nothing is to be made; only the leader's choice of an endpoint is
-		// missing.
+	if err != nil && !hasPieces && ctx.Err() == nil {
+		// There are no pieces to run; only the leader's choice of an endpoint is missing.
 		return nil
 	}
 	if err != nil {
@@ -184,11 +186,11 @@
 	return nil
 }
 
-// maxAvoided bounds the endpoints that a submission asks to avoid.
+// maxAvoided bounds the endpoints to avoid that are listed in a submission.
 const maxAvoided = 64
 
-// avoided lists the endpoints of a service that are in backoff towards this node. Their leader
-// can't know them, since a backoff is between one node and one endpoint.
+// avoided lists the endpoints of a service that are in backoff towards this node. A leader can't
+// know them, because a backoff is between one node and one endpoint.
 func (n *Node) avoided(service string) []wire.Avoided {
 	now := time.Now()
 	var list []wire.Avoided
@@ -200,7 +202,7 @@
 	return list
 }
 
-// endStagesFailed ends a request whose stages were not run.
+// endStagesFailed ends a request whose stages were refused or failed.
 func (n *Node) endStagesFailed(ctx context.Context, s *stream, err error) {
 	var refused *refusal
 	if errors.As(err, &refused) {
@@ -213,8 +215,8 @@
 	n.endStream(ctx, s, attempt.AnswerUnknown, err.Error())
 }
 
-// endStream ends a stream that is not complete. Once its head is out, only a
-// broken connection tells the client so.
+// endStream ends a stream that is not complete. Once the response header is sent, the failure can
+// only be signaled by closing the connection.
 func (n *Node) endStream(ctx context.Context, s *stream, next attempt.Action, reason string) {
 	switch {
 	case s.started:
@@ -229,7 +231,7 @@
 	}
 }
 
-// tryStream sends one attempt and passes its events on.
+// tryStream sends one attempt and forwards the events of its response.
 func (n *Node) tryStream(ctx context.Context, s *stream, c *placedCall) (*platform.Response, attempt.Event) {
 	q := s.q
 	q.endpoint = c.endpoint.ID
@@ -277,8 +279,8 @@
 	return a, attempt.Complete
 }
 
-// handleNoStream handles an answer that is no stream. Results that are gone are
-// made again.
+// handleNoStream handles a response that is not a stream. Stage results that no longer exist
+// (409) are released, so that the next attempt runs the stages again.
 func (n *Node) handleNoStream(ctx context.Context, s *stream, c *placedCall, a *platform.Response) attempt.Event {
 	now := time.Now()
 	switch {
@@ -308,7 +310,7 @@
 	return attempt.Fail
 }
 
-// forward passes whole events on until the stream ends.
+// forward forwards complete events until the stream ends.
 func (s *stream) forward(a *platform.Response) error {
 	in := bufio.NewReader(a.Body)
 	var event []byte
@@ -335,7 +337,7 @@
 	}
 }
 
-// sendHead sends the head of the first answer.
+// sendHead sends the response header, once per stream.
 func (s *stream) sendHead(a *platform.Response) {
 	if s.started {
 		return
@@ -349,7 +351,7 @@
 	s.release()
 }
 
-// forwardEvent passes one whole event on.
+// forwardEvent forwards one complete event.
 func (s *stream) forwardEvent(a *platform.Response, event []byte) error {
 	s.sendHead(a)
 	if id := eventID(event); id != "" {
--- a/internal/node/times.go
+++ b/internal/node/times.go
@@ -12,18 +12,19 @@
 type phase int
 
 const (
-	// wholeRequest is from the arrival to the end of the answer.
+	// wholeRequest lasts from the arrival to the end of the response.
 	wholeRequest phase = iota
-	// answerOnly is what follows the stages.
+	// answerOnly is the part after the stages.
 	answerOnly
 	phaseCount
 )
 
-// requestClass names the requests that are alike: those of a route, or, with an empty
+// requestClass is a set of requests with similar durations: those of a route or, with an empty
 // route, all of a service.
 type requestClass struct{ service, route string }
 
-// durations learns how long requests take. It is asked when this node stops.
+// durations predicts how long requests take, from those served before. The predictions are used
+// when this node stops.
 type durations struct {
 	mu      sync.Mutex
 	byClass map[requestClass]*[phaseCount]drain.Predictor
@@ -33,7 +34,7 @@
 	return &durations{byClass: make(map[requestClass]*[phaseCount]drain.Predictor)}
 }
 
-// observe notes a request whose answer is out, whole.
+// observe records the duration of a request whose response was sent completely.
 func (t *durations) observe(q *request, now time.Time) {
 	took := now.Sub(q.arrived)
 	t.mu.Lock()
@@ -47,24 +48,25 @@
 	}
 }
 
-// upperEstimate returns a time that a request will hardly exceed, and even one for what
-// follows its stages that it may well: a request that has used stage work is turned
-// away only if it would sooner be cut than not. Both go by the request's route or,
-// as long as none of that was served, by its service, and report false if nothing is
-// known.
+// upperEstimate returns a duration that a request is unlikely to exceed. It is predicted from the
+// request's route or, if no request of the route was served yet, from its service. It reports
+// false if neither is known.
 func (t *durations) upperEstimate(q *request) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.predictor(q, wholeRequest).UpperEstimate(q.answerSize())
 }
 
+// medianAfterStages returns the median duration of the part of a request after its stages, with
+// the same fallback as upperEstimate. A request whose stages have run is rejected only if it is
+// more likely than not to be aborted.
 func (t *durations) medianAfterStages(q *request) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.predictor(q, answerOnly).Median(q.answerSize())
 }
 
-// predictor returns what is known of a part of a request; the lock is held.
+// predictor returns the predictor for a phase of a request. The caller must hold the lock.
 func (t *durations) predictor(q *request, p phase) *drain.Predictor {
 	for _, k := range []requestClass{{q.service, q.route.Name}, {q.service, ""}} {
 		if d := t.byClass[k]; d != nil {
@@ -74,7 +76,7 @@
 	return new(drain.Predictor)
 }
 
-// answerSize is what is known of the length of a request's answer, in tokens.
+// answerSize returns the stated size of a request's response, in tokens.
 func (q *request) answerSize() drain.Size {
 	if q.in.LengthHint > 0 {
 		return drain.Estimate(q.in.LengthHint)
@@ -82,7 +84,7 @@
 	return drain.Bound(q.in.MaxTokens)
 }
 
-// retainRoutes forgets the routes that a configuration does not have.
+// retainRoutes removes the routes that are not in a configuration.
 func (t *durations) retainRoutes(cfg *catalog.Config) {
 	names := make(map[string]bool, len(cfg.Routes))
 	for _, r := range cfg.Routes {
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// minPlacementWait is how long a request whose stages have been run waits for an endpoint's
-	// turn at least. Its aim may be over sooner, and then that work would be lost.
+	// minPlacementWait is the minimum time that a request whose stages have run may wait for a
+	// rate-limited endpoint. Its soft deadline may be sooner, and rejecting it then would waste
+	// the stage work.
 	minPlacementWait = 300 * time.Millisecond
-	// maxRetryAfter bounds the time after which a request that finds no turn may come back.
+	// maxRetryAfter bounds the retry delay announced for requests rejected because of rate limits.
 	maxRetryAfter = 3 * time.Second
-	// noCapacityReason is the outcome of requests that no endpoint takes in time, since all bound
-	// what they take.
+	// noCapacityReason is the outcome of requests that the rate limits of all endpoints keep from
+	// being placed in time.
 	noCapacityReason = "endpoints take no more now"
 )
 
-// pendingPlacement is a request whose stages have been run and that waits for an endpoint's turn.
+// pendingPlacement is a request whose stages have run and that waits until the rate limit of an
+// endpoint admits it.
 type pendingPlacement struct {
-	stages   stagepool.Complete
-	priority int
-	aim      time.Time
-	until    time.Time
+	stages       stagepool.Complete
+	priority     int
+	softDeadline time.Time
+	until        time.Time
 }
 
-// admits reports whether a service takes one more call by a moment, besides those that it was
-// promised, and else when to come back. Without this the stages of requests would be run, and
-// their room taken, that nobody takes then.
-func (p *pools) admits(now time.Time, service string, by time.Time) (again time.Duration, ok bool) {
+// admits reports whether the rate limits of a service's endpoints admit one more call by the given
+// time, in addition to the reserved ones, and otherwise returns a retry delay. Without this check,
+// stages would run and occupy capacity for requests that no endpoint accepts afterwards.
+func (p *pools) admits(now time.Time, service string, by time.Time) (retryAfter time.Duration, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, known := p.byService[service]
 	if !known {
 		return 0, true
 	}
-	turns, perSecond, bounded := pool.SendAllowance(now, by)
-	missing := p.reserved[service] + 1 - turns
+	allowed, perSecond, bounded := pool.SendAllowance(now, by)
+	missing := p.reserved[service] + 1 - allowed
 	if !bounded || missing <= 0 {
 		return 0, true
 	}
@@ -52,14 +54,14 @@
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
 
-// reserve counts a call that was let in.
+// reserve records a call that was admitted and is to be placed later.
 func (p *pools) reserve(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reserved[service]++
 }
 
-// releaseReservation counts one that was placed, or that is over.
+// releaseReservation removes the reservation of a call that was placed or ended.
 func (p *pools) releaseReservation(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,8 +70,8 @@
 	}
 }
 
-// timeToNextSend is how long until an endpoint of a service takes a call of this node, or false if
-// none is available.
+// timeToNextSend returns the time until the rate limit of an endpoint of a service admits a call of
+// this node, or false if no endpoint is available.
 func (p *pools) timeToNextSend(now time.Time, service string) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,13 +83,13 @@
 	return at.Sub(now), ok
 }
 
-// retryJitter bounds how much later than a service is out of backoff clients may come back, so that
-// they don't come back at once.
+// retryJitter bounds the jitter added to the end of a backoff in retry delays, so that clients don't
+// all retry at the same time.
 const retryJitter = time.Second
 
-// retryAfter is when a request may come back for which no endpoint was found: at the first end of
-// a backoff if all endpoints are in backoff, else at the next turn. Other nodes may have turns
-// before this one, so for these it is longestAgain at most.
+// retryAfter returns the retry delay of a request for which no endpoint was found: until the first
+// end of a backoff if all endpoints are in backoff, else until the rate limit of an endpoint admits
+// a call. Other nodes may be admitted before this one, so the latter is at most maxRetryAfter.
 func (n *Node) retryAfter(service string) time.Duration {
 	now := time.Now()
 	if reopens, closed := n.pools.allBackedOff(now, service); closed && !reopens.IsZero() {
@@ -101,8 +103,9 @@
 	return clampRetryAfter(wait)
 }
 
-// complete tells a request's owner that its stages are done and where it should run; the lock
-// is held. While all endpoints bound what they take it waits for a turn.
+// complete notifies a request's owner that its stages are done and which endpoint to use. If no
+// endpoint's rate limit admits the request yet, complete queues it for placeWaiting instead. The
+// caller must hold the lock.
 func (c *leader) complete(now time.Time, done stagepool.Complete) {
 	m, waits := c.place(now, done)
 	if !waits {
@@ -111,20 +114,20 @@
 	}
 	a := c.asks[done.Task]
 	until := now.Add(minPlacementWait)
-	if a.aim.After(until) {
-		until = a.aim
+	if a.softDeadline.After(until) {
+		until = a.softDeadline
 	}
-	c.turnWaits = append(c.turnWaits, pendingPlacement{stages: done, priority: a.priority, aim: a.aim, until: until})
+	c.turnWaits = append(c.turnWaits, pendingPlacement{stages: done, priority: a.priority, softDeadline: a.softDeadline, until: until})
 }
 
-// placeWaiting gives turns that have come to those that wait, the most urgent first, and ends
-// those that have waited too long; the lock is held.
+// placeWaiting places the pending requests that the rate limits admit now, the most urgent first,
+// and fails those that have waited too long. The caller must hold the lock.
 func (c *leader) placeWaiting(now time.Time) {
 	if len(c.turnWaits) == 0 {
 		return
 	}
 	slices.SortStableFunc(c.turnWaits, func(a, b pendingPlacement) int {
-		return cmp.Or(cmp.Compare(a.priority, b.priority), a.aim.Compare(b.aim))
+		return cmp.Or(cmp.Compare(a.priority, b.priority), a.softDeadline.Compare(b.softDeadline))
 	})
 	var ended []pendingPlacement
 	kept := c.turnWaits[:0]
@@ -149,19 +152,19 @@
 	}
 }
 
-// failPending ends a request for which no turn came; the lock is held.
+// failPending fails a request that no rate limit admitted in time. The caller must hold the lock.
 func (c *leader) failPending(now time.Time, w pendingPlacement) {
-	again := minRetryAfter
+	retryAfter := minRetryAfter
 	if wait, ok := c.group.models.timeToNextSend(now, c.asks[w.stages.Task].service); ok {
-		again = clampRetryAfter(wait)
+		retryAfter = clampRetryAfter(wait)
 	}
-	c.tell(w.stages.Task, wire.StagesDone{Failed: noCapacityReason, Again: again.Milliseconds()})
+	c.tell(w.stages.Task, wire.StagesDone{Failed: noCapacityReason, Again: retryAfter.Milliseconds()})
 	c.forget(w.stages.Task)
 	c.carryOut(c.pool.Release(now, w.stages.Task))
 }
 
-// place chooses the endpoint for a request whose stages are done, or reports that it has to
-// wait for a turn; the lock is held.
+// place chooses the endpoint of a request whose stages are done, or reports that the request has to
+// wait for a rate limit. The caller must hold the lock.
 func (c *leader) place(now time.Time, done stagepool.Complete) (m wire.StagesDone, waits bool) {
 	m = wire.StagesDone{Handles: done.Handles}
 	a, ok := c.asks[done.Task]
@@ -173,8 +176,8 @@
 	wants.prompt.InputBytes = done.Bytes
 	at, ok := c.group.models.choose(now, wants)
 	if !ok {
-		wait, turns := c.group.models.timeToNextSend(now, wants.service)
-		return m, turns && wait > 0
+		wait, available := c.group.models.timeToNextSend(now, wants.service)
+		return m, available && wait > 0
 	}
 	c.releaseReservation(done.Task)
 	c.placed[done.Task] = at
@@ -184,7 +187,8 @@
 	return m, false
 }
 
-// releaseReservation counts the promise to a request as kept or over; the lock is held.
+// releaseReservation removes the reservation of a request, if it has one. The caller must hold the
+// lock.
 func (c *leader) releaseReservation(id stagepool.TaskID) {
 	if a, ok := c.asks[id]; ok && a.reserved {
 		a.reserved = false
@@ -193,18 +197,18 @@
 	}
 }
 
-// placementRequest is what a request asks of its model endpoint.
+// placementRequest is a request whose model endpoint the leader chooses.
 type placementRequest struct {
 	need
-	// avoid are endpoints in backoff towards the request's node.
-	avoid    []signal.Backoff
-	priority int
-	aim      time.Time
-	// reserved is true until it is placed.
+	// avoid lists the endpoints in backoff towards the request's node.
+	avoid        []signal.Backoff
+	priority     int
+	softDeadline time.Time
+	// reserved is true while the request holds a reservation in the pools.
 	reserved bool
 }
 
-// needAt is the need at a moment, without the endpoints that are in backoff then.
+// needAt returns the need at the given time, which excludes the endpoints in backoff then.
 func (a *placementRequest) needAt(now time.Time) need {
 	n := a.need
 	for _, b := range a.avoid {
@@ -215,7 +219,7 @@
 	return n
 }
 
-// newPlacementRequest is what a submitted request asks of its model endpoint.
+// newPlacementRequest returns the placement request of a submission.
 func newPlacementRequest(now time.Time, m *wire.StagesSubmit) placementRequest {
 	a := placementRequest{need: need{service: m.Model, prefix: m.Prefix, prompt: place.Prompt{Tokens: m.Tokens}}, priority: m.Priority}
 	for _, part := range m.Parts {
