--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -37,8 +37,9 @@
 	listener net.Listener
 }
 
-// drain shuts down gracefully: all nodes stop listing this node in lookup answers at once, while
-// it keeps serving for acceptTime and then until no request is in flight.
+// drain shuts down gracefully. All nodes stop listing this node in lookup answers at once, while it
+// accepts connections for up to acceptTime. It then serves until no request is in flight or the
+// grace period is over.
 func (n *Node) drain(f *front) {
 	s := n.beginShutdown()
 	time.Sleep(s.acceptFor)
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -87,7 +87,7 @@
 	queuedTokens int
 	// cacheSource is the address of an endpoint that has cached more of the prompt, or "".
 	cacheSource string
-	// bounded is true if, as far as this node knows, the endpoint has a rate limit.
+	// bounded is true if, as far as this node knows, the endpoint has a rate limit or is cold.
 	bounded bool
 }
 
@@ -109,15 +109,15 @@
 	if !ok {
 		return nil, false
 	}
-	copyFrom := ""
+	cacheSource := ""
 	if source := pool.CopySource(now, i, req); source != place.None {
-		copyFrom = pool.At(source).Spec().Address
+		cacheSource = pool.At(source).Spec().Address
 	}
-	ahead := pool.PendingTokens(i)
-	work := pool.Start(now, i, req)
+	queuedTokens := pool.PendingTokens(i)
+	pendingTokens := pool.Start(now, i, req)
 	spec := pool.At(i).Spec()
 	e := catalog.Endpoint{ID: spec.Name, Service: n.service, Address: spec.Address, Domain: spec.Domain, Slots: spec.Slots}
-	return &placedCall{pools: p, pool: pool, index: i, endpoint: e, started: now, pendingTokens: work, queuedTokens: ahead, cacheSource: copyFrom, bounded: spec.Pace.Bounded(now)}, true
+	return &placedCall{pools: p, pool: pool, index: i, endpoint: e, started: now, pendingTokens: pendingTokens, queuedTokens: queuedTokens, cacheSource: cacheSource, bounded: spec.Pace.Bounded(now)}, true
 }
 
 // forecast is the predicted placement of a prompt.
@@ -168,7 +168,8 @@
 }
 
 // cachingEndpoints lists the endpoints of model engines that cache prompts and may be asked for
-// them. Endpoints with a rate limit are left out, because the question would count against it.
+// them. Endpoints that have a rate limit or are cold are left out, because the query would count
+// against their bound.
 func (p *pools) cachingEndpoints(now time.Time, v *view) []catalog.Endpoint {
 	paces := make(map[string]endpointPace)
 	var list []catalog.Endpoint
