--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -14,36 +14,36 @@
 	"gradetiller.example/internal/wire"
 )
 
-// The placement policies of the two kinds of service. A leader places the
-// prompts of all nodes by what is left to read at each endpoint; a node that
-// places its own alone can't know that.
+// The placement policies of plain services and models. A leader places the prompts of all nodes,
+// by the tokens that each endpoint still has to prefill. A node that places only its own requests
+// can't know these.
 const (
 	plainPolicy  = "predicted_finish"
 	modelPolicy  = "prefix_affinity"
 	leaderPolicy = place.LeastWork
 )
 
-// pools holds the endpoints of the services that requests go to.
+// pools holds the endpoint pools of plain services and models. Stage services have their own.
 type pools struct {
-	mu        sync.Mutex
-	seed      uint64
-	models    string // the policy for models
-	pace      pacing
-	off       mechanism.Disabled
-	byService map[string]*place.Pool
-	sharing   map[string]*place.KeySelector
-	// promised counts the calls of each service that were let in and are not placed yet.
-	promised map[string]int
+	mu           sync.Mutex
+	seed         uint64
+	models       string // the policy for models
+	pace         paceSource
+	off          mechanism.Disabled
+	byService    map[string]*place.Pool
+	keySelectors map[string]*place.KeySelector
+	// reserved counts the calls of each service that were admitted but not yet placed.
+	reserved map[string]int
 }
 
-// pacing returns, for a service of a view, when calls may go to an endpoint of it that is cold for a
-// time.
-type pacing func(v *view, service catalog.Service) endpointPace
+// paceSource returns the paces of the endpoints of a service in a view.
+type paceSource func(v *view, service catalog.Service) endpointPace
 
+// endpointPace returns the pace of calls to an endpoint, given its cold period.
 type endpointPace func(endpoint string, cold discovery.ColdPeriod) intake.Pace
 
-func newPools(seed uint64, models string, pace pacing, off mechanism.Disabled) *pools {
-	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), sharing: make(map[string]*place.KeySelector), promised: make(map[string]int)}
+func newPools(seed uint64, models string, pace paceSource, off mechanism.Disabled) *pools {
+	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), keySelectors: make(map[string]*place.KeySelector), reserved: make(map[string]int)}
 }
 
 func (p *pools) update(v *view) {
@@ -69,80 +69,78 @@
 	}
 	pool, err := place.NewPool(policy, seed)
 	if err != nil {
-		// The names are constants of this file.
+		// The policy names are constants.
 		panic(err)
 	}
 	return pool
 }
 
-// placed is an endpoint that was chosen for a call, and counts it until it
-// ends.
-type placed struct {
-	pools    *pools
-	pool     *place.Pool
-	index    int
-	endpoint catalog.Endpoint
-	started  time.Time
-	work     int
-	// ahead is how many tokens of earlier calls the endpoint had to read.
-	ahead int
-	// copyFrom is the address of an endpoint that holds more of the prompt, or
-	// "".
-	copyFrom string
-	// bounded tells that the endpoint bounds what it takes, as far as this node knows.
+// placedCall is a call in flight at the endpoint chosen for it. It counts as load until finish.
+type placedCall struct {
+	pools         *pools
+	pool          *place.Pool
+	index         int
+	endpoint      catalog.Endpoint
+	started       time.Time
+	pendingTokens int
+	// queuedTokens is the number of tokens that the endpoint had to prefill for earlier calls.
+	queuedTokens int
+	// cacheSource is the address of an endpoint that has cached more of the prompt, or "".
+	cacheSource string
+	// bounded is true if, as far as this node knows, the endpoint has a rate limit or is cold.
 	bounded bool
 }
 
-// need is what a call asks of its endpoint.
+// need is what a call requires of its endpoint.
 type need struct {
 	service string
 	prefix  uint64
 	prompt  place.Prompt
 	tried   []string
-	// wanted is an endpoint that is taken if it can be, or "".
-	wanted string
+	// preferred is the endpoint to choose if it accepts the call, or "".
+	preferred string
 }
 
-// choose picks an endpoint that was not tried yet and counts a call there.
-func (p *pools) choose(now time.Time, n need) (*placed, bool) {
+// choose picks an endpoint that was not tried yet and records a call to it.
+func (p *pools) choose(now time.Time, n need) (*placedCall, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, req, i, ok := p.pick(now, n)
 	if !ok {
 		return nil, false
 	}
-	copyFrom := ""
+	cacheSource := ""
 	if source := pool.CopySource(now, i, req); source != place.None {
-		copyFrom = pool.At(source).Spec().Address
+		cacheSource = pool.At(source).Spec().Address
 	}
-	ahead := pool.PendingTokens(i)
-	work := pool.Start(now, i, req)
+	queuedTokens := pool.PendingTokens(i)
+	pendingTokens := pool.Start(now, i, req)
 	spec := pool.At(i).Spec()
 	e := catalog.Endpoint{ID: spec.Name, Service: n.service, Address: spec.Address, Domain: spec.Domain, Slots: spec.Slots}
-	return &placed{pools: p, pool: pool, index: i, endpoint: e, started: now, work: work, ahead: ahead, copyFrom: copyFrom, bounded: spec.Pace.Bounded(now)}, true
+	return &placedCall{pools: p, pool: pool, index: i, endpoint: e, started: now, pendingTokens: pendingTokens, queuedTokens: queuedTokens, cacheSource: cacheSource, bounded: spec.Pace.Bounded(now)}, true
 }
 
-// forecast is where a prompt would go now.
+// forecast is the predicted placement of a prompt.
 type forecast struct {
 	domain string
-	// read is the time that it would take to the first event.
-	read time.Duration
-	// rest is the time that reading some further tokens takes.
-	rest time.Duration
+	// ttft is the time to the first event.
+	ttft time.Duration
+	// extraPrefill is the prefill time of the extra tokens.
+	extraPrefill time.Duration
 }
 
-// predict tells where a call would go, and how long reading would take. extra
-// tokens of the prompt are counted apart.
+// predict returns where a call would be placed and its time to first token. The prefill time of
+// the given number of extra tokens, which are part of the prompt, is also returned separately.
 func (p *pools) predict(now time.Time, n need, extra int) forecast {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, req, i, ok := p.pick(now, n)
 	if !ok {
 		r := place.NewPrefillModel()
-		return forecast{read: r.Predict(n.prompt.Tokens), rest: r.Predict(extra) - r.Predict(0)}
+		return forecast{ttft: r.Predict(n.prompt.Tokens), extraPrefill: r.Predict(extra) - r.Predict(0)}
 	}
 	r := pool.PrefillModel()
-	return forecast{domain: pool.At(i).Spec().Domain, read: pool.PredictTTFT(now, i, req), rest: r.Predict(extra) - r.Predict(0)}
+	return forecast{domain: pool.At(i).Spec().Domain, ttft: pool.PredictTTFT(now, i, req), extraPrefill: r.Predict(extra) - r.Predict(0)}
 }
 
 func (p *pools) pick(now time.Time, n need) (*place.Pool, place.Request, int, bool) {
@@ -152,7 +150,7 @@
 	}
 	req := place.Request{Prefix: n.prefix, Prompt: n.prompt, Exclude: place.None, Tried: indices(pool, n.tried)}
 	req = pool.WithCacheHits(now, req)
-	if i := pool.Find(n.wanted); i != place.None && pool.Accepts(now, i, req) {
+	if i := pool.Find(n.preferred); i != place.None && pool.Accepts(now, i, req) {
 		req.ChosenByPeer = true
 		return pool, req, i, true
 	}
@@ -160,7 +158,7 @@
 	return pool, req, i, ok
 }
 
-// promptParts are the parts of a request's prompt.
+// promptParts returns the parts of a request's prompt.
 func (q *request) promptParts() []wire.PromptPart {
 	parts := make([]wire.PromptPart, len(q.in.PromptPrefix))
 	for i, part := range q.in.PromptPrefix {
@@ -169,8 +167,9 @@
 	return parts
 }
 
-// cachingEndpoints lists the endpoints of model engines that keep prompts and may be asked
-// about them. One that bounds the requests that it takes is not, as that would be one.
+// cachingEndpoints lists the endpoints of model engines that cache prompts and may be asked for
+// them. Endpoints that have a rate limit or are cold are left out, because the query would count
+// against their bound.
 func (p *pools) cachingEndpoints(now time.Time, v *view) []catalog.Endpoint {
 	paces := make(map[string]endpointPace)
 	var list []catalog.Endpoint
@@ -189,8 +188,8 @@
 	return list
 }
 
-// drain takes an endpoint out of use at once; the next update removes it.
-func (p *pools) drain(endpoint string) {
+// markDraining stops calls to an endpoint at once; the next update removes it.
+func (p *pools) markDraining(endpoint string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.byService {
@@ -200,8 +199,8 @@
 	}
 }
 
-// backoff has nothing go to an endpoint until a moment.
-func (p *pools) backoff(endpoint string, until time.Time) {
+// setBackoff stops calls to an endpoint until the given time.
+func (p *pools) setBackoff(endpoint string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, pool := range p.byService {
@@ -211,8 +210,9 @@
 	}
 }
 
-// of returns the backoffs of a service's endpoints.
-func (p *pools) of(service string, list []signal.Backoff) []signal.Backoff {
+// backoffsOf returns those of a list of backoffs that belong to endpoints of a service. It modifies
+// the list.
+func (p *pools) backoffsOf(service string, list []signal.Backoff) []signal.Backoff {
 	if len(list) == 0 {
 		return nil
 	}
@@ -222,9 +222,9 @@
 	return slices.DeleteFunc(list, func(b signal.Backoff) bool { return !ok || pool.Find(b.Endpoint) == place.None })
 }
 
-// closed reports whether no endpoint of a service takes requests of this node, and the first end
-// of a backoff there, or the zero time.
-func (p *pools) closed(now time.Time, service string) (reopens time.Time, closed bool) {
+// allBackedOff reports whether all endpoints of a service are leaving, removed or in backoff. It
+// also returns the earliest end of a backoff, or the zero time if there is none.
+func (p *pools) allBackedOff(now time.Time, service string) (reopens time.Time, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, ok := p.byService[service]
@@ -234,9 +234,9 @@
 	return pool.AllBackedOff(now)
 }
 
-// reopens is when an endpoint that is in backoff, or was of late, may first take a call, or the
-// zero time.
-func (p *pools) reopens(now time.Time, n need) time.Time {
+// nextAfterBackoff returns the earliest time at which an endpoint that is in backoff, or in slow
+// start after one, may accept a call, or the zero time if there is no such endpoint.
+func (p *pools) nextAfterBackoff(now time.Time, n need) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, ok := p.byService[n.service]
@@ -254,8 +254,8 @@
 	return list
 }
 
-// hold takes in what an endpoint tells to hold.
-func (p *pools) hold(e catalog.Endpoint, parts []place.Part) {
+// recordCached records the prompt parts that an endpoint reports as cached.
+func (p *pools) recordCached(e catalog.Endpoint, parts []place.Part) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if pool, ok := p.byService[e.Service]; ok {
@@ -263,7 +263,7 @@
 	}
 }
 
-// prefix returns the part of a request's prompt by which it is placed.
+// prefix returns the key of the prompt prefix by which a request is placed.
 func (p *pools) prefix(q *request) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -271,10 +271,10 @@
 	if !ok {
 		return 0
 	}
-	shared, ok := p.sharing[q.service]
+	shared, ok := p.keySelectors[q.service]
 	if !ok {
 		shared = place.NewKeySelector()
-		p.sharing[q.service] = shared
+		p.keySelectors[q.service] = shared
 	}
 	parts := make([]uint64, len(q.in.PromptPrefix))
 	for i, part := range q.in.PromptPrefix {
@@ -283,14 +283,14 @@
 	return shared.Key(q.route.Name, parts, pool.Len())
 }
 
-// end counts the end of the call.
-func (c *placed) end(now time.Time, r place.Result) {
+// finish records the result of the call, which no longer counts as load.
+func (c *placedCall) finish(now time.Time, r place.Result) {
 	c.pools.mu.Lock()
 	defer c.pools.mu.Unlock()
 	if r.Latency == 0 {
 		r.Latency = now.Sub(c.started)
 	}
-	r.PendingTokens = c.work
+	r.PendingTokens = c.pendingTokens
 	if c.pools.off.Has(mechanism.Reading) {
 		r.PrefillTokens = 0
 	}
--- a/internal/node/refused.go
+++ b/internal/node/refusedentries.go
@@ -8,25 +8,26 @@
 	"gradetiller.example/platform"
 )
 
-// mostRefusedLogged bounds the refused entries that are remembered as logged. Under a
-// flood of them the rest is only counted.
-const mostRefusedLogged = 256
+// maxRefusedLogged bounds the refused entries that are remembered as logged. Further ones are
+// counted but not logged.
+const maxRefusedLogged = 256
 
-// refusedEntry is an entry of the list of endpoints and why it was refused.
+// refusedEntry identifies an entry of the endpoint list and the fault for which it was refused.
 type refusedEntry struct {
 	key   string
 	fault platform.EntryFault
 }
 
-// refusedEntries counts what the last list that was read had to leave out, and remembers
-// what was logged. Only the goroutine that reads the list uses it.
+// refusedEntries remembers which refused entries of the endpoint list were logged and which faults
+// were counted. It is used only by the goroutine that reads the list.
 type refusedEntries struct {
 	logged map[refusedEntry]bool
 	faults map[platform.EntryFault]bool
 }
 
-// noteRefused logs each refused entry once for each fault, and counts all by fault.
-func (n *Node) noteRefused(list []*platform.EntryError) {
+// recordRefused logs each refused entry once for each fault, and sets the gauges of refused entries
+// by fault.
+func (n *Node) recordRefused(list []*platform.EntryError) {
 	counts := make(map[platform.EntryFault]int)
 	now := make(map[refusedEntry]bool, len(list))
 	for _, refused := range list {
@@ -36,12 +37,12 @@
 		switch {
 		case n.refused.logged[key]:
 			now[key] = true
-		case len(n.refused.logged)+len(now) < mostRefusedLogged:
+		case len(n.refused.logged)+len(now) < maxRefusedLogged:
 			now[key] = true
 			n.log.Warn(eventEntryRefused, zap.String("entry", refused.Key), zap.Error(refused))
 		}
 	}
-	// What is listed no more may be logged again when it comes back.
+	// An entry that is no longer listed is logged again if it reappears.
 	n.refused.logged = now
 	for fault := range n.refused.faults {
 		name := fmt.Sprintf(`gradetiller_entries_refused{fault=%q}`, fault)
