--- a/internal/node/asking_test.go
+++ b/internal/node/asking_test.go
@@ -14,7 +14,7 @@
 // TestStartersAskReaders has 120 nodes that know each other, and nothing else, choose
 // whom they ask for what they lack: a reader, and no reader by more than three times
 // its share of them. Once they know something they ask all kinds of nodes.
-func TestStartersAskReaders(t *testing.T) {
+func TestStartingNodesAskReaders(t *testing.T) {
 	const nodes = 120
 	n := newNode(t, platformtest.NewSite(t))
 	var entries []wire.Entry
@@ -24,26 +24,26 @@
 	}
 	n.setEntries(entries)
 	readers := n.readers.Load().Readers(0)
-	asked := make(map[string]int)
+	askCounts := make(map[string]int)
 	for _, e := range entries {
 		n.settings.Node, n.asked = e.Node, 0
 		address := n.knowing(&view{})
 		if !slices.Contains(readers, address) {
 			t.Errorf("%s asks %s, which does not read", e.Node, address)
 		}
-		asked[address]++
+		askCounts[address]++
 	}
-	for address, count := range asked {
+	for address, count := range askCounts {
 		if count > 3*nodes/len(readers) {
 			t.Errorf("%s is asked by %d of %d nodes", address, count, nodes)
 		}
 	}
-	clear(asked)
+	clear(askCounts)
 	for _, e := range entries {
 		n.settings.Node, n.asked = e.Node, 0
-		asked[n.knowing(&view{fresh: discovery.Freshness{List: time.Now()}})]++
+		askCounts[n.knowing(&view{fresh: discovery.Freshness{List: time.Now()}})]++
 	}
-	if len(asked) < nodes/3 {
-		t.Errorf("%d nodes are asked by %d", len(asked), nodes)
+	if len(askCounts) < nodes/3 {
+		t.Errorf("%d nodes are asked by %d", len(askCounts), nodes)
 	}
 }
--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -12,11 +12,11 @@
 const (
 	// coldPerSecond is what a cold worker of these tests handles, and coldAllowed how many
 	// requests it may get in any second: 1.5 times that, and 5 more.
-	coldPerSecond = 10.0
-	coldAllowed   = 20
+	coldRate         = 10.0
+	maxColdPerSecond = 20
 	// coldTime is how long workers are cold, coldKnown how long nodes may take to know it.
-	coldTime  = 8 * time.Second
-	coldKnown = 2500 * time.Millisecond
+	coldDuration     = 8 * time.Second
+	coldReactionTime = 2500 * time.Millisecond
 )
 
 // TestColdEndpoints has two of six workers, then all of them, turn cold while three nodes send
@@ -31,15 +31,15 @@
 		for _, cold := range []int{2, 6} {
 			t.Run(fmt.Sprintf("%s-%d-of-6", c.name, cold), func(t *testing.T) {
 				t.Parallel()
-				c.keepsCold(t, cold)
+				c.checkColdLimit(t, cold)
 			})
 		}
 	}
 }
 
-func (c limitCase) keepsCold(t *testing.T, cold int) {
-	site, config := desk(t)
-	config.Version, config.ColdPerSecond = 2, coldPerSecond
+func (c limitCase) checkColdLimit(t *testing.T, cold int) {
+	site, config := newSite(t)
+	config.Version, config.ColdPerSecond = 2, coldRate
 	site.Publish(config)
 	var workers []*platformtest.Worker
 	for _, name := range []string{"desk", "model", "encode", "rank"} {
@@ -48,30 +48,30 @@
 			workers = list
 		}
 	}
-	nodes := []*running{startNode(t, site)}
+	nodes := []*testNode{startNode(t, site)}
 	for range 2 {
 		nodes = append(nodes, startNode(t, site, nodes[0].Peer))
 	}
 	for _, n := range nodes {
 		n.awaitReady(t)
 	}
-	turned := time.Now()
+	coldSince := time.Now()
 	for _, w := range workers[:cold] {
-		w.SetCold(coldTime)
+		w.SetCold(coldDuration)
 	}
-	l := &tally{answers: make(map[int]int)}
-	l.run(nodes, c.request, 16, turned.Add(coldTime-time.Second))
+	counts := &responseCounts{answers: make(map[int]int)}
+	counts.run(nodes, c.request, 16, coldSince.Add(coldDuration-time.Second))
 	for i, w := range workers[:cold] {
-		arrivals := intaketest.After(w.ArrivalTimes(), turned.Add(coldKnown))
-		if got := intaketest.MaxIn(arrivals, time.Second); got > coldAllowed {
-			t.Errorf("endpoint %d got %d requests in a second, %d are allowed", i, got, coldAllowed)
+		arrivals := intaketest.After(w.ArrivalTimes(), coldSince.Add(coldReactionTime))
+		if got := intaketest.MaxIn(arrivals, time.Second); got > maxColdPerSecond {
+			t.Errorf("endpoint %d got %d requests in a second, %d are allowed", i, got, maxColdPerSecond)
 		}
 		if len(arrivals) == 0 {
 			t.Errorf("endpoint %d was left with nothing", i)
 		}
 	}
-	if len(l.held) > 0 {
-		t.Errorf("%d were neither served nor refused with the time to come back: %s", len(l.held), l.held[0])
+	if len(counts.unexpected) > 0 {
+		t.Errorf("%d were neither served nor refused with the time to come back: %s", len(counts.unexpected), counts.unexpected[0])
 	}
-	t.Logf("answers %v", l.answers)
+	t.Logf("answers %v", counts.answers)
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -28,23 +28,23 @@
 // TestConfigurationsGoCompressed passes a configuration of 1,400 routes from one node
 // to another: compressed if the one that asks can read that, whole otherwise, and the
 // same at the end.
-func TestConfigurationsGoCompressed(t *testing.T) {
-	site, c := desk(t)
+func TestConfigCompressedForPeer(t *testing.T) {
+	site, c := newSite(t)
 	for i := range 1400 {
 		c.Routes = append(c.Routes, platformtest.Route{Prefix: fmt.Sprintf("/more-%x/", i*2654435761), Kind: "safe", Service: "desk"})
 	}
 	c.Version = 7
 	site.Publish(c)
-	knows := newNode(t, site)
-	r, err := knows.store.ReadConfig(context.Background(), time.Minute)
+	source := newNode(t, site)
+	r, err := source.store.ReadConfig(context.Background(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	knows.takeConfig(r.Data, "store")
+	source.takeConfig(r.Data, "store")
 	for _, packed := range []bool{false, true} {
-		asks := newNode(t, site)
+		requester := newNode(t, site)
 		var got *wire.View
-		knows.answerView(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
+		source.answerView(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
 			v := m.(wire.View)
 			got = &v
 			return nil
@@ -56,22 +56,22 @@
 		if packed && 5*len(got.Config) > len(r.Data) {
 			t.Errorf("%d of %d bytes are left", len(got.Config), len(r.Data))
 		}
-		asks.takeView(got)
-		if v := asks.view.Load(); v.version() != 7 || !bytes.Equal(v.file.data, r.Data) {
+		requester.takeView(got)
+		if v := requester.view.Load(); v.version() != 7 || !bytes.Equal(v.file.data, r.Data) {
 			t.Errorf("packed %v: version %d is in force", packed, v.version())
 		}
 	}
-	asks := newNode(t, site)
-	asks.takeView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
-	if v := asks.view.Load().version(); v != 0 {
+	requester := newNode(t, site)
+	requester.takeView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
+	if v := requester.view.Load().version(); v != 0 {
 		t.Errorf("version %d is in force after a file that can't be read", v)
 	}
 }
 
 // startDesk starts a node that serves.
-func startDesk(t *testing.T) (*platformtest.Site, platformtest.Config, *running) {
+func startServingNode(t *testing.T) (*platformtest.Site, platformtest.Config, *testNode) {
 	t.Helper()
-	site, c := desk(t)
+	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
 	r := startNode(t, site)
 	r.awaitReady(t)
@@ -80,8 +80,8 @@
 
 // TestForgottenHistory has the store forget its history while a node waits for changes:
 // the node reads the whole, and hears of the changes after that.
-func TestForgottenHistory(t *testing.T) {
-	site, c, r := startDesk(t)
+func TestWatchAfterDroppedHistory(t *testing.T) {
+	site, c, r := startServingNode(t)
 	for range 3 {
 		site.Store.DropHistory()
 		c.Version++
@@ -93,14 +93,14 @@
 // TestRefusedConfiguration has the store hold a version that can't be read: the one
 // before stays in force as a whole, the refusal is counted, and the next version that
 // can be read is taken.
-func TestRefusedConfiguration(t *testing.T) {
-	site, c, r := startDesk(t)
+func TestInvalidConfigKeepsPrevious(t *testing.T) {
+	site, c, r := startServingNode(t)
 	for range 3 {
 		before := c.Version
-		refused := r.node.configsRefused.Load()
+		refusedBefore := r.node.configsRefused.Load()
 		c.Version++
 		site.PublishInvalid(c)
-		eventually(t, "a version is refused", func() bool { return r.node.configsRefused.Load() > refused })
+		eventually(t, "a version is refused", func() bool { return r.node.configsRefused.Load() > refusedBefore })
 		if got := r.node.view.Load().version(); got != before {
 			t.Errorf("version %d is in force after %d was refused, want %d", got, c.Version, before)
 		}
@@ -114,16 +114,16 @@
 // a pause: a node that has to read a whole configuration over such a link gets it. A
 // limit on the whole answer let none through that takes longer, at whatever try; on 61
 // processes with links of their own a node never got 1,400 routes that way.
-func TestSlowLinkToTheStore(t *testing.T) {
-	site, c := desk(t)
+func TestConfigOverSlowStoreLink(t *testing.T) {
+	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
 	c.Version = 2
 	for i := range 20 {
 		c.Routes = append(c.Routes, platformtest.Route{Prefix: fmt.Sprintf("/more-%d/", i), Kind: "safe", Service: "desk"})
 	}
 	site.Publish(c)
-	door := site.AddStoreProxy()
-	door.Disrupt(platformtest.ConfigCalls, platformtest.Throttle)
-	r := startNodeOn(t, site, platformtest.Instance{Zone: "zone-a", MemoryMB: 284, Store: door.Address})
+	proxy := site.AddStoreProxy()
+	proxy.Disrupt(platformtest.ConfigCalls, platformtest.Throttle)
+	r := startNodeOnInstance(t, site, platformtest.Instance{Zone: "zone-a", MemoryMB: 284, Store: proxy.Address})
 	r.awaitReady(t)
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -16,16 +16,16 @@
 // four one after the other; on the code before all of them keep four, 64 where 50 are taken.
 
 // deskConnections is how many connections a worker of the plain service takes.
-const deskConnections = 50
+const maxConnections = 50
 
 // TestConnectionsOfAllNodes has sixteen nodes send bursts of requests that may be repeated to one
 // endpoint, one node after the other. What they keep of their connections is no more than the
 // endpoint takes, and some are kept.
-func TestConnectionsOfAllNodes(t *testing.T) {
+func TestConnectionLimitAcrossNodes(t *testing.T) {
 	t.Parallel()
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	worker := site.AddWorkers("desk", 1)[0]
-	nodes := []*running{startNode(t, site)}
+	nodes := []*testNode{startNode(t, site)}
 	for range 15 {
 		nodes = append(nodes, startNode(t, site, nodes[0].Peer))
 	}
@@ -40,10 +40,10 @@
 		}
 		return true
 	})
-	const atOnce = 4
+	const burst = 4
 	for i, n := range nodes {
 		var sending sync.WaitGroup
-		for k := range atOnce {
+		for k := range burst {
 			sending.Go(func() {
 				if a := do(n.Front, platformtest.Request{ID: fmt.Sprintf("b-%d-%d", i, k), Path: "/read/x"}); a.Status != http.StatusOK {
 					t.Errorf("node %d: %d %v", i, a.Status, a.Err)
@@ -52,8 +52,8 @@
 		}
 		sending.Wait()
 	}
-	if open := worker.PeakOpenConnections(); open > deskConnections {
-		t.Errorf("%d connections were open at once, the endpoint takes %d", open, deskConnections)
+	if open := worker.PeakOpenConnections(); open > maxConnections {
+		t.Errorf("%d connections were open at once, the endpoint takes %d", open, maxConnections)
 	}
 	if worker.OpenConnections() == 0 {
 		t.Error("no connection was kept")
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -33,30 +33,30 @@
 const (
 	// stopGrace is the grace period of the nodes of these tests. They end
 	// lastMoment earlier.
-	stopGrace = 6 * time.Second
+	stopGracePeriod = 6 * time.Second
 	// eventPause between the events of a stream makes it last 3.5 s.
-	eventPause  = 100 * time.Millisecond
-	longEvents  = 36
-	longStream  = (longEvents - 1) * eventPause
-	longTimeout = 15 * time.Second
+	eventInterval      = 100 * time.Millisecond
+	longStreamEvents   = 36
+	longStreamDuration = (longStreamEvents - 1) * eventInterval
+	longStreamTimeout  = 15 * time.Second
 	// streamsBefore teach the node how long streams take; fewer leave it unsure.
-	streamsBefore = 64
+	samplesNeeded = 64
 	// stated is the most tokens that the clients of these tests state.
-	stated = 40
+	maxTokens = 40
 )
 
 // late is when a stream comes that can't end within the grace period any more,
 // while the node still takes connections.
-const late = stopGrace - lastMoment - longStream + 100*time.Millisecond
+const lateArrival = stopGracePeriod - lastMoment - longStreamDuration + 100*time.Millisecond
 
 // startStopping starts a node before an engine whose streams are long. Until it is
 // taught, it has served none of them.
-func startStopping(t *testing.T) (*running, *platformtest.Worker) {
+func startLongStreamNode(t *testing.T) (*testNode, *platformtest.Worker) {
 	t.Helper()
-	site, c := desk(t)
+	site, c := newSite(t)
 	for i := range c.Routes {
 		if c.Routes[i].Service == "model" {
-			c.Routes[i].Timeout = longTimeout
+			c.Routes[i].Timeout = longStreamTimeout
 		}
 	}
 	c.Version = 2
@@ -65,10 +65,10 @@
 	site.AddWorkers("encode", 1)
 	site.AddWorkers("rank", 1)
 	model := site.AddWorkers("model", 1)[0]
-	model.Events = longEvents
-	model.EventInterval = eventPause
+	model.Events = longStreamEvents
+	model.EventInterval = eventInterval
 	n := startNode(t, site)
-	n.node.settings.GracePeriod = stopGrace
+	n.node.settings.GracePeriod = stopGracePeriod
 	n.awaitReady(t)
 	eventually(t, "all endpoints are listed", func() bool { return len(n.node.view.Load().endpoints) == 4 })
 	return n, model
@@ -76,22 +76,22 @@
 
 // teach has the node have served as many streams of a route as it takes to be
 // sure of their time.
-func (r *running) teach(path string) {
+func (r *testNode) recordLongStreams(path string) {
 	route := r.node.view.Load().config.Match(platformtest.Host, path)
-	for range streamsBefore {
+	for range samplesNeeded {
 		now := time.Now()
-		r.node.times.served(&request{in: platform.ClientRequest{MaxTokens: stated}, service: route.PickBackend(0), route: route, arrived: now.Add(-longStream)}, now)
+		r.node.times.served(&request{in: platform.ClientRequest{MaxTokens: maxTokens}, service: route.PickBackend(0), route: route, arrived: now.Add(-longStreamDuration)}, now)
 	}
 }
 
-func (r *running) beginStop(t *testing.T) {
+func (r *testNode) stopAndWait(t *testing.T) {
 	t.Helper()
 	r.stop()
 	eventually(t, "the node stops", r.node.stopping)
 }
 
 // connect opens a connection for one request, as a client that keeps it does.
-func (r *running) connect(t *testing.T) *http.Transport {
+func (r *testNode) connect(t *testing.T) *http.Transport {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Front)
 	if err != nil {
@@ -103,14 +103,14 @@
 }
 
 func longRequest(id, path string) platformtest.Request {
-	return platformtest.Request{ID: id, Path: path, Key: key, Streaming: true, Pieces: []int{1, 1}, Prefix: "aa:1", Deadline: longTimeout}
+	return platformtest.Request{ID: id, Path: path, Key: key, Streaming: true, Pieces: []int{1, 1}, Prefix: "aa:1", Deadline: longStreamTimeout}
 }
 
-func whole(a platformtest.Response) bool { return a.Status == http.StatusOK && a.Err == nil }
+func isComplete(a platformtest.Response) bool { return a.Status == http.StatusOK && a.Err == nil }
 
 // checkTurnedAway checks that a request was told that it has not run and when to
 // come back, and that this is true.
-func checkTurnedAway(t *testing.T, id string, a platformtest.Response, model *platformtest.Worker) {
+func checkRejected(t *testing.T, id string, a platformtest.Response, model *platformtest.Worker) {
 	t.Helper()
 	if a.Status != http.StatusServiceUnavailable || a.RetryAfter == "" || a.Err != nil {
 		t.Errorf("%s: %+v, want 503 with the time to come back", id, a)
@@ -123,32 +123,32 @@
 // TestStopTakesWhatItCanEnd sends streams, with stages and without, early and late
 // in a planned stop: the early ones are whole, the late ones are turned away, and
 // a short request that comes as late is served.
-func TestStopTakesWhatItCanEnd(t *testing.T) {
-	n, model := startStopping(t)
+func TestStopRejectsRequestsThatCannotFinish(t *testing.T) {
+	n, model := startLongStreamNode(t)
 	paths := []string{"/once/", "/staged/"}
 	for _, path := range paths {
-		n.teach(path)
+		n.recordLongStreams(path)
 	}
-	if a := do(n.Front, platformtest.Request{ID: "known", Path: "/book/"}); !whole(a) {
+	if a := do(n.Front, platformtest.Request{ID: "known", Path: "/book/"}); !isComplete(a) {
 		t.Fatalf("before the stop: %+v", a)
 	}
-	n.beginStop(t)
+	n.stopAndWait(t)
 	var wait sync.WaitGroup
 	for _, path := range paths {
 		wait.Go(func() {
-			if a := do(n.Front, longRequest("early"+path, path)); !whole(a) {
+			if a := do(n.Front, longRequest("early"+path, path)); !isComplete(a) {
 				t.Errorf("a stream that the node has time for: %+v", a)
 			}
 		})
 	}
 	short := n.connect(t)
-	opened := []*http.Transport{n.connect(t), n.connect(t)}
-	time.Sleep(late)
+	connections := []*http.Transport{n.connect(t), n.connect(t)}
+	time.Sleep(lateArrival)
 	for i, path := range paths {
 		id := "late" + path
-		checkTurnedAway(t, id, platformtest.DoOn(context.Background(), opened[i], n.Front, longRequest(id, path)), model)
+		checkRejected(t, id, platformtest.DoOn(context.Background(), connections[i], n.Front, longRequest(id, path)), model)
 	}
-	if a := platformtest.DoOn(context.Background(), short, n.Front, platformtest.Request{ID: "short", Path: "/book/", Key: key}); !whole(a) {
+	if a := platformtest.DoOn(context.Background(), short, n.Front, platformtest.Request{ID: "short", Path: "/book/", Key: key}); !isComplete(a) {
 		t.Errorf("a short request: %+v", a)
 	}
 	wait.Wait()
@@ -156,16 +156,16 @@
 
 // TestStopAfterSlowStages has a stream's stages take so long that its answer can't
 // end any more: no engine begins it, and what the stages made is freed.
-func TestStopAfterSlowStages(t *testing.T) {
-	n, model := startStopping(t)
-	n.teach("/staged/")
-	q := &request{in: platform.ClientRequest{RequestID: "slow", MaxTokens: stated}, view: n.node.view.Load(), service: "model", arrived: time.Now()}
+func TestStopRejectsStreamAfterSlowStages(t *testing.T) {
+	n, model := startLongStreamNode(t)
+	n.recordLongStreams("/staged/")
+	q := &request{in: platform.ClientRequest{RequestID: "slow", MaxTokens: maxTokens}, view: n.node.view.Load(), service: "model", arrived: time.Now()}
 	q.route = q.view.config.Match(platformtest.Host, "/staged/")
-	q.deadline = q.arrived.Add(longTimeout)
-	n.node.stop.Store(&stop{asked: q.arrived, accepts: acceptAfter, ends: q.arrived, window: drain.Until(q.arrived.Add(longStream))})
+	q.deadline = q.arrived.Add(longStreamTimeout)
+	n.node.stop.Store(&stop{asked: q.arrived, accepts: acceptAfter, ends: q.arrived, window: drain.Until(q.arrived.Add(longStreamDuration))})
 	w := httptest.NewRecorder()
 	n.node.serveStream(context.Background(), w, q)
-	checkTurnedAway(t, "slow", platformtest.Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After")}, model)
+	checkRejected(t, "slow", platformtest.Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After")}, model)
 	n.node.stop.Store(nil)
 }
 
@@ -175,34 +175,34 @@
 // that they have not run. The first connection used to be closed after the request
 // was read, which tells a client nothing; the kept one with all that were idle at
 // one moment, some of them just when their request had been read and begun.
-func TestStopOnConnectionsOpenedBefore(t *testing.T) {
-	n, model := startStopping(t)
-	n.teach("/once/")
+func TestStopAnswersOnOpenConnections(t *testing.T) {
+	n, model := startLongStreamNode(t)
+	n.recordLongStreams("/once/")
 	kept := n.connect(t)
-	if a := platformtest.DoOn(context.Background(), kept, n.Front, platformtest.Request{ID: "kept-1", Path: "/book/", Key: key}); !whole(a) {
+	if a := platformtest.DoOn(context.Background(), kept, n.Front, platformtest.Request{ID: "kept-1", Path: "/book/", Key: key}); !isComplete(a) {
 		t.Fatalf("before the stop: %+v", a)
 	}
-	n.beginStop(t)
+	n.stopAndWait(t)
 	model.InjectFaults(platformtest.NoResponse)
 	var wait sync.WaitGroup
 	wait.Go(func() { do(n.Front, longRequest("in-flight", "/once/")) })
 	eventually(t, "the other request runs", func() bool { return model.Runs("in-flight") > 0 })
 	opened := n.connect(t)
 	time.Sleep(acceptAfter)
-	checkTurnedAway(t, "waiting", platformtest.DoOn(context.Background(), opened, n.Front, longRequest("waiting", "/once/")), model)
-	checkTurnedAway(t, "kept-2", platformtest.DoOn(context.Background(), kept, n.Front, longRequest("kept-2", "/once/")), model)
+	checkRejected(t, "waiting", platformtest.DoOn(context.Background(), opened, n.Front, longRequest("waiting", "/once/")), model)
+	checkRejected(t, "kept-2", platformtest.DoOn(context.Background(), kept, n.Front, longRequest("kept-2", "/once/")), model)
 	wait.Wait()
 }
 
 // TestStopKnowsNothing sends streams to a node that stops before it has served
 // any, as one that is stopped twice in a row: it goes by what the clients state.
-func TestStopKnowsNothing(t *testing.T) {
-	n, model := startStopping(t)
-	n.beginStop(t)
+func TestStopWithoutDurationSamples(t *testing.T) {
+	n, model := startLongStreamNode(t)
+	n.stopAndWait(t)
 	short, long := longRequest("short", "/once/"), longRequest("long", "/once/")
-	long.MaxTokens = 50 * stated
-	checkTurnedAway(t, long.ID, do(n.Front, long), model)
-	if a := do(n.Front, short); !whole(a) {
+	long.MaxTokens = 50 * maxTokens
+	checkRejected(t, long.ID, do(n.Front, long), model)
+	if a := do(n.Front, short); !isComplete(a) {
 		t.Errorf("a stream of a few tokens: %+v", a)
 	}
 }
@@ -210,12 +210,12 @@
 // TestStopClosesKeptConnections checks that the answers of a node that stops tell
 // the client to open a new connection, which it will at another node: also those to
 // requests that came before the order to stop, and streams.
-func TestStopClosesKeptConnections(t *testing.T) {
-	n, _ := startStopping(t)
+func TestStopSendsConnectionClose(t *testing.T) {
+	n, _ := startLongStreamNode(t)
 	before := &request{arrived: time.Now()}
-	n.beginStop(t)
+	n.stopAndWait(t)
 	a := platformtest.DoOn(context.Background(), &http.Transport{}, n.Front, platformtest.Request{ID: "after", Path: "/book/", Key: key})
-	if !whole(a) || !a.ConnectionClose {
+	if !isComplete(a) || !a.ConnectionClose {
 		t.Errorf("%+v, want a whole answer that closes", a)
 	}
 	answer := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
@@ -231,30 +231,30 @@
 
 // TestStopTimes checks what the time of requests is learned from: answers that are
 // whole, by route, and by service for routes of which none was served.
-func TestStopTimes(t *testing.T) {
-	n, _ := startStopping(t)
+func TestDurationEstimates(t *testing.T) {
+	n, _ := startLongStreamNode(t)
 	for _, q := range []platformtest.Request{longRequest("long", "/once/"), {ID: "missing", Path: "/none/", Key: key}} {
 		do(n.Front, q)
 	}
 	cfg := n.node.view.Load().config
-	ask := func(path string) (time.Duration, bool) {
+	estimateFor := func(path string) (time.Duration, bool) {
 		route := cfg.Match(platformtest.Host, path)
 		return n.node.times.likely(&request{service: route.PickBackend(0), route: route})
 	}
 	for _, path := range []string{"/once/", "/plain/"} {
-		if takes, known := ask(path); !known || takes < longStream {
-			t.Errorf("%s: %v, known %v; want at least %v", path, takes, known, longStream)
+		if estimate, known := estimateFor(path); !known || estimate < longStreamDuration {
+			t.Errorf("%s: %v, known %v; want at least %v", path, estimate, known, longStreamDuration)
 		}
 	}
-	if takes, known := ask("/book/"); known {
-		t.Errorf("%v is known of a service that has served nothing", takes)
+	if estimate, known := estimateFor("/book/"); known {
+		t.Errorf("%v is known of a service that has served nothing", estimate)
 	}
 }
 
 // TestStopAcceptsInTime holds the time for which connections are taken against what
 // the platform allows: a request that is sent later than this after SIGTERM counts
 // as lost when it is cut, even at the end of the grace period.
-func TestStopAcceptsInTime(t *testing.T) {
+func TestStopAcceptWindow(t *testing.T) {
 	const allowed = 3 * time.Second
 	if acceptAfter >= allowed {
 		t.Errorf("connections are taken for %v, %v are allowed", acceptAfter, allowed)
--- a/internal/node/draining_test.go
+++ b/internal/node/draining_test.go
@@ -24,8 +24,8 @@
 }
 
 // drainOne has a node with two endpoints learn that the first one drains.
-func drainOne(t *testing.T) (*platformtest.Site, *running, *platformtest.Worker) {
-	site, _ := desk(t)
+func startWithDrainingEndpoint(t *testing.T) (*platformtest.Site, *testNode, *platformtest.Worker) {
+	site, _ := newSite(t)
 	w := site.AddWorkers("desk", 2)[0]
 	n := startNode(t, site)
 	n.awaitReady(t)
@@ -38,7 +38,7 @@
 // TestRestartedEndpointIsUsedAgain guards against a draining signal that outlives its incarnation:
 // an endpoint that starts anew under its id takes requests.
 func TestRestartedEndpointIsUsedAgain(t *testing.T) {
-	_, n, w := drainOne(t)
+	_, n, w := startWithDrainingEndpoint(t)
 	w.AnnounceDraining(false)
 	w.Restart()
 	before := w.TotalRuns()
@@ -47,8 +47,8 @@
 
 // TestOlderListDoesNotEndDraining guards against an endpoint that comes back into use when the store
 // comes back from an older copy, which lists it as ready.
-func TestOlderListDoesNotEndDraining(t *testing.T) {
-	site, n, w := drainOne(t)
+func TestRestoredListDoesNotEndDraining(t *testing.T) {
+	site, n, w := startWithDrainingEndpoint(t)
 	older := site.Store.Snapshot()
 	site.AddWorkers("desk", 1)
 	site.Store.Restore(older)
--- a/internal/node/lives_test.go
+++ b/internal/node/entries_test.go
@@ -13,21 +13,21 @@
 // TestRestartUnderTheSameID has the only worker of a service end, so that the node finds
 // it dead, and begin anew under its id: it is used as soon as it is listed, and nothing of
 // its old life is left in the list.
-func TestRestartUnderTheSameID(t *testing.T) {
-	site, _ := desk(t)
+func TestEndpointRestartsUnderSameID(t *testing.T) {
+	site, _ := newSite(t)
 	worker := site.AddWorkers("desk", 1)[0]
 	worker.Restart()
 	n := startNode(t, site)
 	n.awaitReady(t)
-	lives := func() []catalog.Endpoint { return n.node.view.Load().endpoints }
-	eventually(t, "the worker is listed", func() bool { return len(lives()) == 1 })
-	old := lives()[0].ID
+	endpoints := func() []catalog.Endpoint { return n.node.view.Load().endpoints }
+	eventually(t, "the worker is listed", func() bool { return len(endpoints()) == 1 })
+	oldID := endpoints()[0].ID
 	worker.Crash()
 	for i := range 8 {
 		do(n.Front, platformtest.Request{ID: fmt.Sprintf("dead-%d", i), Path: "/read/"})
 	}
 	worker.Restart()
-	eventually(t, "the new life is listed alone", func() bool { return len(lives()) == 1 && lives()[0].ID != old })
+	eventually(t, "the new life is listed alone", func() bool { return len(endpoints()) == 1 && endpoints()[0].ID != oldID })
 	if a := do(n.Front, platformtest.Request{ID: "alive", Path: "/read/"}); a.Status != http.StatusOK {
 		t.Errorf("the first request to the new life: %d %v", a.Status, a.Err)
 	}
@@ -35,8 +35,8 @@
 
 // TestEntriesOfOtherWriters has another writer put entries of all kinds beside one worker:
 // it is listed alone and serves, and each of them is counted.
-func TestEntriesOfOtherWriters(t *testing.T) {
-	site, _ := desk(t)
+func TestInvalidEntriesAreSkipped(t *testing.T) {
+	site, _ := newSite(t)
 	worker := site.AddWorkers("desk", 1)[0]
 	for i, text := range []string{"", "{", "[]", `{"service":"desk"}`, `{"service":"desk","addr":"10.0.0.1:80","zone":"a","slots":4,"state":"paused"}`} {
 		site.Store.PutEntry(fmt.Sprintf("other-%d", i), []byte(text))
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -18,7 +18,7 @@
 
 // reached counts all that reached some workers: requests, calls of pieces and results that
 // were given up.
-func reached(workers []*platformtest.Worker) (sum int) {
+func countCalls(workers []*platformtest.Worker) (sum int) {
 	for _, w := range workers {
 		sum += w.TotalRuns() + len(w.BatchSizes()) + w.FreeCalls()
 	}
@@ -27,7 +27,7 @@
 
 // bothZones adds workers of all services of a desk in both zones and returns those of the
 // other zone.
-func bothZones(site *platformtest.Site) (other []*platformtest.Worker) {
+func addWorkersInBothZones(site *platformtest.Site) (other []*platformtest.Worker) {
 	for _, service := range []string{"desk", "model", "encode", "rank"} {
 		site.AddWorkers(service, 1)
 		other = append(other, site.AddWorkersIn(otherZone, service, 1)...)
@@ -36,7 +36,7 @@
 }
 
 // sendAll sends requests of each kind side by side and returns how many were served.
-func sendAll(front, name string) int {
+func sendEachKind(front, name string) int {
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	served := 0
@@ -61,7 +61,7 @@
 }
 
 // awaitRead waits until a node has read all that the store holds, and acts by it.
-func awaitRead(t *testing.T, n *running, site *platformtest.Site) {
+func awaitStoreRead(t *testing.T, n *testNode, site *platformtest.Site) {
 	t.Helper()
 	eventually(t, "the node has read the store", func() bool {
 		v := n.node.view.Load()
@@ -72,13 +72,13 @@
 }
 
 // unreached sends requests of all kinds and tells what of them reached some workers.
-func unreached(t *testing.T, n *running, workers []*platformtest.Worker) {
+func checkNoCalls(t *testing.T, n *testNode, workers []*platformtest.Worker) {
 	t.Helper()
-	before := reached(workers)
+	before := countCalls(workers)
 	for round := range 4 {
-		sendAll(n.Front, fmt.Sprintf("unreached-%d", round))
+		sendEachKind(n.Front, fmt.Sprintf("unreached-%d", round))
 	}
-	if now := reached(workers); now != before {
+	if now := countCalls(workers); now != before {
 		t.Errorf("%d requests or calls reached workers that are to get none", now-before)
 	}
 }
@@ -86,43 +86,43 @@
 // TestEvacuation has a failure domain evacuated: nothing at all reaches its endpoints once
 // the node knows, everything is served by the others, and when that is over the endpoints
 // are used again.
-func TestEvacuation(t *testing.T) {
-	site, _ := desk(t)
-	other := bothZones(site)
+func TestEvacuatedDomainGetsNoCalls(t *testing.T) {
+	site, _ := newSite(t)
+	other := addWorkersInBothZones(site)
 	n := startNode(t, site)
 	n.awaitReady(t)
-	sendAll(n.Front, "before")
-	if reached(other) == 0 {
+	sendEachKind(n.Front, "before")
+	if countCalls(other) == 0 {
 		t.Fatal("the other zone is not used in ordinary times")
 	}
 	site.Store.Evacuate(otherZone)
-	awaitRead(t, n, site)
-	before := reached(other)
-	if served := sendAll(n.Front, "during"); served != 8 {
+	awaitStoreRead(t, n, site)
+	before := countCalls(other)
+	if served := sendEachKind(n.Front, "during"); served != 8 {
 		t.Errorf("%d of 8 requests were served by the other failure domain", served)
 	}
-	if now := reached(other); now != before {
+	if now := countCalls(other); now != before {
 		t.Errorf("%d requests or calls reached the evacuated endpoints", now-before)
 	}
 	site.Store.EndEvacuation(otherZone)
 	eventually(t, "the endpoints are used again", func() bool {
-		sendAll(n.Front, "after")
-		return !slices.ContainsFunc(other, func(w *platformtest.Worker) bool { return reached([]*platformtest.Worker{w}) == 0 }) && reached(other) > before
+		sendEachKind(n.Front, "after")
+		return !slices.ContainsFunc(other, func(w *platformtest.Worker) bool { return countCalls([]*platformtest.Worker{w}) == 0 }) && countCalls(other) > before
 	})
 }
 
 // TestEvacuationOfAllEndpoints has all endpoints of each service evacuated: its requests
 // are refused as not run, not held.
 func TestEvacuationOfAllEndpoints(t *testing.T) {
-	site, _ := desk(t)
-	other := bothZones(site)
+	site, _ := newSite(t)
+	other := addWorkersInBothZones(site)
 	n := startNode(t, site)
 	n.awaitReady(t)
 	for _, zone := range []string{platformtest.DefaultZone, otherZone} {
 		site.Store.Evacuate(zone)
 	}
-	awaitRead(t, n, site)
-	before := reached(other)
+	awaitStoreRead(t, n, site)
+	before := countCalls(other)
 	for _, q := range []platformtest.Request{
 		{ID: "read", Path: "/read/"},
 		{ID: "book", Path: "/book/", Body: "seat"},
@@ -133,28 +133,28 @@
 			t.Errorf("%s: answered %d, to come back after %q", q.ID, a.Status, a.RetryAfter)
 		}
 	}
-	if reached(other) != before {
+	if countCalls(other) != before {
 		t.Error("evacuated endpoints were reached")
 	}
 }
 
 // TestEvacuationIsKnownAtTheStart starts a node during an evacuation which can't reach the
 // store: it learns of it from another node before it says that it is ready.
-func TestEvacuationIsKnownAtTheStart(t *testing.T) {
-	site, _ := desk(t)
-	other := bothZones(site)
+func TestEvacuationKnownBeforeReady(t *testing.T) {
+	site, _ := newSite(t)
+	other := addWorkersInBothZones(site)
 	site.Store.Evacuate(otherZone)
 	first := startNode(t, site)
 	first.awaitReady(t)
-	door := site.AddStoreProxy()
-	door.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
-	late := startNodeOn(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: door.Address}, first.Peer)
+	proxy := site.AddStoreProxy()
+	proxy.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
+	late := startNodeOnInstance(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: proxy.Address}, first.Peer)
 	late.awaitReady(t)
-	if served := sendAll(late.Front, "late"); served != 8 || reached(other) > 0 {
-		t.Errorf("%d of 8 requests were served, and %d reached evacuated endpoints", served, reached(other))
+	if served := sendEachKind(late.Front, "late"); served != 8 || countCalls(other) > 0 {
+		t.Errorf("%d of 8 requests were served, and %d reached evacuated endpoints", served, countCalls(other))
 	}
 	site.Store.EndEvacuation(otherZone)
-	eventually(t, "it knows the end too", func() bool { sendAll(late.Front, "ended"); return reached(other) > 0 })
+	eventually(t, "it knows the end too", func() bool { sendEachKind(late.Front, "ended"); return countCalls(other) > 0 })
 }
 
 // TestNoWorkBeforeEvacuationsAreKnown gives a node a configuration and a list of endpoints,
@@ -173,28 +173,28 @@
 		{ID: "a", Service: "model", Address: "127.0.0.1:1", Domain: platformtest.DefaultZone, Slots: 8},
 		{ID: "b", Service: "model", Address: "127.0.0.1:2", Domain: otherZone, Slots: 8},
 	}, 5, time.Now())
-	uses := func(pools *pools) string {
+	chosen := func(pools *pools) string {
 		c, ok := pools.choose(time.Now(), need{service: "model"})
 		if !ok {
 			return ""
 		}
 		return c.endpoint.ID
 	}
-	if got := uses(n.pools) + uses(n.leaders.models); got != "" {
+	if got := chosen(n.pools) + chosen(n.leaders.models); got != "" {
 		t.Errorf("endpoint %s is used before evacuations are known", got)
 	}
 	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		return present.Replace(now, 5, []string{platformtest.DefaultZone})
 	})
-	if own, placed := uses(n.pools), uses(n.leaders.models); own != "b" || placed != "b" {
+	if own, placed := chosen(n.pools), chosen(n.leaders.models); own != "b" || placed != "b" {
 		t.Errorf("endpoints %q and %q are used, want b alone", own, placed)
 	}
 }
 
 // TestRowsOfEvacuations has rows that are not as they should be: one without a failure
 // domain changes nothing, one whose value can't be read holds, since its key tells all.
-func TestRowsOfEvacuations(t *testing.T) {
-	site, _ := desk(t)
+func TestInvalidEvacuationRows(t *testing.T) {
+	site, _ := newSite(t)
 	site.AddWorkers("desk", 1)
 	other := append(site.AddWorkersIn("zone-c", "desk", 1), site.AddWorkersIn("zone-d", "desk", 1)...)
 	site.Store.PutOperatorRow("evacuate/", []byte("{}"))
@@ -207,7 +207,7 @@
 			t.Errorf("a request beside them: %d %v", a.Status, a.Err)
 		}
 	}
-	if got := reached(other); got > 0 {
+	if got := countCalls(other); got > 0 {
 		t.Errorf("%d requests reached evacuated endpoints", got)
 	}
 }
--- a/internal/node/events_test.go
+++ b/internal/node/events_test.go
@@ -29,7 +29,7 @@
 // TestEventsAreAClosedList reads the package's sources: every event that is
 // logged is a constant of events.go, every constant is logged, and the page for
 // operators names each.
-func TestEventsAreAClosedList(t *testing.T) {
+func TestLogEventsDeclaredAndDocumented(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -14,7 +14,7 @@
 // waited for, however long its results take, and that a silent one is given
 // up soon. A leader that was given up because it was slow used to leave two
 // leaders at the same endpoints.
-func TestSlowLeaderKeepsItsWork(t *testing.T) {
+func TestSlowLeaderKeepsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
 		b := j.add("leader")
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestSilentLeaderIsGivenUp(t *testing.T) {
+func TestSilentLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newJobs().add("leader")
 		started := time.Now()
@@ -42,7 +42,7 @@
 
 // TestLeaderThatForgot checks that a leader that was started anew, and does
 // not know the work, is given up at once.
-func TestLeaderThatForgot(t *testing.T) {
+func TestRestartedLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
 		b := j.add("leader")
@@ -56,7 +56,7 @@
 // TestFrozenLeaderIsLeftByAll checks that one missed answer moves all work
 // away from a leader, that the suspicion grows while nothing is heard of it,
 // and that a sign of life ends it.
-func TestFrozenLeaderIsLeftByAll(t *testing.T) {
+func TestSuspectedLeaderLosesAllWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
 		waiting := j.add("leader")
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -37,22 +37,22 @@
 const (
 	// longGrace is above longWait, so that a request that is taken before or soon
 	// after the order to stop is done in time on any machine.
-	longGrace = 40 * time.Second
-	longWait  = 20 * time.Second
+	longGracePeriod = 40 * time.Second
+	longTimeout     = 20 * time.Second
 	// waiting is how many requests are under way when a node is told to stop:
 	// their stages take seconds, since each call takes 20 ms.
-	waiting = 60
+	stagedRequests = 60
 	// firstWaits lets the first of them reach the leader.
-	firstWaits = 300 * time.Millisecond
+	submitDelay = 300 * time.Millisecond
 )
 
 // stageSite is a site on which all requests have a long time.
-func stageSite(t *testing.T) *platformtest.Site {
+func newStageSite(t *testing.T) *platformtest.Site {
 	t.Helper()
-	site, c := desk(t)
+	site, c := newSite(t)
 	for i := range c.Routes {
-		c.Routes[i].Timeout = longWait
-		c.Routes[i].Objective = longWait
+		c.Routes[i].Timeout = longTimeout
+		c.Routes[i].Objective = longTimeout
 	}
 	c.Version = 2
 	site.Publish(c)
@@ -63,34 +63,34 @@
 }
 
 // startLeaving starts a node that knows all endpoints and may be told to stop.
-func startLeaving(t *testing.T, site *platformtest.Site, seeds ...string) *running {
+func startStageNode(t *testing.T, site *platformtest.Site, seeds ...string) *testNode {
 	t.Helper()
 	n := startNode(t, site, seeds...)
-	n.node.settings.GracePeriod = longGrace
+	n.node.settings.GracePeriod = longGracePeriod
 	n.awaitReady(t)
 	eventually(t, "all endpoints are listed", func() bool { return len(n.node.view.Load().endpoints) == 3 })
 	return n
 }
 
 // startPair starts two nodes that know each other; the first leads the cell.
-func startPair(t *testing.T, site *platformtest.Site) (leads, other *running) {
+func startLeaderAndPeer(t *testing.T, site *platformtest.Site) (leader, peer *testNode) {
 	t.Helper()
-	leads = startLeaving(t, site)
-	other = startLeaving(t, site, leads.Peer)
-	eventually(t, "the nodes know each other", func() bool { return leads.knows(2) && other.knows(2) })
-	leads.node.claim(0)
-	eventually(t, "the other node knows the leader", func() bool { return other.node.otherLeads(0) })
-	return leads, other
+	leader = startStageNode(t, site)
+	peer = startStageNode(t, site, leader.Peer)
+	eventually(t, "the nodes know each other", func() bool { return leader.knowsNodes(2) && peer.knowsNodes(2) })
+	leader.node.claim(0)
+	eventually(t, "the other node knows the leader", func() bool { return peer.node.otherLeads(0) })
+	return leader, peer
 }
 
-func (r *running) knows(nodes int) bool { return len(*r.node.entries.Load()) == nodes }
+func (r *testNode) knowsNodes(nodes int) bool { return len(*r.node.entries.Load()) == nodes }
 
-func (r *running) staged(id string) platformtest.Response {
-	return do(r.Front, platformtest.Request{ID: id, Path: "/staged/", Streaming: true, Pieces: []int{6, 4}, Prefix: "aa:1", Deadline: longWait})
+func (r *testNode) sendStaged(id string) platformtest.Response {
+	return do(r.Front, platformtest.Request{ID: id, Path: "/staged/", Streaming: true, Pieces: []int{6, 4}, Prefix: "aa:1", Deadline: longTimeout})
 }
 
 // tellStop tells a node to stop, and returns when it stops.
-func (r *running) tellStop(t *testing.T) {
+func (r *testNode) requestStop(t *testing.T) {
 	t.Helper()
 	r.stop()
 	eventually(t, "the node stops", r.node.stopping)
@@ -98,7 +98,7 @@
 
 // keepNews has a node believe in a list of nodes until the function that it
 // returns is called.
-func (r *running) keepNews(entries *[]wire.Entry) (end func()) {
+func (r *testNode) freezeEntries(entries *[]wire.Entry) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
 	wait.Go(func() {
@@ -115,45 +115,45 @@
 
 // sendStaged sends requests to the nodes in turn, has something done while they
 // are under way, and checks that all are served.
-func sendStaged(t *testing.T, to []*running, meanwhile func()) {
+func sendStagedRequests(t *testing.T, to []*testNode, meanwhile func()) {
 	t.Helper()
 	var refused atomic.Int64
 	var wait sync.WaitGroup
-	for i := range waiting {
+	for i := range stagedRequests {
 		wait.Go(func() {
-			if a := to[i%len(to)].staged(fmt.Sprintf("staged-%d", i)); !whole(a) {
+			if a := to[i%len(to)].sendStaged(fmt.Sprintf("staged-%d", i)); !isComplete(a) {
 				refused.Add(1)
 			}
 		})
 	}
-	time.Sleep(firstWaits)
+	time.Sleep(submitDelay)
 	meanwhile()
 	wait.Wait()
 	if n := refused.Load(); n > 0 {
-		t.Errorf("%d of %d requests were not served", n, waiting)
+		t.Errorf("%d of %d requests were not served", n, stagedRequests)
 	}
 }
 
 // TestNewsOfLeavingLeaderAreLate is the incident, with news that never come.
-func TestNewsOfLeavingLeaderAreLate(t *testing.T) {
-	site := stageSite(t)
-	leads, other := startPair(t, site)
+func TestLeavingLeaderBeforeGossip(t *testing.T) {
+	site := newStageSite(t)
+	leads, other := startLeaderAndPeer(t, site)
 	before := other.node.entries.Load()
 	end := func() {}
-	sendStaged(t, []*running{other}, func() {
-		end = other.keepNews(before)
-		leads.tellStop(t)
+	sendStagedRequests(t, []*testNode{other}, func() {
+		end = other.freezeEntries(before)
+		leads.requestStop(t)
 	})
 	end()
 }
 
 // answers collects what a node answers to a message.
-type answers struct {
+type messageRecorder struct {
 	mu   sync.Mutex
 	list []wire.Message
 }
 
-func (a *answers) take(m wire.Message) error {
+func (a *messageRecorder) record(m wire.Message) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.list = append(a.list, m)
@@ -161,7 +161,7 @@
 }
 
 // all lists the answers that have come.
-func (a *answers) all() []wire.Message {
+func (a *messageRecorder) all() []wire.Message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.list)
@@ -172,26 +172,26 @@
 // and answers at once that the work is to go elsewhere, and for how long. A node of
 // an earlier version does not understand the time, and would ask three times before
 // it hears of the stop; so the news that the node leaves come ahead of the answer.
-func TestStoppingNodeTurnsWorkAway(t *testing.T) {
+func TestStoppingNodeRejectsSubmissions(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		led  bool
 	}{{"it led the cell", true}, {"it led nothing", false}} {
 		t.Run(c.name, func(t *testing.T) {
-			site := stageSite(t)
-			stops, asks := startPair(t, site)
+			site := newStageSite(t)
+			stopping, submitting := startLeaderAndPeer(t, site)
 			if !c.led {
-				stops, asks = asks, stops
+				stopping, submitting = submitting, stopping
 			}
-			stops.tellStop(t)
-			eventually(t, "it gives its claim back", func() bool { return stops.node.leads.Load() == 0 })
-			var got answers
-			stops.node.receive(asks.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longWait.Milliseconds(), Deadline: longWait.Milliseconds()}, got.take)
+			stopping.requestStop(t)
+			eventually(t, "it gives its claim back", func() bool { return stopping.node.leads.Load() == 0 })
+			var got messageRecorder
+			stopping.node.receive(submitting.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longTimeout.Milliseconds(), Deadline: longTimeout.Milliseconds()}, got.record)
 			list := got.all()
-			if len(list) != 2 || !tellsLeaving(list[0], stops.node.settings.Node) || !movesFor(list[1], 7) {
+			if len(list) != 2 || !announcesLeaving(list[0], stopping.node.settings.Node) || !movesTemporarily(list[1], 7) {
 				t.Errorf("answers %+v, want the news that it leaves, and that the work moves for a time", list)
 			}
-			if stops.node.leads.Load() != 0 {
+			if stopping.node.leads.Load() != 0 {
 				t.Error("it claims the cell")
 			}
 		})
@@ -199,7 +199,7 @@
 }
 
 // tellsLeaving reports whether a message tells that a node leaves.
-func tellsLeaving(m wire.Message, node string) bool {
+func announcesLeaving(m wire.Message, node string) bool {
 	g, ok := m.(wire.Gossip)
 	if !ok || g.Node != node || len(g.Members) != 1 {
 		return false
@@ -209,32 +209,32 @@
 }
 
 // movesFor reports whether a message tells that work moves for a time.
-func movesFor(m wire.Message, id uint64) bool {
+func movesTemporarily(m wire.Message, id uint64) bool {
 	d, ok := m.(wire.StagesDone)
-	return ok && d.ID == id && d.Failed == stagepool.ReasonMoved && d.Again > 0 && d.Again <= longGrace.Milliseconds()
+	return ok && d.ID == id && d.Failed == stagepool.ReasonMoved && d.Again > 0 && d.Again <= longGracePeriod.Milliseconds()
 }
 
 // stub is a node that answers submissions as it is told to.
-type stub struct {
+type stubLeader struct {
 	wire.Entry
 	submits atomic.Int64
 }
 
 // startStub starts a stub.
-func startStub(t *testing.T, name string, answer func(*wire.StagesSubmit) wire.Message) *stub {
+func startStub(t *testing.T, name string, answer func(*wire.StagesSubmit) wire.Message) *stubLeader {
 	t.Helper()
 	return startStubOn(t, name, func() func(*wire.StagesSubmit) wire.Message { return answer })
 }
 
 // startStubOn starts a stub that may answer differently on each connection, or not
 // at all.
-func startStubOn(t *testing.T, name string, onConnection func() func(*wire.StagesSubmit) wire.Message) *stub {
+func startStubOn(t *testing.T, name string, onConnection func() func(*wire.StagesSubmit) wire.Message) *stubLeader {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stub{Entry: wire.Entry{Node: name, Incarnation: 1, PeerAddress: listener.Addr().String()}}
+	s := &stubLeader{Entry: wire.Entry{Node: name, Incarnation: 1, PeerAddress: listener.Addr().String()}}
 	self := wire.Hello{Version: wire.Version, System: system, Role: wire.RoleNode, Node: name, Incarnation: 1}
 	server := peer.NewServer(listener, self, &peer.Security{}, []wire.Role{wire.RoleNode}, func(c *peer.Conn) {
 		answer := onConnection()
@@ -261,21 +261,21 @@
 	return s
 }
 
-func movesAway(m *wire.StagesSubmit) wire.Message {
-	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved, Again: longGrace.Milliseconds()}
+func answerMoved(m *wire.StagesSubmit) wire.Message {
+	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved, Again: longGracePeriod.Milliseconds()}
 }
 
-func givesBack(m *wire.StagesSubmit) wire.Message {
+func answerHandedOff(m *wire.StagesSubmit) wire.Message {
 	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved}
 }
 
-func makes(m *wire.StagesSubmit) wire.Message {
+func answerDone(m *wire.StagesSubmit) wire.Message {
 	return wire.StagesDone{ID: m.ID, Handles: []string{"made"}}
 }
 
 // submitter is a node, which does not run, that knows the stubs; they lead in
 // the order in which they are given.
-func submitter(t *testing.T, stubs ...*stub) *Node {
+func newSubmitter(t *testing.T, stubs ...*stubLeader) *Node {
 	t.Helper()
 	n := newNode(t, platformtest.NewSite(t))
 	n.hasJoined.Store(true)
@@ -288,7 +288,7 @@
 }
 
 // inRank names entries so that they lead the cell in this order.
-func inRank(count int) []string {
+func rankedNames(count int) []string {
 	var entries []wire.Entry
 	for i := range count {
 		entries = append(entries, wire.Entry{Node: fmt.Sprintf("stub-%d", i)})
@@ -299,20 +299,20 @@
 // TestLeavingNodesInARow submits work while more nodes leave than a request has
 // tries: it is done by the one that stays, and each of the others is asked once,
 // also by the requests that follow.
-func TestLeavingNodesInARow(t *testing.T) {
-	var stubs []*stub
-	names := inRank(mostJobs + 3)
+func TestMoreLeavingNodesThanTries(t *testing.T) {
+	var stubs []*stubLeader
+	names := rankedNames(mostJobs + 3)
 	for _, name := range names[1:] {
-		stubs = append(stubs, startStub(t, name, movesAway))
+		stubs = append(stubs, startStub(t, name, answerMoved))
 	}
-	last := startStub(t, names[0], makes)
+	last := startStub(t, names[0], answerDone)
 	// The one that stays ranks last, because it does not claim the cell.
 	for _, s := range stubs {
 		s.Leads = lead.CellBit(0)
 	}
-	n := submitter(t, append(stubs, last)...)
+	n := newSubmitter(t, append(stubs, last)...)
 	for range 2 {
-		got, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), aim: time.Now().Add(longWait)})
+		got, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), aim: time.Now().Add(longTimeout)})
 		if err != nil || got.leader != last.Node {
 			t.Errorf("leader %q, %v; want %q", got.leader, err, last.Node)
 		}
@@ -328,11 +328,11 @@
 // it back, because a leader of higher rank is at work that the submitting node has
 // not heard of yet. No third node is asked, since it would claim the cell too; and
 // the refusal does not say that no leader answers.
-func TestOutrankedLeaderIsNotPassedOver(t *testing.T) {
-	names := inRank(2)
-	outranked, third := startStub(t, names[0], givesBack), startStub(t, names[1], makes)
-	n := submitter(t, outranked, third)
-	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), aim: time.Now().Add(longWait)})
+func TestOutrankedLeaderIsNotSkipped(t *testing.T) {
+	names := rankedNames(2)
+	outranked, third := startStub(t, names[0], answerHandedOff), startStub(t, names[1], answerDone)
+	n := newSubmitter(t, outranked, third)
+	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), aim: time.Now().Add(longTimeout)})
 	var refused *refusal
 	if !errors.As(err, &refused) || refused.reason != errLeaderMoved.Error() {
 		t.Errorf("got %v, want a refusal for %q", err, errLeaderMoved)
@@ -357,18 +357,18 @@
 
 // TestLastNodeRunsStages sends a request with stages to the only node, after it was
 // told to stop.
-func TestLastNodeRunsStages(t *testing.T) {
-	n := startLeaving(t, stageSite(t))
-	n.tellStop(t)
-	if a := n.staged("after"); !whole(a) {
+func TestOnlyNodeRunsStagesWhileStopping(t *testing.T) {
+	n := startStageNode(t, newStageSite(t))
+	n.requestStop(t)
+	if a := n.sendStaged("after"); !isComplete(a) {
 		t.Errorf("%+v", a)
 	}
 }
 
 // TestAllNodesStopAtOnce stops both nodes while requests are under way.
-func TestAllNodesStopAtOnce(t *testing.T) {
-	leads, other := startPair(t, stageSite(t))
-	sendStaged(t, []*running{leads, other}, func() {
+func TestAllNodesStopTogether(t *testing.T) {
+	leads, other := startLeaderAndPeer(t, newStageSite(t))
+	sendStagedRequests(t, []*testNode{leads, other}, func() {
 		leads.stop()
 		other.stop()
 	})
@@ -376,7 +376,7 @@
 
 // TestLeaversLeadLast ranks nodes that stay, leave, answered that they leave, or
 // don't answer.
-func TestLeaversLeadLast(t *testing.T) {
+func TestLeavingNodesRankLast(t *testing.T) {
 	stays := func(name string) wire.Entry { return wire.Entry{Node: name, Incarnation: 2, PeerAddress: name} }
 	leaves := func(name string) wire.Entry {
 		e := stays(name)
@@ -394,7 +394,7 @@
 		{"the other one answered that it leaves", []wire.Entry{leaves("a"), stays("answered")}, []string{"a"}},
 		{"no one is left", []wire.Entry{stays("silent"), leaves("answered")}, nil},
 	} {
-		n := submitter(t)
+		n := newSubmitter(t)
 		n.setEntries(c.entries)
 		n.jobs.suspect(time.Now().Add(time.Hour), "silent")
 		n.jobs.leave(stays("answered"))
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -24,12 +24,12 @@
 
 const (
 	// namedRate is what the endpoints of these tests name, in requests a second.
-	namedRate = 1.5
+	announcedRate = 1.5
 	// measured is how long the bound is looked at.
-	measured = 6 * time.Second
+	measurePeriod = 6 * time.Second
 	// mostRounds is how many seconds may pass until a limit that has ended is none any more,
 	// five times what it takes.
-	mostRounds = 120
+	maxRounds = 120
 )
 
 // limitCase is one kind of work.
@@ -53,7 +53,7 @@
 
 // repeatCases are work that is sent again: plain requests whose connection is reset, streams
 // that break midway and are resumed elsewhere, placed by nodes and by a leader.
-var repeatCases = []limitCase{
+var retryCases = []limitCase{
 	{name: "repeats", service: "desk", request: platformtest.Request{Path: "/read/x"}, fault: platformtest.Reset},
 	{name: "resumed", service: "model", request: platformtest.Request{Path: "/plain/x", Streaming: true}, fault: platformtest.TruncateEvent},
 	{name: "resumed-placed", service: "model", request: platformtest.Request{Path: "/staged/x", Streaming: true, Pieces: []int{1, 1}}, fault: platformtest.TruncateEvent},
@@ -61,23 +61,23 @@
 
 // tally has clients send requests to nodes in turn until a time is over, and counts the
 // answers by status.
-type tally struct {
+type responseCounts struct {
 	mu      sync.Mutex
 	answers map[int]int
 	// held are refusals without a time to come back, and failures.
-	held []string
+	unexpected []string
 }
 
-func (l *tally) note(a platformtest.Response) {
+func (l *responseCounts) record(a platformtest.Response) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers[a.Status]++
 	if a.Status != http.StatusOK && (a.Status != http.StatusServiceUnavailable || a.RetryAfter == "") {
-		l.held = append(l.held, fmt.Sprintf("%d %q %v", a.Status, a.RetryAfter, a.Err))
+		l.unexpected = append(l.unexpected, fmt.Sprintf("%d %q %v", a.Status, a.RetryAfter, a.Err))
 	}
 }
 
-func (l *tally) run(nodes []*running, q platformtest.Request, clients int, until time.Time) {
+func (l *responseCounts) run(nodes []*testNode, q platformtest.Request, clients int, until time.Time) {
 	var sending sync.WaitGroup
 	for c := range clients {
 		sending.Go(func() {
@@ -87,7 +87,7 @@
 				if r.Streaming {
 					r.Prefix = fmt.Sprintf("%x:5", c*1000+i)
 				}
-				l.note(do(nodes[(c+i)%len(nodes)].Front, r))
+				l.record(do(nodes[(c+i)%len(nodes)].Front, r))
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
@@ -98,21 +98,21 @@
 // TestNamedLimitIsKept has two of six endpoints, then all of them, name a limit, while three
 // nodes send them far more. None gets more than it is allowed, and each gets some; what is
 // not served is refused as not run, with the time to come back.
-func TestNamedLimitIsKept(t *testing.T) {
-	for _, c := range slices.Concat(limitCases, repeatCases) {
+func TestAnnouncedRateLimitIsKept(t *testing.T) {
+	for _, c := range slices.Concat(limitCases, retryCases) {
 		for _, limited := range []int{2, 6} {
 			t.Run(fmt.Sprintf("%s-%d-of-6", c.name, limited), func(t *testing.T) {
 				t.Parallel()
-				c.keepsLimit(t, limited)
+				c.checkRateLimit(t, limited)
 			})
 		}
 	}
 }
 
 // keepsLimit plays the case on three nodes with six endpoints, some of them limited.
-func (c limitCase) keepsLimit(t *testing.T, limited int) {
+func (c limitCase) checkRateLimit(t *testing.T, limited int) {
 	const count = 3
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	var workers []*platformtest.Worker
 	for _, name := range []string{"desk", "model", "encode", "rank"} {
 		list := site.AddWorkers(name, 6)
@@ -120,53 +120,53 @@
 			workers = list
 		}
 	}
-	nodes := []*running{startNode(t, site)}
+	nodes := []*testNode{startNode(t, site)}
 	for range count - 1 {
 		nodes = append(nodes, startNode(t, site, nodes[0].Peer))
 	}
 	for _, n := range nodes {
 		n.awaitReady(t)
 	}
-	l := &tally{answers: make(map[int]int)}
-	named := time.Now().Add(time.Second)
+	counts := &responseCounts{answers: make(map[int]int)}
+	announcedAt := time.Now().Add(time.Second)
 	go func() {
-		time.Sleep(time.Until(named))
+		time.Sleep(time.Until(announcedAt))
 		for _, w := range workers[:limited] {
-			w.AnnounceRateLimit(strconv.FormatFloat(namedRate, 'f', -1, 64))
+			w.AnnounceRateLimit(strconv.FormatFloat(announcedRate, 'f', -1, 64))
 		}
 	}()
 	if c.fault != platformtest.Healthy {
 		for _, w := range workers {
-			w.InjectFaults(everySecond(c.fault, 1000)...)
+			w.InjectFaults(alternateFaults(c.fault, 1000)...)
 		}
 	}
-	l.run(nodes, c.request, 8, named.Add(intaketest.GracePeriod+measured))
-	allowed := intaketest.Allowed(namedRate)
+	counts.run(nodes, c.request, 8, announcedAt.Add(intaketest.GracePeriod+measurePeriod))
+	allowed := intaketest.Allowed(announcedRate)
 	for i, w := range workers[:limited] {
 		// What was sent before the endpoint named its rate doesn't count: at 50 requests a
 		// second, the second before fills any span that it lies in.
-		arrivals := intaketest.After(w.ArrivalTimes(), named.Add(intaketest.NodeReactionTime))
-		if got := intaketest.MaxInSpan(arrivals, named.Add(intaketest.GracePeriod)); got > allowed {
+		arrivals := intaketest.After(w.ArrivalTimes(), announcedAt.Add(intaketest.NodeReactionTime))
+		if got := intaketest.MaxInSpan(arrivals, announcedAt.Add(intaketest.GracePeriod)); got > allowed {
 			t.Errorf("endpoint %d got %d requests in %v, %d are allowed", i, got, intaketest.Span, allowed)
 		}
-		if len(intaketest.After(arrivals, named.Add(intaketest.GracePeriod))) == 0 {
+		if len(intaketest.After(arrivals, announcedAt.Add(intaketest.GracePeriod))) == 0 {
 			t.Errorf("endpoint %d was left with nothing after %v", i, intaketest.GracePeriod)
 		}
 	}
-	t.Logf("answers %v", l.answers)
+	t.Logf("answers %v", counts.answers)
 	if c.fault != platformtest.Healthy {
 		return
 	}
-	if len(l.held) > 0 {
-		t.Errorf("%d were neither served nor refused with the time to come back: %s", len(l.held), l.held[0])
+	if len(counts.unexpected) > 0 {
+		t.Errorf("%d were neither served nor refused with the time to come back: %s", len(counts.unexpected), counts.unexpected[0])
 	}
-	if limited < len(workers) && l.answers[http.StatusServiceUnavailable] > 0 {
-		t.Errorf("%d were refused though four endpoints name no limit", l.answers[http.StatusServiceUnavailable])
+	if limited < len(workers) && counts.answers[http.StatusServiceUnavailable] > 0 {
+		t.Errorf("%d were refused though four endpoints name no limit", counts.answers[http.StatusServiceUnavailable])
 	}
 }
 
 // everySecond lists a fault for every second of some requests.
-func everySecond(f platformtest.Fault, requests int) []platformtest.Fault {
+func alternateFaults(f platformtest.Fault, requests int) []platformtest.Fault {
 	list := make([]platformtest.Fault, requests)
 	for i := range requests / 2 {
 		list[2*i] = f
@@ -176,17 +176,17 @@
 
 // TestLimitThatEnds has all endpoints name a limit and take it back. They are told by the
 // requests that still reach them, and used as before soon after.
-func TestLimitThatEnds(t *testing.T) {
+func TestWithdrawnRateLimit(t *testing.T) {
 	for _, c := range limitCases {
 		for _, perSecond := range []string{"1.5", "0"} {
 			t.Run(c.name+"-"+perSecond, func(t *testing.T) {
 				t.Parallel()
-				site, _ := desk(t)
+				site, _ := newSite(t)
 				all := make(map[string][]*platformtest.Worker)
 				for _, name := range []string{"desk", "model", "encode", "rank"} {
 					all[name] = site.AddWorkers(name, 3)
 				}
-				nodes := []*running{startNode(t, site)}
+				nodes := []*testNode{startNode(t, site)}
 				nodes = append(nodes, startNode(t, site, nodes[0].Peer))
 				for _, n := range nodes {
 					n.awaitReady(t)
@@ -194,9 +194,9 @@
 				for _, w := range all[c.service] {
 					w.AnnounceRateLimit(perSecond)
 				}
-				l := &tally{answers: make(map[int]int)}
-				l.run(nodes, c.request, 16, time.Now().Add(2*time.Second))
-				if l.answers[http.StatusServiceUnavailable] == 0 {
+				counts := &responseCounts{answers: make(map[int]int)}
+				counts.run(nodes, c.request, 16, time.Now().Add(2*time.Second))
+				if counts.answers[http.StatusServiceUnavailable] == 0 {
 					t.Error("nothing was refused: the test shows nothing")
 				}
 				for _, w := range all[c.service] {
@@ -206,15 +206,15 @@
 				defer stop()
 				go func() {
 					for ctx.Err() == nil {
-						l.run(nodes, c.request, 4, time.Now().Add(100*time.Millisecond))
+						counts.run(nodes, c.request, 4, time.Now().Add(100*time.Millisecond))
 					}
 				}()
 				ended := time.Now()
 				served := false
-				for round := 0; round < mostRounds && !served; round++ {
-					later := &tally{answers: make(map[int]int)}
+				for round := 0; round < maxRounds && !served; round++ {
+					later := &responseCounts{answers: make(map[int]int)}
 					later.run(nodes, c.request, 4, time.Now().Add(time.Second))
-					served = later.answers[http.StatusServiceUnavailable] == 0 && len(later.held) == 0
+					served = later.answers[http.StatusServiceUnavailable] == 0 && len(later.unexpected) == 0
 				}
 				if !served {
 					t.Fatalf("some are still refused %v after the limits ended", time.Since(ended))
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -22,7 +22,7 @@
 // TestLogLevelOfRequests ends requests in each way: those that may have run, or
 // were cut, end with a warning; what was not run, refused for the client's fault
 // or delivered does not.
-func TestLogLevelOfRequests(t *testing.T) {
+func TestRequestLogLevel(t *testing.T) {
 	expired, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancel()
 	worker := func(status int) *platform.Response { return &platform.Response{Status: status, Header: http.Header{}} }
@@ -33,7 +33,7 @@
 		"no answer":        {func(n *Node, w http.ResponseWriter, q *request) { n.endUnknown(t.Context(), w, q, "no answer") }, zap.WarnLevel},
 		"late":             {func(n *Node, w http.ResponseWriter, q *request) { n.endUnknown(expired, w, q, "no answer") }, zap.WarnLevel},
 		"may have run":     {func(n *Node, w http.ResponseWriter, q *request) { q.ran = true; n.endNotRun(w, q, "no endpoint") }, zap.WarnLevel},
-		"broken off":       {breakOff, zap.WarnLevel},
+		"broken off":       {abortStream, zap.WarnLevel},
 		"not run":          {func(n *Node, w http.ResponseWriter, q *request) { n.endNotRun(w, q, "no endpoint") }, zap.InfoLevel},
 		"not allowed":      {func(n *Node, w http.ResponseWriter, q *request) { n.refuse(w, q, 401, "not allowed", 0) }, zap.InfoLevel},
 		"worker's 200":     {func(n *Node, w http.ResponseWriter, q *request) { n.deliver(w, q, worker(200), nil) }, zap.InfoLevel},
@@ -55,7 +55,7 @@
 }
 
 // breakOff ends a stream whose head is out.
-func breakOff(n *Node, w http.ResponseWriter, q *request) {
+func abortStream(n *Node, w http.ResponseWriter, q *request) {
 	defer func() {
 		if r := recover(); r != http.ErrAbortHandler {
 			panic(r)
@@ -65,7 +65,7 @@
 }
 
 // TestLogDropsAreMetrics checks that the metrics tell of dropped lines by kind.
-func TestLogDropsAreMetrics(t *testing.T) {
+func TestDroppedLogLinesMetric(t *testing.T) {
 	dropped := map[logging.Kind]uint64{logging.Ordinary: 7, logging.Urgent: 2}
 	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(k logging.Kind) uint64 { return dropped[k] }))
 	var page bytes.Buffer
--- a/internal/node/lookup_test.go
+++ b/internal/node/lookup_test.go
@@ -11,7 +11,7 @@
 
 // TestLookupWaitsForOthers asks a node that has just started, and knows nobody, which
 // nodes to use: it tells none until it knows the others, or that there are none.
-func TestLookupWaitsForOthers(t *testing.T) {
+func TestLookupUnavailableUntilJoined(t *testing.T) {
 	n := newNode(t, platformtest.NewSite(t), "127.0.0.1:1")
 	ask := func() int {
 		w := httptest.NewRecorder()
--- a/internal/node/prompts_test.go
+++ b/internal/node/promptcache_test.go
@@ -12,9 +12,9 @@
 // TestLeaderLearnsWhatEnginesHold has two engines hold parts of prompts from an
 // earlier time: requests with these parts go to their holders once the node
 // that leads has asked.
-func TestLeaderLearnsWhatEnginesHold(t *testing.T) {
+func TestLeaderLearnsCachedPrompts(t *testing.T) {
 	const tries = 200
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	models := site.AddWorkers("model", 2)
 	site.AddWorkers("encode", 1)
 	site.AddWorkers("rank", 1)
@@ -28,29 +28,29 @@
 	// A row of 24 that go right is no chance; the first ones may come before
 	// the engines have answered.
 	const wanted = 24
-	row, last := 0, ""
-	for k := 0; k < tries && row < wanted; k++ {
+	inRow, last := 0, ""
+	for k := 0; k < tries && inRow < wanted; k++ {
 		for i, m := range models {
 			id := fmt.Sprintf("r-%d-%d", i, k)
 			last = id
 			do(n.Front, platformtest.Request{ID: id, Path: "/staged/x", Streaming: true, Pieces: []int{1, 1}, Prefix: fmt.Sprintf("part-%d-%d:400,own-%s:5", i, k, id)})
 			if m.Runs(id) == 1 {
-				row++
+				inRow++
 			} else {
-				row = 0
+				inRow = 0
 			}
 		}
 	}
-	if row < wanted {
-		t.Errorf("after %s: %d requests in a row at the engines that hold their prompts, want %d", last, row, wanted)
+	if inRow < wanted {
+		t.Errorf("after %s: %d requests in a row at the engines that hold their prompts, want %d", last, inRow, wanted)
 	}
 }
 
 // TestWorkBeforeTheFirstView has a node claim a cell before it knows any endpoint,
 // as when it is sent work just after its start. It ended with a fault then (soak
 // seeds 521, 526 and 538); it has to ask the engines once it knows them.
-func TestWorkBeforeTheFirstView(t *testing.T) {
-	site, _ := desk(t)
+func TestWorkBeforeFirstView(t *testing.T) {
+	site, _ := newSite(t)
 	model := site.AddWorkers("model", 1)[0]
 	text, _ := site.Settings()
 	s, err := platform.ParseSettings(text)
--- a/internal/node/readers_test.go
+++ b/internal/node/readers_test.go
@@ -29,20 +29,20 @@
 // TestReadersWithoutConfigurations has the store not answer the readers' calls for
 // configurations, while it serves their lists and all other nodes: a new version
 // comes into force on every node all the same.
-func TestReadersWithoutConfigurations(t *testing.T) {
+func TestReadersWithoutConfig(t *testing.T) {
 	const nodes = 12
-	site, c := desk(t)
+	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
-	doors := make(map[string]*platformtest.StoreProxy)
-	var all []*running
+	proxies := make(map[string]*platformtest.StoreProxy)
+	var all []*testNode
 	for range nodes {
-		door := site.AddStoreProxy()
+		proxy := site.AddStoreProxy()
 		var seeds []string
 		for _, r := range all[:min(len(all), 3)] {
 			seeds = append(seeds, r.Peer)
 		}
-		r := startNodeOn(t, site, platformtest.Instance{Zone: "zone-a", MemoryMB: 284, Store: door.Address}, seeds...)
-		doors[r.node.settings.Node] = door
+		r := startNodeOnInstance(t, site, platformtest.Instance{Zone: "zone-a", MemoryMB: 284, Store: proxy.Address}, seeds...)
+		proxies[r.node.settings.Node] = proxy
 		all = append(all, r)
 	}
 	t.Cleanup(func() {
@@ -52,10 +52,10 @@
 		}
 	})
 	eventually(t, "all nodes know each other", func() bool {
-		return !slices.ContainsFunc(all, func(r *running) bool { return r.node.liveNodes.Load() != nodes || !r.node.serves() })
+		return !slices.ContainsFunc(all, func(r *testNode) bool { return r.node.liveNodes.Load() != nodes || !r.node.serves() })
 	})
 	for _, name := range all[0].node.readers.Load().Readers(0) {
-		doors[name].Disrupt(platformtest.ConfigCalls, platformtest.Hang)
+		proxies[name].Disrupt(platformtest.ConfigCalls, platformtest.Hang)
 	}
 	c.Version = 2
 	site.Publish(c)
@@ -66,9 +66,9 @@
 
 // TestStandInStays has a node read the store in place of readers that are away: that
 // it has read something is no sign that they are back.
-func TestStandInStays(t *testing.T) {
+func TestStandInReaderStays(t *testing.T) {
 	const nodes = 40
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	text, _ := site.Settings("127.0.0.1:9")
 	s, err := platform.ParseSettings(text)
 	if err != nil {
@@ -80,7 +80,7 @@
 		others = append(others, fmt.Sprintf("other-%d", i))
 		entries = append(entries, wire.Entry{Node: others[i-1]})
 	}
-	s.Node = standInAmong(others)
+	s.Node = firstStandInName(others)
 	n := New(s)
 	n.setEntries(append(entries, n.entry(false)))
 	start := time.Now()
@@ -97,7 +97,7 @@
 
 // standInAmong returns a name that makes a node the first to stand in for the readers
 // among others.
-func standInAmong(others []string) string {
+func firstStandInName(others []string) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprintf("self-%d", i)
 		r := discovery.Rank(append([]string{name}, others...), nil)
--- a/internal/node/restored_test.go
+++ b/internal/node/restored_test.go
@@ -11,10 +11,10 @@
 
 // restoredFor is how long after a restoration nothing that was acknowledged before it may
 // come undone. Nodes learn of the restored store well within it.
-const restoredFor = 2500 * time.Millisecond
+const restoreWindow = 2500 * time.Millisecond
 
 // during calls a function again and again for a time.
-func during(d time.Duration, f func(turn int)) {
+func repeatFor(d time.Duration, f func(turn int)) {
 	for end, turn := time.Now().Add(d), 0; time.Now().Before(end); turn++ {
 		f(turn)
 		time.Sleep(50 * time.Millisecond)
@@ -22,7 +22,7 @@
 }
 
 // churn writes rows that tell nothing.
-func churn(site *platformtest.Site, writes int) {
+func writeUnrelatedRows(site *platformtest.Site, writes int) {
 	for i := range writes {
 		site.Store.PutOperatorRow("note", fmt.Appendf(nil, "%d", i))
 	}
@@ -31,38 +31,38 @@
 // TestVersionsGivenOutAnew has the store come back from a copy while the node can't reach it,
 // and write an evacuation and much else before it can: its versions are beyond the one up to
 // which the node knows all changes, and yet it does not know that one.
-func TestVersionsGivenOutAnew(t *testing.T) {
-	site, _ := desk(t)
-	other := bothZones(site)
+func TestReusedStoreVersions(t *testing.T) {
+	site, _ := newSite(t)
+	other := addWorkersInBothZones(site)
 	before := site.Store.Snapshot()
-	churn(site, 10)
-	door := site.AddStoreProxy()
-	n := startNodeOn(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: door.Address})
+	writeUnrelatedRows(site, 10)
+	proxy := site.AddStoreProxy()
+	n := startNodeOnInstance(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: proxy.Address})
 	n.awaitReady(t)
-	awaitRead(t, n, site)
-	door.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
+	awaitStoreRead(t, n, site)
+	proxy.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
 	time.Sleep(time.Second)
 	site.Store.Restore(before)
 	site.Store.Evacuate(otherZone)
-	churn(site, 60)
-	door.Restore()
-	awaitRead(t, n, site)
-	unreached(t, n, other)
+	writeUnrelatedRows(site, 60)
+	proxy.Restore()
+	awaitStoreRead(t, n, site)
+	checkNoCalls(t, n, other)
 }
 
 // TestRestoredStore has the store come back from a copy that was made before a key was taken
 // away, a failure domain was evacuated, and endpoints left, one of them with a word. None of
 // that comes undone until it is written again, and new changes come into force.
-func TestRestoredStore(t *testing.T) {
-	site, c := desk(t)
+func TestRestoredStoreRevertsNothing(t *testing.T) {
+	site, c := newSite(t)
 	c.Keys["key-2"] = "clinics"
 	c.Version = 2
 	site.Publish(c)
-	other := bothZones(site)
+	other := addWorkersInBothZones(site)
 	left, leaves := site.AddWorkers("desk", 1)[0], site.AddWorkers("desk", 1)[0]
 	n := startNode(t, site)
 	n.awaitReady(t)
-	sendAll(n.Front, "before")
+	sendEachKind(n.Front, "before")
 	before := site.Store.Snapshot()
 
 	delete(c.Keys, "key-2")
@@ -74,18 +74,18 @@
 	eventually(t, "the key is taken away", func() bool {
 		return do(n.Front, platformtest.Request{ID: "gone", Path: "/read/", Key: "key-2"}).Status == http.StatusUnauthorized
 	})
-	churn(site, 40)
-	awaitRead(t, n, site)
-	unreached(t, n, append([]*platformtest.Worker{left, leaves}, other...))
-	reachedBefore := reached(other) + left.TotalRuns() + leaves.TotalRuns()
+	writeUnrelatedRows(site, 40)
+	awaitStoreRead(t, n, site)
+	checkNoCalls(t, n, append([]*platformtest.Worker{left, leaves}, other...))
+	reachedBefore := countCalls(other) + left.TotalRuns() + leaves.TotalRuns()
 	site.Store.Restore(before)
-	during(restoredFor, func(turn int) {
+	repeatFor(restoreWindow, func(turn int) {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprintf("key-%d", turn), Path: "/read/", Key: "key-2"}); a.Status != http.StatusUnauthorized {
 			t.Fatalf("a key that was taken away is answered %d", a.Status)
 		}
-		sendAll(n.Front, fmt.Sprintf("during-%d", turn))
+		sendEachKind(n.Front, fmt.Sprintf("during-%d", turn))
 	})
-	if now := reached(other) + left.TotalRuns() + leaves.TotalRuns(); now != reachedBefore {
+	if now := countCalls(other) + left.TotalRuns() + leaves.TotalRuns(); now != reachedBefore {
 		t.Errorf("%d requests or calls reached endpoints that had left or are evacuated", now-reachedBefore)
 	}
 
@@ -95,13 +95,13 @@
 	left.RemoveEntry()
 	fresh := site.AddWorkers("desk", 1)[0]
 	eventually(t, "an endpoint that is new since is used", func() bool {
-		sendAll(n.Front, "after")
+		sendEachKind(n.Front, "after")
 		return fresh.TotalRuns() > 0
 	})
 	site.Store.EndEvacuation(otherZone)
 	eventually(t, "the end of the evacuation is in force", func() bool {
-		sendAll(n.Front, "ended")
-		return reached(other) > reachedBefore
+		sendEachKind(n.Front, "ended")
+		return countCalls(other) > reachedBefore
 	})
 	c.Keys["key-3"] = "clinics"
 	c.Version = 4
@@ -114,8 +114,8 @@
 // TestBegunAfterARestoration starts a node when the store has come back from an older copy
 // and nothing was written again: it is not ready with the older configuration while another
 // node has the newer one.
-func TestBegunAfterARestoration(t *testing.T) {
-	site, c := desk(t)
+func TestStartAfterRestore(t *testing.T) {
+	site, c := newSite(t)
 	c.Keys["key-2"] = "clinics"
 	c.Version = 2
 	site.Publish(c)
@@ -143,8 +143,8 @@
 
 // TestRestoredTwice restores the store twice within a second, the second time to an older
 // copy than the first.
-func TestRestoredTwice(t *testing.T) {
-	site, c := desk(t)
+func TestStoreRestoredTwice(t *testing.T) {
+	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
 	left := site.AddWorkers("desk", 1)[0]
 	oldest := site.Store.Snapshot()
@@ -153,14 +153,14 @@
 	older := site.Store.Snapshot()
 	n := startNode(t, site)
 	n.awaitReady(t)
-	sendAll(n.Front, "before")
+	sendEachKind(n.Front, "before")
 	left.Unlist()
-	awaitRead(t, n, site)
+	awaitStoreRead(t, n, site)
 	ran := left.TotalRuns()
 	site.Store.Restore(older)
 	time.Sleep(900 * time.Millisecond)
 	site.Store.Restore(oldest)
-	during(restoredFor, func(turn int) { sendAll(n.Front, fmt.Sprintf("during-%d", turn)) })
+	repeatFor(restoreWindow, func(turn int) { sendEachKind(n.Front, fmt.Sprintf("during-%d", turn)) })
 	if left.TotalRuns() != ran {
 		t.Errorf("%d requests reached an endpoint that had left", left.TotalRuns()-ran)
 	}
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -44,8 +44,8 @@
 	at    time.Duration
 	count int
 	// every is 0 for endpoints that drain.
-	every         int
-	backoff, long time.Duration
+	every             int
+	backoff, duration time.Duration
 }
 
 // signalWork is a kind of request and the service whose endpoints send signals.
@@ -66,18 +66,18 @@
 
 func readSignalScript(t *testing.T, path string) signalScript {
 	s := signalScript{nodes: 3, endpoints: 6}
-	scripted.Read(t, path, s.line)
+	scripted.Read(t, path, s.parseLine)
 	return s
 }
 
-func (s *signalScript) line(words []string) error {
+func (s *signalScript) parseLine(words []string) error {
 	var err error
 	number := func(text string) int {
 		n, e := strconv.Atoi(text)
 		err = errors.Join(err, e)
 		return n
 	}
-	span := func(text string) time.Duration {
+	duration := func(text string) time.Duration {
 		d, e := time.ParseDuration(text)
 		err = errors.Join(err, e)
 		return d
@@ -92,15 +92,15 @@
 	case words[0] == "fault":
 		s.fault = signalFaults[words[1]]
 	case words[0] == "lasts":
-		s.lasts = span(words[1])
+		s.lasts = duration(words[1])
 	case words[0] == "served":
 		s.served, err = strconv.ParseFloat(words[1], 64)
 	case words[0] == "used-again":
-		s.usedAgain = span(words[1])
+		s.usedAgain = duration(words[1])
 	case len(words) == 4 && words[2] == "drain":
-		s.steps = append(s.steps, signalStep{at: span(words[1]), count: number(words[3])})
+		s.steps = append(s.steps, signalStep{at: duration(words[1]), count: number(words[3])})
 	case len(words) == 10 && words[2] == "reject":
-		s.steps = append(s.steps, signalStep{at: span(words[1]), count: number(words[3]), every: number(words[5]), backoff: span(words[7]), long: span(words[9])})
+		s.steps = append(s.steps, signalStep{at: duration(words[1]), count: number(words[3]), every: number(words[5]), backoff: duration(words[7]), duration: duration(words[9])})
 	default:
 		return fmt.Errorf("unknown line %q", strings.Join(words, " "))
 	}
@@ -111,25 +111,25 @@
 type signalRun struct {
 	script  signalScript
 	workers []*platformtest.Worker
-	nodes   []*running
+	nodes   []*testNode
 	log     signaltest.Log
 
-	mu       sync.Mutex
-	answers  map[int]int
-	unsent   []string
-	draining map[string]time.Time
+	mu         sync.Mutex
+	answers    map[int]int
+	unexpected []string
+	draining   map[string]time.Time
 }
 
 // play starts the nodes and sends requests to them while endpoints announce signals.
 func (s signalScript) play(t *testing.T) *signalRun {
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	r := &signalRun{script: s, answers: make(map[int]int), draining: make(map[string]time.Time)}
 	for _, name := range []string{"desk", "model", "encode", "rank"} {
 		if list := site.AddWorkers(name, s.endpoints); name == s.work.service {
 			r.workers = list
 		}
 	}
-	r.nodes = []*running{startNode(t, site)}
+	r.nodes = []*testNode{startNode(t, site)}
 	for range s.nodes - 1 {
 		r.nodes = append(r.nodes, startNode(t, site, r.nodes[0].Peer))
 	}
@@ -138,20 +138,20 @@
 	}
 	if s.fault != platformtest.Healthy {
 		for _, w := range r.workers {
-			w.InjectFaults(everySecond(s.fault, 2000)...)
+			w.InjectFaults(alternateFaults(s.fault, 2000)...)
 		}
 	}
 	start := time.Now()
 	var steps sync.WaitGroup
 	for _, step := range s.steps {
-		steps.Go(func() { r.step(start, step) })
+		steps.Go(func() { r.runStep(start, step) })
 	}
 	r.send(start.Add(s.lasts))
 	steps.Wait()
 	return r
 }
 
-func (r *signalRun) step(start time.Time, s signalStep) {
+func (r *signalRun) runStep(start time.Time, s signalStep) {
 	time.Sleep(time.Until(start.Add(s.at)))
 	for _, w := range r.workers[:s.count] {
 		if s.every > 0 {
@@ -166,7 +166,7 @@
 	if s.every == 0 {
 		return
 	}
-	time.Sleep(s.long)
+	time.Sleep(s.duration)
 	for _, w := range r.workers[:s.count] {
 		w.RejectEvery(0, 0)
 	}
@@ -183,7 +183,7 @@
 				if q.Streaming {
 					q.Prefix = fmt.Sprintf("%x:5", c*1000+i)
 				}
-				r.one(q, r.nodes[(c+i)%len(r.nodes)].Front)
+				r.sendOne(q, r.nodes[(c+i)%len(r.nodes)].Front)
 				time.Sleep(30 * time.Millisecond)
 			}
 		})
@@ -191,7 +191,7 @@
 	sending.Wait()
 }
 
-func (r *signalRun) one(q platformtest.Request, node string) {
+func (r *signalRun) sendOne(q platformtest.Request, node string) {
 	r.mu.Lock()
 	announced := make(map[string]bool, len(r.draining))
 	for id := range r.draining {
@@ -204,7 +204,7 @@
 	defer r.mu.Unlock()
 	r.answers[a.Status]++
 	if a.Status != http.StatusOK && (a.Status != http.StatusServiceUnavailable || a.RetryAfter == "") {
-		r.unsent = append(r.unsent, fmt.Sprintf("%s: %d %q %v", q.ID, a.Status, a.RetryAfter, a.Err))
+		r.unexpected = append(r.unexpected, fmt.Sprintf("%s: %d %q %v", q.ID, a.Status, a.RetryAfter, a.Err))
 	}
 	// The stamp names the endpoint whose answer it is.
 	if parts := strings.Split(a.Stamp, "."); len(parts) > 1 && announced[parts[1]] {
@@ -215,8 +215,8 @@
 // check holds the arrivals against the rules, and the answers against the script.
 func (r *signalRun) check(t *testing.T) {
 	for _, w := range r.workers {
-		report(t, r.log.DrainingViolations(w.ID, w.Arrivals()))
-		report(t, r.log.BackoffViolations(w.Rejections(), w.Arrivals()))
+		reportViolations(t, r.log.DrainingViolations(w.ID, w.Arrivals()))
+		reportViolations(t, r.log.BackoffViolations(w.Rejections(), w.Arrivals()))
 		r.checkUsedAgain(t, w)
 		r.checkCalls(t, w)
 	}
@@ -227,8 +227,8 @@
 	if served := float64(r.answers[http.StatusOK]) / float64(total); served < r.script.served {
 		t.Errorf("%.3f of %d requests were served, %.3f must be", served, total, r.script.served)
 	}
-	if r.script.fault == platformtest.Healthy && len(r.unsent) > 0 {
-		t.Errorf("%d were neither served nor rejected with a time to come back: %s", len(r.unsent), r.unsent[0])
+	if r.script.fault == platformtest.Healthy && len(r.unexpected) > 0 {
+		t.Errorf("%d were neither served nor rejected with a time to come back: %s", len(r.unexpected), r.unexpected[0])
 	}
 	t.Logf("answers %v", r.answers)
 }
@@ -257,7 +257,7 @@
 	}
 }
 
-func report(t *testing.T, found []string) {
+func reportViolations(t *testing.T, found []string) {
 	if len(found) > 0 {
 		t.Errorf("%d times, first %s", len(found), found[0])
 	}
--- a/internal/node/silent_test.go
+++ b/internal/node/silent_test.go
@@ -11,13 +11,13 @@
 
 // silentOnFirst answers nothing on the connection that it was asked on first, as if
 // its bytes were lost for good, and everything on later ones.
-func silentOnFirst(t *testing.T, name string) (*stub, *atomic.Int64) {
+func startSilentOnFirstConnection(t *testing.T, name string) (*stubLeader, *atomic.Int64) {
 	var connections atomic.Int64
 	s := startStubOn(t, name, func() func(*wire.StagesSubmit) wire.Message {
 		if connections.Add(1) == 1 {
 			return func(*wire.StagesSubmit) wire.Message { return nil }
 		}
-		return makes
+		return answerDone
 	})
 	return s, &connections
 }
@@ -26,16 +26,16 @@
 // the leader lives: the work is sent again on a new one, nobody else is asked, and
 // the leader is not passed over.
 func TestSilentConnectionKeepsLeader(t *testing.T) {
-	names := inRank(2)
-	first, connections := silentOnFirst(t, names[0])
-	second := startStub(t, names[1], makes)
-	n := submitter(t, first, second)
+	names := rankedNames(2)
+	first, connections := startSilentOnFirstConnection(t, names[0])
+	second := startStub(t, names[1], answerDone)
+	n := newSubmitter(t, first, second)
 	// The connection has been there for a while.
 	n.links.Send(first.PeerAddress, wire.StagesPing{ID: 1})
 	eventually(t, "the connection is open", func() bool { return connections.Load() == 1 })
 	n.patience.second = time.Minute
 	for range 5 {
-		got, err := n.runStages(context.Background(), shortWork())
+		got, err := n.runStages(context.Background(), newStageWork())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 }
 
 // shortWork is some work with time enough.
-func shortWork() stageWork {
+func newStageWork() stageWork {
 	now := time.Now()
 	return stageWork{aim: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
 }
--- a/internal/node/slowbody_test.go
+++ b/internal/node/slowbody_test.go
@@ -13,9 +13,9 @@
 )
 
 // startShort starts a node with a route "/short/" that has little time, and its worker.
-func startShort(t *testing.T) (*running, *platformtest.Worker) {
+func startShortTimeoutNode(t *testing.T) (*testNode, *platformtest.Worker) {
 	t.Helper()
-	site, c := desk(t)
+	site, c := newSite(t)
 	worker := site.AddWorkers("desk", 1)[0]
 	c.Version = 2
 	c.Routes = append(c.Routes, platformtest.Route{Prefix: "/short/", Kind: "unsafe", Service: "desk", Timeout: 300 * time.Millisecond})
@@ -29,8 +29,8 @@
 // it is told at the end of its route's time that the request has not run. Before, the
 // node waited for the rest without end, whatever time the configuration gives the
 // route.
-func TestSlowBodyEndsWithTheRoutesTime(t *testing.T) {
-	r, worker := startShort(t)
+func TestSlowBodyTimesOut(t *testing.T) {
+	r, worker := startShortTimeoutNode(t)
 	conn, err := net.Dial("tcp", r.Front)
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +54,8 @@
 
 // TestBodyTimeEndsWithTheBody keeps a connection that has sent whole bodies: the time
 // that bodies had is no bound on what comes after them.
-func TestBodyTimeEndsWithTheBody(t *testing.T) {
-	r, worker := startShort(t)
+func TestBodyDeadlineEndsWithBody(t *testing.T) {
+	r, worker := startShortTimeoutNode(t)
 	transport := &http.Transport{MaxConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
 	for i := range 3 {
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -13,34 +13,34 @@
 )
 
 // running is a node under test.
-type running struct {
+type testNode struct {
 	platformtest.Addresses
 	node *Node
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-func startNode(t *testing.T, site *platformtest.Site, seeds ...string) *running {
+func startNode(t *testing.T, site *platformtest.Site, seeds ...string) *testNode {
 	t.Helper()
 	text, addresses := site.Settings(seeds...)
 	return startNodeWith(t, text, addresses)
 }
 
 // startNodeOn starts a node on an instance of the test's own choice.
-func startNodeOn(t *testing.T, site *platformtest.Site, on platformtest.Instance, seeds ...string) *running {
+func startNodeOnInstance(t *testing.T, site *platformtest.Site, on platformtest.Instance, seeds ...string) *testNode {
 	t.Helper()
 	text, addresses := site.SettingsFor(on, seeds...)
 	return startNodeWith(t, text, addresses)
 }
 
-func startNodeWith(t *testing.T, text []byte, addresses platformtest.Addresses) *running {
+func startNodeWith(t *testing.T, text []byte, addresses platformtest.Addresses) *testNode {
 	t.Helper()
 	s, err := platform.ParseSettings(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Addresses: addresses, node: New(s), stop: cancel, done: make(chan struct{})}
+	r := &testNode{Addresses: addresses, node: New(s), stop: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		if err := r.node.Run(ctx); err != nil {
@@ -54,7 +54,7 @@
 	return r
 }
 
-func (r *running) awaitReady(t *testing.T) {
+func (r *testNode) awaitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, "the node is ready", func() bool { return platformtest.Ready(r.Ready) == 200 })
 }
@@ -75,7 +75,7 @@
 const key = "key-1"
 
 // desk is a site with a plain service, a model service and two stages.
-func desk(t *testing.T) (*platformtest.Site, platformtest.Config) {
+func newSite(t *testing.T) (*platformtest.Site, platformtest.Config) {
 	site := platformtest.NewSite(t)
 	c := platformtest.Config{
 		Version: 1, Keys: map[string]string{key: "barbers"},
@@ -105,8 +105,8 @@
 }
 
 // TestWholePath takes a request of each kind through a node.
-func TestWholePath(t *testing.T) {
-	site, _ := desk(t)
+func TestEndToEnd(t *testing.T) {
+	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
 	models := site.AddWorkers("model", 2)
 	encode, rank := site.AddWorkers("encode", 1)[0], site.AddWorkers("rank", 1)[0]
@@ -144,8 +144,8 @@
 
 // TestConfigurationDecides checks routes and keys, that a later version is in
 // force soon, and that an earlier one is never.
-func TestConfigurationDecides(t *testing.T) {
-	site, c := desk(t)
+func TestConfigRoutesKeysAndVersions(t *testing.T) {
+	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
 	n := startNode(t, site)
 	n.awaitReady(t)
@@ -173,7 +173,7 @@
 
 // TestNotReadyWithoutConfiguration checks that a node that knows nothing yet
 // answers 503 and says when to come back.
-func TestNotReadyWithoutConfiguration(t *testing.T) {
+func TestNotReadyWithoutConfig(t *testing.T) {
 	site := platformtest.NewSite(t)
 	site.Store.SetDown(true)
 	n := startNode(t, site)
@@ -188,8 +188,8 @@
 }
 
 // TestOnceIsNeverRepeated brings each fault to a request that may run once.
-func TestOnceIsNeverRepeated(t *testing.T) {
-	site, _ := desk(t)
+func TestUnsafeRequestIsNotRetried(t *testing.T) {
+	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
 	models := site.AddWorkers("model", 2)
 	n := startNode(t, site)
@@ -238,8 +238,8 @@
 
 // TestSafeIsSentAgain brings faults to requests that may run twice: the
 // client gets a whole answer all the same.
-func TestSafeIsSentAgain(t *testing.T) {
-	site, _ := desk(t)
+func TestSafeRequestIsRetried(t *testing.T) {
+	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
 	models := site.AddWorkers("model", 2)
 	n := startNode(t, site)
@@ -270,8 +270,8 @@
 // TestTwoNodesActAsOne checks that nodes find each other by seeds, are named
 // in look-ups, share one stage pool, and that one that stops is named no more
 // and cuts off nothing.
-func TestTwoNodesActAsOne(t *testing.T) {
-	site, _ := desk(t)
+func TestTwoNodesShareStagePool(t *testing.T) {
+	site, _ := newSite(t)
 	models := site.AddWorkers("model", 2)
 	for _, m := range models {
 		m.EventInterval = 30 * time.Millisecond
@@ -311,8 +311,8 @@
 
 // TestPeersPassTheViewOn checks that a node which the store turns away
 // takes what its peers hold, and serves by it.
-func TestPeersPassTheViewOn(t *testing.T) {
-	site, _ := desk(t)
+func TestViewFromPeer(t *testing.T) {
+	site, _ := newSite(t)
 	site.AddWorkers("desk", 1)
 	a := startNode(t, site)
 	a.awaitReady(t)
@@ -330,8 +330,8 @@
 
 // TestDrainingEndpointGetsNothing checks that an endpoint that says it leaves
 // is sent nothing more.
-func TestDrainingEndpointGetsNothing(t *testing.T) {
-	site, _ := desk(t)
+func TestDrainingEntryGetsNoRequests(t *testing.T) {
+	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
 	n := startNode(t, site)
 	n.awaitReady(t)
@@ -364,8 +364,8 @@
 
 // TestClientThatLeaves checks that the work of a client that has left ends,
 // and that its results are given up.
-func TestClientThatLeaves(t *testing.T) {
-	site, _ := desk(t)
+func TestDisconnectedClient(t *testing.T) {
+	site, _ := newSite(t)
 	model := site.AddWorkers("model", 1)[0]
 	encode, rank := site.AddWorkers("encode", 1)[0], site.AddWorkers("rank", 1)[0]
 	n := startNode(t, site)
@@ -389,7 +389,7 @@
 // down are asked hardly any more. Two that are down used to take turns until
 // the request was given up.
 func TestCrashedEndpoints(t *testing.T) {
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	models := site.AddWorkers("model", 4)
 	n := startNode(t, site)
 	n.awaitReady(t)
@@ -409,7 +409,7 @@
 // TestHungEndpoint lets an endpoint run requests and never answer: those that
 // may run twice are answered by another long before their deadline.
 func TestHungEndpoint(t *testing.T) {
-	site, c := desk(t)
+	site, c := newSite(t)
 	for i := range c.Routes {
 		c.Routes[i].Objective = 200 * time.Millisecond
 		c.Routes[i].Timeout = 20 * time.Second
--- a/internal/node/views_test.go
+++ b/internal/node/views_test.go
@@ -21,8 +21,8 @@
 
 // TestNewestViewIsInForce has many changes of the view at once: in the end the pools hold the
 // endpoints of the last one.
-func TestNewestViewIsInForce(t *testing.T) {
-	site, _ := desk(t)
+func TestConcurrentViewChanges(t *testing.T) {
+	site, _ := newSite(t)
 	text, _ := site.Settings()
 	s, err := platform.ParseSettings(text)
 	if err != nil {
