--- a/internal/node/asking_test.go
+++ b/internal/node/asking_test.go
@@ -11,9 +11,10 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// TestStartersAskReaders has 120 nodes that know each other, and nothing else, choose
-// whom they ask for what they lack: a reader, and no reader by more than three times
-// its share of them. Once they know something they ask all kinds of nodes.
+// TestStartingNodesAskReaders guards against starting nodes that ask peers without the wanted data,
+// or all ask the same one. 120 nodes that know only the membership each choose a peer to ask:
+// always a reader of the store, and no reader is asked by more than three times its share. Nodes
+// that already have a view ask all kinds of nodes.
 func TestStartingNodesAskReaders(t *testing.T) {
 	const nodes = 120
 	n := newNode(t, platformtest.NewSite(t))
@@ -29,13 +30,13 @@
 		n.settings.Node, n.asked = e.Node, 0
 		address := n.knowing(&view{})
 		if !slices.Contains(readers, address) {
-			t.Errorf("%s asks %s, which does not read", e.Node, address)
+			t.Errorf("%s asks %s, which is not a reader of the store", e.Node, address)
 		}
 		askCounts[address]++
 	}
 	for address, count := range askCounts {
 		if count > 3*nodes/len(readers) {
-			t.Errorf("%s is asked by %d of %d nodes", address, count, nodes)
+			t.Errorf("reader %s is asked by %d of %d nodes", address, count, nodes)
 		}
 	}
 	clear(askCounts)
@@ -44,6 +45,6 @@
 		askCounts[n.knowing(&view{fresh: discovery.Freshness{List: time.Now()}})]++
 	}
 	if len(askCounts) < nodes/3 {
-		t.Errorf("%d nodes are asked by %d", len(askCounts), nodes)
+		t.Errorf("only %d different nodes are asked by %d nodes that have a view", len(askCounts), nodes)
 	}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -10,7 +10,8 @@
 	"gradetiller.example/platform"
 )
 
-// BenchmarkViewChanged puts a view of 3,000 endpoints of five services in force.
+// BenchmarkViewChanged measures how long it takes to apply a view of 3,000 endpoints in five
+// services.
 func BenchmarkViewChanged(b *testing.B) {
 	n := New(platform.Settings{Node: "a", HeartbeatInterval: time.Second})
 	v := &view{config: &catalog.Config{Version: 1, Services: make(map[string]catalog.Service)}}
--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// coldPerSecond is what a cold worker of these tests handles, and coldAllowed how many
-	// requests it may get in any second: 1.5 times that, and 5 more.
+	// coldRate is the request rate that a cold worker handles. maxColdPerSecond is how many
+	// requests it may get in any second: 1.5 times coldRate, plus 5.
 	coldRate         = 10.0
 	maxColdPerSecond = 20
-	// coldTime is how long workers are cold, coldKnown how long nodes may take to know it.
+	// coldDuration is how long workers are cold. coldReactionTime is how long nodes may take to
+	// learn of it.
 	coldDuration     = 8 * time.Second
 	coldReactionTime = 2500 * time.Millisecond
 )
 
-// TestColdEndpoints has two of six workers, then all of them, turn cold while three nodes send
-// them far more than these handle then, chosen by each node or placed by a leader. From when
-// the nodes had time to know it none gets more than it may in any second, and each gets some.
+// TestColdEndpoints guards against cold endpoints that are overloaded or starved. Two of six
+// workers, then all of them, turn cold while three nodes send far more than cold workers handle,
+// chosen by each node or placed by a leader. Once the nodes had time to react, no cold worker gets
+// more than its limit in any second, and each gets some requests.
 func TestColdEndpoints(t *testing.T) {
 	for _, c := range limitCases {
 		if c.service == "encode" {
-			// What a stage endpoint handles is bounded by its calls.
+			// The load of a stage endpoint is bounded by its calls.
 			continue
 		}
 		for _, cold := range []int{2, 6} {
@@ -64,14 +66,14 @@
 	for i, w := range workers[:cold] {
 		arrivals := intaketest.After(w.ArrivalTimes(), coldSince.Add(coldReactionTime))
 		if got := intaketest.MaxIn(arrivals, time.Second); got > maxColdPerSecond {
-			t.Errorf("endpoint %d got %d requests in a second, %d are allowed", i, got, maxColdPerSecond)
+			t.Errorf("cold endpoint %d got %d requests within a second, want at most %d", i, got, maxColdPerSecond)
 		}
 		if len(arrivals) == 0 {
-			t.Errorf("endpoint %d was left with nothing", i)
+			t.Errorf("cold endpoint %d got no requests", i)
 		}
 	}
 	if len(counts.unexpected) > 0 {
-		t.Errorf("%d were neither served nor refused with the time to come back: %s", len(counts.unexpected), counts.unexpected[0])
+		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(counts.unexpected), counts.unexpected[0])
 	}
-	t.Logf("answers %v", counts.answers)
+	t.Logf("responses by status: %v", counts.answers)
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -12,7 +12,7 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// newNode returns a node that does not run.
+// newNode returns a node that is not running.
 func newNode(t *testing.T, site *platformtest.Site, seeds ...string) *Node {
 	t.Helper()
 	text, _ := site.Settings(seeds...)
@@ -25,9 +25,9 @@
 	return n
 }
 
-// TestConfigurationsGoCompressed passes a configuration of 1,400 routes from one node
-// to another: compressed if the one that asks can read that, whole otherwise, and the
-// same at the end.
+// TestConfigCompressedForPeer guards against configurations that are sent uncompressed to a peer
+// that accepts compression, or compressed to one that does not. A configuration of 1,400 routes
+// arrives unchanged both ways, and an unreadable archive is not applied.
 func TestConfigCompressedForPeer(t *testing.T) {
 	site, c := newSite(t)
 	for i := range 1400 {
@@ -50,25 +50,25 @@
 			return nil
 		})
 		if got.Packed != packed {
-			t.Fatalf("the one that asks takes packed ones: %v, and gets a packed one: %v", packed, got.Packed)
+			t.Fatalf("requester accepts compressed configurations: %v; response is compressed: %v", packed, got.Packed)
 		}
-		t.Logf("packed %v: %d bytes", packed, len(got.Config))
+		t.Logf("compressed %v: %d bytes", packed, len(got.Config))
 		if packed && 5*len(got.Config) > len(r.Data) {
-			t.Errorf("%d of %d bytes are left", len(got.Config), len(r.Data))
+			t.Errorf("compressed to %d of %d bytes, want at most a fifth", len(got.Config), len(r.Data))
 		}
 		requester.takeView(got)
 		if v := requester.view.Load(); v.version() != 7 || !bytes.Equal(v.file.data, r.Data) {
-			t.Errorf("packed %v: version %d is in force", packed, v.version())
+			t.Errorf("compressed %v: version %d is in force, or its data differs", packed, v.version())
 		}
 	}
 	requester := newNode(t, site)
 	requester.takeView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
 	if v := requester.view.Load().version(); v != 0 {
-		t.Errorf("version %d is in force after a file that can't be read", v)
+		t.Errorf("version %d is in force after an unreadable archive, want 0", v)
 	}
 }
 
-// startDesk starts a node that serves.
+// startServingNode starts a node and one worker, and waits until the node is ready.
 func startServingNode(t *testing.T) (*platformtest.Site, platformtest.Config, *testNode) {
 	t.Helper()
 	site, c := newSite(t)
@@ -78,8 +78,8 @@
 	return site, c, r
 }
 
-// TestForgottenHistory has the store forget its history while a node waits for changes:
-// the node reads the whole, and hears of the changes after that.
+// TestWatchAfterDroppedHistory guards against a watch that stalls when the store drops its change
+// history: the node reads the full state and then sees later changes.
 func TestWatchAfterDroppedHistory(t *testing.T) {
 	site, c, r := startServingNode(t)
 	for range 3 {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestRefusedConfiguration has the store hold a version that can't be read: the one
-// before stays in force as a whole, the refusal is counted, and the next version that
-// can be read is taken.
+// TestInvalidConfigKeepsPrevious guards against an invalid configuration that is applied in part,
+// or that blocks later ones: the previous version stays in force, the rejection is counted, and the
+// next valid version is applied.
 func TestInvalidConfigKeepsPrevious(t *testing.T) {
 	site, c, r := startServingNode(t)
 	for range 3 {
@@ -100,20 +100,20 @@
 		refusedBefore := r.node.configsRefused.Load()
 		c.Version++
 		site.PublishInvalid(c)
-		eventually(t, "a version is refused", func() bool { return r.node.configsRefused.Load() > refusedBefore })
+		eventually(t, "the invalid version is rejected", func() bool { return r.node.configsRefused.Load() > refusedBefore })
 		if got := r.node.view.Load().version(); got != before {
-			t.Errorf("version %d is in force after %d was refused, want %d", got, c.Version, before)
+			t.Errorf("version %d is in force after %d was rejected, want %d", got, c.Version, before)
 		}
 		c.Version++
 		site.Publish(c)
-		eventually(t, "the next version is in force", func() bool { return r.node.view.Load().version() == c.Version })
+		eventually(t, "the next valid version is in force", func() bool { return r.node.view.Load().version() == c.Version })
 	}
 }
 
-// TestSlowLinkToTheStore has the store's answers come slowly all the time, but without
-// a pause: a node that has to read a whole configuration over such a link gets it. A
-// limit on the whole answer let none through that takes longer, at whatever try; on 61
-// processes with links of their own a node never got 1,400 routes that way.
+// TestConfigOverSlowStoreLink guards against a timeout on the whole response of the store. Over a
+// link that is slow but never pauses, a large configuration takes longer than such a timeout on
+// every attempt, so the node never gets it: with 61 processes on separate links, a node never
+// received 1,400 routes.
 func TestConfigOverSlowStoreLink(t *testing.T) {
 	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -9,18 +9,14 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// What is seen: an endpoint takes a number of connections from all callers together and resets
-// those beyond it. How it comes about: each node keeps up to eight unused ones to each
-// endpoint, whatever the number of nodes. Cause: as with requests, what an endpoint takes from
-// all nodes together is held by nobody. Proof: the test below, on sixteen nodes with bursts of
-// four one after the other; on the code before all of them keep four, 64 where 50 are taken.
-
-// deskConnections is how many connections a worker of the plain service takes.
+// maxConnections is how many connections a worker of the plain service accepts.
 const maxConnections = 50
 
-// TestConnectionsOfAllNodes has sixteen nodes send bursts of requests that may be repeated to one
-// endpoint, one node after the other. What they keep of their connections is no more than the
-// endpoint takes, and some are kept.
+// TestConnectionLimitAcrossNodes guards against nodes that together keep more idle connections than
+// an endpoint accepts, which then resets the excess. This happens when each node keeps up to eight
+// idle connections per endpoint regardless of the number of nodes. Sixteen nodes send bursts of
+// four repeatable requests to one endpoint, one node after the other: with per-node limits alone
+// they keep 64 connections where 50 are accepted. Some connections must still be kept.
 func TestConnectionLimitAcrossNodes(t *testing.T) {
 	t.Parallel()
 	site, _ := newSite(t)
@@ -53,9 +49,9 @@
 		sending.Wait()
 	}
 	if open := worker.PeakOpenConnections(); open > maxConnections {
-		t.Errorf("%d connections were open at once, the endpoint takes %d", open, maxConnections)
+		t.Errorf("%d connections were open at once, the endpoint accepts %d", open, maxConnections)
 	}
 	if worker.OpenConnections() == 0 {
-		t.Error("no connection was kept")
+		t.Error("no idle connection was kept")
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -14,43 +14,39 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// The tests of this file tell of one incident. A client sent a stream that may
-// run once to a node 3.4 s after the node had been told to stop. The node took it,
-// ran its stages for a second, had an engine begin it, and ended 0.35 s before its
-// grace period was over, in the middle of the answer: the client had lost it, and
-// could not have it run again.
+// The tests of this file guard against a stopping node that accepts requests which it cannot finish
+// within its grace period. Clients that use an older lookup answer still reach a node after it
+// began to stop. A node that served them for 3.5 s without comparing the expected duration with the
+// time left cut every stream longer than the 4.1 s that then remained, and the client could not
+// repeat a stream that may run only once: a stream that arrived 3.4 s into the stop ran its stages
+// for a second, was started by an engine, and was cut in the middle of its response 0.35 s before
+// the end of the grace period.
 //
-// It came about without any other fault. A node that stops leaves the look-up
-// answers at once, but clients that hold an older answer still come, and it served
-// them for 3.5 s as on any other day. Streams of more than the 4.1 s that were
-// left then were cut for certain. The cause: the node knew when it would end, and
-// took work without asking whether the work would be done by then.
-//
-// Proof: whatever the engine did, the cut came at the end of the grace period less
-// lastMoment; a stream of 3.5 s is cut when it is sent late, and whole when it is
-// sent at the beginning of the same stop.
+// Such a node completes a stream of 3.5 s that arrives at the beginning of the stop, and cuts one
+// that arrives late.
 
 const (
-	// stopGrace is the grace period of the nodes of these tests. They end
-	// lastMoment earlier.
+	// stopGracePeriod is the grace period of the nodes in these tests. They cut remaining requests
+	// shortly before its end.
 	stopGracePeriod = 6 * time.Second
-	// eventPause between the events of a stream makes it last 3.5 s.
+	// eventInterval makes a stream of longStreamEvents last 3.5 s.
 	eventInterval      = 100 * time.Millisecond
 	longStreamEvents   = 36
 	longStreamDuration = (longStreamEvents - 1) * eventInterval
 	longStreamTimeout  = 15 * time.Second
-	// streamsBefore teach the node how long streams take; fewer leave it unsure.
+	// samplesNeeded is how many served streams a node needs for a confident estimate of their
+	// duration.
 	samplesNeeded = 64
-	// stated is the most tokens that the clients of these tests state.
+	// maxTokens is the max_tokens of the requests in these tests, unless they set another.
 	maxTokens = 40
 )
 
-// late is when a stream comes that can't end within the grace period any more,
-// while the node still takes connections.
+// lateArrival is the time into the stop at which a long stream can no longer finish within the
+// grace period, while the node still accepts connections.
 const lateArrival = stopGracePeriod - lastMoment - longStreamDuration + 100*time.Millisecond
 
-// startStopping starts a node before an engine whose streams are long. Until it is
-// taught, it has served none of them.
+// startLongStreamNode starts a node with an engine whose streams are long. The node has served no
+// stream yet.
 func startLongStreamNode(t *testing.T) (*testNode, *platformtest.Worker) {
 	t.Helper()
 	site, c := newSite(t)
@@ -74,8 +70,8 @@
 	return n, model
 }
 
-// teach has the node have served as many streams of a route as it takes to be
-// sure of their time.
+// recordLongStreams records as many long streams of a route as the node needs for a confident
+// estimate of their duration.
 func (r *testNode) recordLongStreams(path string) {
 	route := r.node.view.Load().config.Match(platformtest.Host, path)
 	for range samplesNeeded {
@@ -84,13 +80,14 @@
 	}
 }
 
+// stopAndWait tells the node to stop and waits until it has begun to.
 func (r *testNode) stopAndWait(t *testing.T) {
 	t.Helper()
 	r.stop()
 	eventually(t, "the node stops", r.node.stopping)
 }
 
-// connect opens a connection for one request, as a client that keeps it does.
+// connect opens a connection now and returns a transport that sends its requests on it.
 func (r *testNode) connect(t *testing.T) *http.Transport {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.Front)
@@ -108,21 +105,21 @@
 
 func isComplete(a platformtest.Response) bool { return a.Status == http.StatusOK && a.Err == nil }
 
-// checkTurnedAway checks that a request was told that it has not run and when to
-// come back, and that this is true.
+// checkRejected checks that a request was rejected with Retry-After as not run, and that it did not
+// run.
 func checkRejected(t *testing.T, id string, a platformtest.Response, model *platformtest.Worker) {
 	t.Helper()
 	if a.Status != http.StatusServiceUnavailable || a.RetryAfter == "" || a.Err != nil {
-		t.Errorf("%s: %+v, want 503 with the time to come back", id, a)
+		t.Errorf("%s: %+v, want 503 with Retry-After", id, a)
 	}
 	if runs := model.Runs(id); runs > 0 {
-		t.Errorf("%s ran %d times", id, runs)
+		t.Errorf("%s was rejected but ran %d times", id, runs)
 	}
 }
 
-// TestStopTakesWhatItCanEnd sends streams, with stages and without, early and late
-// in a planned stop: the early ones are whole, the late ones are turned away, and
-// a short request that comes as late is served.
+// TestStopRejectsRequestsThatCannotFinish guards against streams that are accepted during a planned
+// stop and then cut. Streams with and without stages that arrive early in the stop complete, those
+// that arrive late are rejected, and a short request that arrives just as late is served.
 func TestStopRejectsRequestsThatCannotFinish(t *testing.T) {
 	n, model := startLongStreamNode(t)
 	paths := []string{"/once/", "/staged/"}
@@ -130,14 +127,14 @@
 		n.recordLongStreams(path)
 	}
 	if a := do(n.Front, platformtest.Request{ID: "known", Path: "/book/"}); !isComplete(a) {
-		t.Fatalf("before the stop: %+v", a)
+		t.Fatalf("request before the stop: %+v", a)
 	}
 	n.stopAndWait(t)
 	var wait sync.WaitGroup
 	for _, path := range paths {
 		wait.Go(func() {
 			if a := do(n.Front, longRequest("early"+path, path)); !isComplete(a) {
-				t.Errorf("a stream that the node has time for: %+v", a)
+				t.Errorf("stream that can finish in time: %+v", a)
 			}
 		})
 	}
@@ -149,13 +146,14 @@
 		checkRejected(t, id, platformtest.DoOn(context.Background(), connections[i], n.Front, longRequest(id, path)), model)
 	}
 	if a := platformtest.DoOn(context.Background(), short, n.Front, platformtest.Request{ID: "short", Path: "/book/", Key: key}); !isComplete(a) {
-		t.Errorf("a short request: %+v", a)
+		t.Errorf("short request late in the stop: %+v", a)
 	}
 	wait.Wait()
 }
 
-// TestStopAfterSlowStages has a stream's stages take so long that its answer can't
-// end any more: no engine begins it, and what the stages made is freed.
+// TestStopRejectsStreamAfterSlowStages guards against a stream that is started although its stages
+// took so long that it can no longer finish: no engine starts it, and the results of its stages are
+// freed.
 func TestStopRejectsStreamAfterSlowStages(t *testing.T) {
 	n, model := startLongStreamNode(t)
 	n.recordLongStreams("/staged/")
@@ -169,24 +167,23 @@
 	n.node.stop.Store(nil)
 }
 
-// TestStopOnConnectionsOpenedBefore sends requests on connections that were opened
-// while the node still took them, one of them kept from an earlier request, after
-// it takes none any more, and while another request is in flight: they are told
-// that they have not run. The first connection used to be closed after the request
-// was read, which tells a client nothing; the kept one with all that were idle at
-// one moment, some of them just when their request had been read and begun.
+// TestStopAnswersOnOpenConnections guards against a stopping node that closes connections without a
+// response, so that the client cannot tell whether its request ran. Requests arrive on a new and on
+// a kept connection, both opened before the node stopped accepting, while another request is in
+// flight: both are rejected as not run. A node that closed the new connection after reading the
+// request, and all idle connections at one moment, dropped requests that it had just read.
 func TestStopAnswersOnOpenConnections(t *testing.T) {
 	n, model := startLongStreamNode(t)
 	n.recordLongStreams("/once/")
 	kept := n.connect(t)
 	if a := platformtest.DoOn(context.Background(), kept, n.Front, platformtest.Request{ID: "kept-1", Path: "/book/", Key: key}); !isComplete(a) {
-		t.Fatalf("before the stop: %+v", a)
+		t.Fatalf("request before the stop: %+v", a)
 	}
 	n.stopAndWait(t)
 	model.InjectFaults(platformtest.NoResponse)
 	var wait sync.WaitGroup
 	wait.Go(func() { do(n.Front, longRequest("in-flight", "/once/")) })
-	eventually(t, "the other request runs", func() bool { return model.Runs("in-flight") > 0 })
+	eventually(t, "the in-flight request is running", func() bool { return model.Runs("in-flight") > 0 })
 	opened := n.connect(t)
 	time.Sleep(acceptAfter)
 	checkRejected(t, "waiting", platformtest.DoOn(context.Background(), opened, n.Front, longRequest("waiting", "/once/")), model)
@@ -194,8 +191,9 @@
 	wait.Wait()
 }
 
-// TestStopKnowsNothing sends streams to a node that stops before it has served
-// any, as one that is stopped twice in a row: it goes by what the clients state.
+// TestStopWithoutDurationSamples guards against a node that stops before it has served any stream,
+// as one that is stopped twice in a row, and accepts streams which it cannot finish: it estimates
+// their duration from max_tokens.
 func TestStopWithoutDurationSamples(t *testing.T) {
 	n, model := startLongStreamNode(t)
 	n.stopAndWait(t)
@@ -203,20 +201,20 @@
 	long.MaxTokens = 50 * maxTokens
 	checkRejected(t, long.ID, do(n.Front, long), model)
 	if a := do(n.Front, short); !isComplete(a) {
-		t.Errorf("a stream of a few tokens: %+v", a)
+		t.Errorf("short stream: %+v", a)
 	}
 }
 
-// TestStopClosesKeptConnections checks that the answers of a node that stops tell
-// the client to open a new connection, which it will at another node: also those to
-// requests that came before the order to stop, and streams.
+// TestStopSendsConnectionClose guards against clients that keep their connection to a stopping
+// node: its responses close the connection, including responses to requests that arrived before the
+// stop, and streams.
 func TestStopSendsConnectionClose(t *testing.T) {
 	n, _ := startLongStreamNode(t)
 	before := &request{arrived: time.Now()}
 	n.stopAndWait(t)
 	a := platformtest.DoOn(context.Background(), &http.Transport{}, n.Front, platformtest.Request{ID: "after", Path: "/book/", Key: key})
 	if !isComplete(a) || !a.ConnectionClose {
-		t.Errorf("%+v, want a whole answer that closes", a)
+		t.Errorf("%+v, want a complete response with Connection: close", a)
 	}
 	answer := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
 	streamed, refused := httptest.NewRecorder(), httptest.NewRecorder()
@@ -224,13 +222,14 @@
 	n.node.refuse(refused, &request{arrived: before.arrived, view: n.node.view.Load()}, http.StatusBadGateway, "lost", 0)
 	for _, w := range []*httptest.ResponseRecorder{streamed, refused} {
 		if got := w.Header().Values("Connection"); len(got) != 1 || got[0] != "close" {
-			t.Errorf("status %d says %q of its connection, want close", w.Code, got)
+			t.Errorf("response %d has Connection %q, want close", w.Code, got)
 		}
 	}
 }
 
-// TestStopTimes checks what the time of requests is learned from: answers that are
-// whole, by route, and by service for routes of which none was served.
+// TestDurationEstimates guards against duration estimates that count incomplete responses:
+// estimates come from complete responses, by route, and by service for routes that have served
+// none.
 func TestDurationEstimates(t *testing.T) {
 	n, _ := startLongStreamNode(t)
 	for _, q := range []platformtest.Request{longRequest("long", "/once/"), {ID: "missing", Path: "/none/", Key: key}} {
@@ -243,20 +242,20 @@
 	}
 	for _, path := range []string{"/once/", "/plain/"} {
 		if estimate, known := estimateFor(path); !known || estimate < longStreamDuration {
-			t.Errorf("%s: %v, known %v; want at least %v", path, estimate, known, longStreamDuration)
+			t.Errorf("%s: estimate %v, known %v; want at least %v", path, estimate, known, longStreamDuration)
 		}
 	}
 	if estimate, known := estimateFor("/book/"); known {
-		t.Errorf("%v is known of a service that has served nothing", estimate)
+		t.Errorf("estimate %v for a service that has served nothing, want none", estimate)
 	}
 }
 
-// TestStopAcceptsInTime holds the time for which connections are taken against what
-// the platform allows: a request that is sent later than this after SIGTERM counts
-// as lost when it is cut, even at the end of the grace period.
+// TestStopAcceptWindow guards against a node that accepts connections for longer than the platform
+// allows: a request sent later than this after SIGTERM counts as lost if it is cut, even at the end
+// of the grace period.
 func TestStopAcceptWindow(t *testing.T) {
 	const allowed = 3 * time.Second
 	if acceptAfter >= allowed {
-		t.Errorf("connections are taken for %v, %v are allowed", acceptAfter, allowed)
+		t.Errorf("connections are accepted for %v after SIGTERM, want less than %v", acceptAfter, allowed)
 	}
 }
--- a/internal/node/draining_test.go
+++ b/internal/node/draining_test.go
@@ -8,8 +8,8 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// sendUntil sends requests to a node until a condition holds, and fails the test if it doesn't in
-// a generous time.
+// sendUntil sends requests to a node until a condition holds. It fails the test if the condition
+// does not hold within a generous number of requests.
 func sendUntil(t *testing.T, node string, what string, condition func() bool) {
 	t.Helper()
 	const rounds = 1500
@@ -20,10 +20,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("not %s after %d requests", what, rounds)
+	t.Fatalf("not %s after %d requests to the node", what, rounds)
 }
 
-// drainOne has a node with two endpoints learn that the first one drains.
+// startWithDrainingEndpoint starts a node with two endpoints and waits until the first one has
+// announced to it that it is draining.
 func startWithDrainingEndpoint(t *testing.T) (*platformtest.Site, *testNode, *platformtest.Worker) {
 	site, _ := newSite(t)
 	w := site.AddWorkers("desk", 2)[0]
@@ -35,8 +36,8 @@
 	return site, n, w
 }
 
-// TestRestartedEndpointIsUsedAgain guards against a draining signal that outlives its incarnation:
-// an endpoint that starts anew under its id takes requests.
+// TestRestartedEndpointIsUsedAgain guards against a draining signal that outlives the incarnation
+// of its endpoint: an endpoint that restarts under its ID gets requests again.
 func TestRestartedEndpointIsUsedAgain(t *testing.T) {
 	_, n, w := startWithDrainingEndpoint(t)
 	w.AnnounceDraining(false)
@@ -45,8 +46,8 @@
 	sendUntil(t, n.Front, "used again", func() bool { return w.TotalRuns() > before })
 }
 
-// TestOlderListDoesNotEndDraining guards against an endpoint that comes back into use when the store
-// comes back from an older copy, which lists it as ready.
+// TestRestoredListDoesNotEndDraining guards against a draining endpoint that gets requests again
+// after the store was restored from a backup that lists it as ready.
 func TestRestoredListDoesNotEndDraining(t *testing.T) {
 	site, n, w := startWithDrainingEndpoint(t)
 	older := site.Store.Snapshot()
@@ -59,6 +60,6 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if w.TotalRuns() != got {
-		t.Errorf("%d requests reached the endpoint", w.TotalRuns()-got)
+		t.Errorf("%d requests reached the draining endpoint", w.TotalRuns()-got)
 	}
 }
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -10,9 +10,9 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// TestRestartUnderTheSameID has the only worker of a service end, so that the node finds
-// it dead, and begin anew under its id: it is used as soon as it is listed, and nothing of
-// its old life is left in the list.
+// TestEndpointRestartsUnderSameID guards against a restarted worker that is treated as its dead
+// incarnation. The only worker of a service crashes, requests fail on it, and it restarts under its
+// ID: it is used as soon as it is listed, and the old incarnation is no longer listed.
 func TestEndpointRestartsUnderSameID(t *testing.T) {
 	site, _ := newSite(t)
 	worker := site.AddWorkers("desk", 1)[0]
@@ -27,14 +27,14 @@
 		do(n.Front, platformtest.Request{ID: fmt.Sprintf("dead-%d", i), Path: "/read/"})
 	}
 	worker.Restart()
-	eventually(t, "the new life is listed alone", func() bool { return len(endpoints()) == 1 && endpoints()[0].ID != oldID })
+	eventually(t, "only the new incarnation is listed", func() bool { return len(endpoints()) == 1 && endpoints()[0].ID != oldID })
 	if a := do(n.Front, platformtest.Request{ID: "alive", Path: "/read/"}); a.Status != http.StatusOK {
-		t.Errorf("the first request to the new life: %d %v", a.Status, a.Err)
+		t.Errorf("first request to the new incarnation: %d %v", a.Status, a.Err)
 	}
 }
 
-// TestEntriesOfOtherWriters has another writer put entries of all kinds beside one worker:
-// it is listed alone and serves, and each of them is counted.
+// TestInvalidEntriesAreSkipped guards against invalid entries of another writer that hide a valid
+// one: the worker is the only endpoint listed, and serves.
 func TestInvalidEntriesAreSkipped(t *testing.T) {
 	site, _ := newSite(t)
 	worker := site.AddWorkers("desk", 1)[0]
@@ -51,6 +51,6 @@
 	}
 	eventually(t, "the worker is listed", func() bool { return slices.Equal(ids(), []string{worker.ID}) })
 	if a := do(n.Front, platformtest.Request{ID: "beside", Path: "/read/"}); a.Status != http.StatusOK {
-		t.Errorf("a request to the worker: %d %v", a.Status, a.Err)
+		t.Errorf("request to the worker: %d %v", a.Status, a.Err)
 	}
 }
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -16,8 +16,7 @@
 
 const otherZone = "zone-b"
 
-// reached counts all that reached some workers: requests, calls of pieces and results that
-// were given up.
+// countCalls returns how many requests, calls of pieces and frees of results reached some workers.
 func countCalls(workers []*platformtest.Worker) (sum int) {
 	for _, w := range workers {
 		sum += w.TotalRuns() + len(w.BatchSizes()) + w.FreeCalls()
@@ -25,8 +24,8 @@
 	return sum
 }
 
-// bothZones adds workers of all services of a desk in both zones and returns those of the
-// other zone.
+// addWorkersInBothZones adds a worker of each service in both zones and returns those of the other
+// zone.
 func addWorkersInBothZones(site *platformtest.Site) (other []*platformtest.Worker) {
 	for _, service := range []string{"desk", "model", "encode", "rank"} {
 		site.AddWorkers(service, 1)
@@ -35,7 +34,7 @@
 	return other
 }
 
-// sendAll sends requests of each kind side by side and returns how many were served.
+// sendEachKind sends requests of each kind concurrently and returns how many were served.
 func sendEachKind(front, name string) int {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -60,18 +59,18 @@
 	return served
 }
 
-// awaitRead waits until a node has read all that the store holds, and acts by it.
+// awaitStoreRead waits until a node has read and applied everything that the store holds.
 func awaitStoreRead(t *testing.T, n *testNode, site *platformtest.Site) {
 	t.Helper()
 	eventually(t, "the node has read the store", func() bool {
 		v := n.node.view.Load()
 		return v.revision.Version() == site.Store.Version() && v.evacuations.Revision().Version() == site.Store.Version()
 	})
-	// Pools are made anew a moment after the view.
+	// The pools are updated shortly after the view.
 	time.Sleep(50 * time.Millisecond)
 }
 
-// unreached sends requests of all kinds and tells what of them reached some workers.
+// checkNoCalls sends requests of all kinds and checks that none of them reaches some workers.
 func checkNoCalls(t *testing.T, n *testNode, workers []*platformtest.Worker) {
 	t.Helper()
 	before := countCalls(workers)
@@ -79,13 +78,13 @@
 		sendEachKind(n.Front, fmt.Sprintf("unreached-%d", round))
 	}
 	if now := countCalls(workers); now != before {
-		t.Errorf("%d requests or calls reached workers that are to get none", now-before)
+		t.Errorf("%d requests or calls reached workers that must get none", now-before)
 	}
 }
 
-// TestEvacuation has a failure domain evacuated: nothing at all reaches its endpoints once
-// the node knows, everything is served by the others, and when that is over the endpoints
-// are used again.
+// TestEvacuatedDomainGetsNoCalls guards against calls that reach an evacuated failure domain: once
+// the node has read the evacuation, its endpoints get nothing and the others serve everything. When
+// the evacuation ends, the endpoints are used again.
 func TestEvacuatedDomainGetsNoCalls(t *testing.T) {
 	site, _ := newSite(t)
 	other := addWorkersInBothZones(site)
@@ -93,13 +92,13 @@
 	n.awaitReady(t)
 	sendEachKind(n.Front, "before")
 	if countCalls(other) == 0 {
-		t.Fatal("the other zone is not used in ordinary times")
+		t.Fatal("the other zone is not used before the evacuation: the test shows nothing")
 	}
 	site.Store.Evacuate(otherZone)
 	awaitStoreRead(t, n, site)
 	before := countCalls(other)
 	if served := sendEachKind(n.Front, "during"); served != 8 {
-		t.Errorf("%d of 8 requests were served by the other failure domain", served)
+		t.Errorf("%d of 8 requests were served by the remaining failure domain", served)
 	}
 	if now := countCalls(other); now != before {
 		t.Errorf("%d requests or calls reached the evacuated endpoints", now-before)
@@ -111,8 +110,8 @@
 	})
 }
 
-// TestEvacuationOfAllEndpoints has all endpoints of each service evacuated: its requests
-// are refused as not run, not held.
+// TestEvacuationOfAllEndpoints guards against requests that are held, or sent to evacuated
+// endpoints, when all endpoints are evacuated: they are rejected as not run.
 func TestEvacuationOfAllEndpoints(t *testing.T) {
 	site, _ := newSite(t)
 	other := addWorkersInBothZones(site)
@@ -130,7 +129,7 @@
 		{ID: "staged", Path: "/staged/", Streaming: true, Pieces: []int{2, 2}},
 	} {
 		if a := do(n.Front, q); a.Status != http.StatusServiceUnavailable || a.RetryAfter == "" {
-			t.Errorf("%s: answered %d, to come back after %q", q.ID, a.Status, a.RetryAfter)
+			t.Errorf("%s: got %d, Retry-After %q; want 503 with Retry-After", q.ID, a.Status, a.RetryAfter)
 		}
 	}
 	if countCalls(other) != before {
@@ -138,8 +137,9 @@
 	}
 }
 
-// TestEvacuationIsKnownAtTheStart starts a node during an evacuation which can't reach the
-// store: it learns of it from another node before it says that it is ready.
+// TestEvacuationKnownBeforeReady guards against a node that becomes ready without knowing an
+// evacuation. A node starts during an evacuation and cannot reach the store: it learns of the
+// evacuation from a peer before it is ready.
 func TestEvacuationKnownBeforeReady(t *testing.T) {
 	site, _ := newSite(t)
 	other := addWorkersInBothZones(site)
@@ -151,15 +151,15 @@
 	late := startNodeOnInstance(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: proxy.Address}, first.Peer)
 	late.awaitReady(t)
 	if served := sendEachKind(late.Front, "late"); served != 8 || countCalls(other) > 0 {
-		t.Errorf("%d of 8 requests were served, and %d reached evacuated endpoints", served, countCalls(other))
+		t.Errorf("%d of 8 requests were served, %d calls reached evacuated endpoints", served, countCalls(other))
 	}
 	site.Store.EndEvacuation(otherZone)
-	eventually(t, "it knows the end too", func() bool { sendEachKind(late.Front, "ended"); return countCalls(other) > 0 })
+	eventually(t, "the node learns that the evacuation ended", func() bool { sendEachKind(late.Front, "ended"); return countCalls(other) > 0 })
 }
 
-// TestNoWorkBeforeEvacuationsAreKnown gives a node a configuration and a list of endpoints,
-// but not yet which failure domains are evacuated: it uses no endpoint, also not for work that
-// other nodes submit.
+// TestNoWorkBeforeEvacuationsAreKnown guards against a node that uses endpoints before it knows
+// which failure domains are evacuated. With a configuration and a list of endpoints alone it uses
+// no endpoint, not even for work that other nodes submit.
 func TestNoWorkBeforeEvacuationsAreKnown(t *testing.T) {
 	site := platformtest.NewSite(t)
 	text, _ := site.Settings()
@@ -187,12 +187,13 @@
 		return present.Replace(now, 5, []string{platformtest.DefaultZone})
 	})
 	if own, placed := chosen(n.pools), chosen(n.leaders.models); own != "b" || placed != "b" {
-		t.Errorf("endpoints %q and %q are used, want b alone", own, placed)
+		t.Errorf("endpoints %q and %q are used, want b only", own, placed)
 	}
 }
 
-// TestRowsOfEvacuations has rows that are not as they should be: one without a failure
-// domain changes nothing, one whose value can't be read holds, since its key tells all.
+// TestInvalidEvacuationRows guards against malformed rows that disturb serving or cancel an
+// evacuation: a row without a failure domain is ignored, and a row with an unreadable value still
+// evacuates the failure domain that its key names.
 func TestInvalidEvacuationRows(t *testing.T) {
 	site, _ := newSite(t)
 	site.AddWorkers("desk", 1)
@@ -204,7 +205,7 @@
 	n.awaitReady(t)
 	for i := range 12 {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprintf("beside-%d", i), Path: "/read/"}); a.Status != http.StatusOK {
-			t.Errorf("a request beside them: %d %v", a.Status, a.Err)
+			t.Errorf("request during evacuations with malformed rows: %d %v", a.Status, a.Err)
 		}
 	}
 	if got := countCalls(other); got > 0 {
--- a/internal/node/events_test.go
+++ b/internal/node/events_test.go
@@ -11,11 +11,10 @@
 	"testing"
 )
 
-// logMethods are the methods of a log that write an event.
+// logMethods are the logger methods that write an event.
 var logMethods = map[string]bool{"Debug": true, "Info": true, "Warn": true, "Error": true}
 
-// isLog reports whether an expression is a log: a variable or field of that
-// name.
+// isLog reports whether an expression is a logger: a variable or field named log.
 func isLog(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
@@ -26,9 +25,9 @@
 	return false
 }
 
-// TestEventsAreAClosedList reads the package's sources: every event that is
-// logged is a constant of events.go, every constant is logged, and the page for
-// operators names each.
+// TestLogEventsDeclaredAndDocumented guards against log events that operators cannot look up. It
+// reads the package's sources: every logged event is a constant of events.go, every constant is
+// logged, and the operations page names each.
 func TestLogEventsDeclaredAndDocumented(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -60,7 +59,7 @@
 				}
 				event, ok := n.Args[0].(*ast.Ident)
 				if !ok {
-					t.Errorf("%s: an event that is no constant of events.go", file)
+					t.Errorf("%s: logs an event that is not a constant of events.go", file)
 					return true
 				}
 				logged[event.Name] = true
@@ -77,12 +76,12 @@
 			t.Errorf("%s is never logged", name)
 		}
 		if !strings.Contains(string(page), "`"+text+"`") {
-			t.Errorf("docs/OPERATIONS.md does not tell what %q means", text)
+			t.Errorf("docs/OPERATIONS.md does not name event %q", text)
 		}
 	}
 	for name := range logged {
 		if _, ok := names[name]; !ok {
-			t.Errorf("%s is no constant of events.go", name)
+			t.Errorf("%s is not a constant of events.go", name)
 		}
 	}
 }
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -10,10 +10,9 @@
 	"gradetiller.example/internal/wire"
 )
 
-// TestSlowLeaderKeepsItsWork checks that a leader that answers pings is
-// waited for, however long its results take, and that a silent one is given
-// up soon. A leader that was given up because it was slow used to leave two
-// leaders at the same endpoints.
+// TestSlowLeaderKeepsWork guards against work that is moved away from a leader that is slow but
+// alive, which left two leaders at the same endpoints. As long as the leader answers pings, the
+// node waits for its results.
 func TestSlowLeaderKeepsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
@@ -26,36 +25,38 @@
 	})
 }
 
+// TestSilentLeaderLosesWork guards against work that stays with a leader which does not answer: it
+// counts as lost within a second.
 func TestSilentLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newJobs().add("leader")
 		started := time.Now()
 		_, err := b.awaitDone(context.Background(), func() {})
 		if !errors.Is(err, errLeaderLost) {
-			t.Fatalf("got %v, want a lost leader", err)
+			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 		if took := time.Since(started); took > time.Second {
-			t.Errorf("given up after %v, want within a second", took)
+			t.Errorf("leader counted as lost after %v, want within 1s", took)
 		}
 	})
 }
 
-// TestLeaderThatForgot checks that a leader that was started anew, and does
-// not know the work, is given up at once.
+// TestRestartedLeaderLosesWork guards against waiting for a leader that restarted and no longer
+// knows the work: it counts as lost at once.
 func TestRestartedLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
 		b := j.add("leader")
 		_, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id}) })
 		if !errors.Is(err, errLeaderLost) {
-			t.Fatalf("got %v, want a lost leader", err)
+			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 	})
 }
 
-// TestFrozenLeaderIsLeftByAll checks that one missed answer moves all work
-// away from a leader, that the suspicion grows while nothing is heard of it,
-// and that a sign of life ends it.
+// TestSuspectedLeaderLosesAllWork guards against each job waiting for its own timeout at a leader
+// that does not answer: one missed answer moves all work away. The suspicion lasts longer each time
+// until the leader is heard from.
 func TestSuspectedLeaderLosesAllWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
@@ -66,23 +67,23 @@
 		}()
 		started := time.Now()
 		if _, err := waiting.awaitDone(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 		if took := time.Since(started); took > 60*time.Millisecond {
-			t.Errorf("moved after %v, want at once", took)
+			t.Errorf("work moved after %v, want at once", took)
 		}
 		time.Sleep(suspectFor + 50*time.Millisecond)
 		if j.suspected(time.Now(), "leader") {
-			t.Error("still suspected after the first time")
+			t.Error("still suspected after the first suspicion ended")
 		}
 		j.suspect(time.Now(), "leader")
 		time.Sleep(suspectFor + 50*time.Millisecond)
 		if !j.suspected(time.Now(), "leader") {
-			t.Error("the second suspicion in a row is no longer than the first")
+			t.Error("the second suspicion in a row does not last longer than the first")
 		}
 		j.heard("leader")
 		if j.suspected(time.Now(), "leader") {
-			t.Error("suspected although it was heard of")
+			t.Error("suspected after it was heard from")
 		}
 	})
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -18,35 +18,32 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// The tests of this file tell of one incident. The node that led a cell of the
-// stage pool was told to stop. Of 60 requests whose stages waited, 43 were refused
-// within moments, although another node was ready to lead and all of the engines
-// were free; the clients were told that no leader of the stage pool answers.
+// The tests of this file guard against a leader that accepts stage work while it stops. When the
+// leader of a cell was told to stop, 43 of 60 waiting requests were rejected because no leader of
+// the stage pool answered, although another node was ready to lead and all engines were free.
 //
-// It came about without any other fault. The leader gave back what had not begun,
-// as it should. The node that had submitted the work did not know yet that the
-// leader leaves, so it ranked the same node first, and submitted there again. The
-// leader took the work, claimed the cell anew, asked every engine what it holds,
-// and gave the work back a tenth of a second later. After three times the request
-// was refused. The cause: a node that knew that it would end took work without
-// asking whether it would do it.
+// The leader returned the work that had not started, as it should. The submitting node had not yet
+// learned that the leader leaves, so it ranked that node first again and submitted there. The
+// leader accepted the work, claimed the cell again, asked every engine for its cache contents, and
+// returned the work 0.1 s later. After three tries the request was rejected.
 //
-// Proof: the later the news reach the submitting node, the more requests are
-// refused; with the news in time none is.
+// The later the submitting node learns of the stop, the more requests are rejected; if it learns in
+// time, none is.
 
 const (
-	// longGrace is above longWait, so that a request that is taken before or soon
-	// after the order to stop is done in time on any machine.
+	// longGracePeriod is above longTimeout, so that a request accepted before or soon after the
+	// node is told to stop finishes in time on any machine.
 	longGracePeriod = 40 * time.Second
 	longTimeout     = 20 * time.Second
-	// waiting is how many requests are under way when a node is told to stop:
-	// their stages take seconds, since each call takes 20 ms.
+	// stagedRequests is how many requests are in flight when a node is told to stop. Their stages
+	// take seconds, since each call takes 20 ms.
 	stagedRequests = 60
-	// firstWaits lets the first of them reach the leader.
+	// submitDelay gives the first of these requests time to reach the leader.
 	submitDelay = 300 * time.Millisecond
 )
 
-// stageSite is a site on which all requests have a long time.
+// newStageSite returns a site with long route timeouts and one worker of each stage and of the
+// model.
 func newStageSite(t *testing.T) *platformtest.Site {
 	t.Helper()
 	site, c := newSite(t)
@@ -62,7 +59,7 @@
 	return site
 }
 
-// startLeaving starts a node that knows all endpoints and may be told to stop.
+// startStageNode starts a node with a long grace period and waits until it knows all endpoints.
 func startStageNode(t *testing.T, site *platformtest.Site, seeds ...string) *testNode {
 	t.Helper()
 	n := startNode(t, site, seeds...)
@@ -72,14 +69,14 @@
 	return n
 }
 
-// startPair starts two nodes that know each other; the first leads the cell.
+// startLeaderAndPeer starts two nodes that know each other; the first leads the cell.
 func startLeaderAndPeer(t *testing.T, site *platformtest.Site) (leader, peer *testNode) {
 	t.Helper()
 	leader = startStageNode(t, site)
 	peer = startStageNode(t, site, leader.Peer)
 	eventually(t, "the nodes know each other", func() bool { return leader.knowsNodes(2) && peer.knowsNodes(2) })
 	leader.node.claim(0)
-	eventually(t, "the other node knows the leader", func() bool { return peer.node.otherLeads(0) })
+	eventually(t, "the peer knows the leader", func() bool { return peer.node.otherLeads(0) })
 	return leader, peer
 }
 
@@ -89,15 +86,15 @@
 	return do(r.Front, platformtest.Request{ID: id, Path: "/staged/", Streaming: true, Pieces: []int{6, 4}, Prefix: "aa:1", Deadline: longTimeout})
 }
 
-// tellStop tells a node to stop, and returns when it stops.
+// requestStop tells a node to stop and waits until it has begun to.
 func (r *testNode) requestStop(t *testing.T) {
 	t.Helper()
 	r.stop()
 	eventually(t, "the node stops", r.node.stopping)
 }
 
-// keepNews has a node believe in a list of nodes until the function that it
-// returns is called.
+// freezeEntries holds a node's list of nodes at the given entries until the returned function is
+// called.
 func (r *testNode) freezeEntries(entries *[]wire.Entry) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wait sync.WaitGroup
@@ -113,8 +110,8 @@
 	}
 }
 
-// sendStaged sends requests to the nodes in turn, has something done while they
-// are under way, and checks that all are served.
+// sendStagedRequests sends requests with stages to the nodes in turn, calls meanwhile while they
+// are in flight, and checks that all are served.
 func sendStagedRequests(t *testing.T, to []*testNode, meanwhile func()) {
 	t.Helper()
 	var refused atomic.Int64
@@ -134,7 +131,8 @@
 	}
 }
 
-// TestNewsOfLeavingLeaderAreLate is the incident, with news that never come.
+// TestLeavingLeaderBeforeGossip guards against rejected requests when a leader stops and the
+// submitting node never learns of it by gossip.
 func TestLeavingLeaderBeforeGossip(t *testing.T) {
 	site := newStageSite(t)
 	leads, other := startLeaderAndPeer(t, site)
@@ -147,7 +145,7 @@
 	end()
 }
 
-// answers collects what a node answers to a message.
+// messageRecorder records the messages with which a node answers.
 type messageRecorder struct {
 	mu   sync.Mutex
 	list []wire.Message
@@ -160,18 +158,18 @@
 	return nil
 }
 
-// all lists the answers that have come.
+// all returns the messages recorded so far.
 func (a *messageRecorder) all() []wire.Message {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.list)
 }
 
-// TestStoppingNodeTurnsWorkAway submits work to a node that stops, whether it led
-// the cell or not. It claims nothing, so it asks no engine what it holds either,
-// and answers at once that the work is to go elsewhere, and for how long. A node of
-// an earlier version does not understand the time, and would ask three times before
-// it hears of the stop; so the news that the node leaves come ahead of the answer.
+// TestStoppingNodeRejectsSubmissions guards against a stopping node that accepts work and claims
+// the cell again. It answers at once that the work moves elsewhere and for how long, whether it led
+// the cell or not, claims nothing and so asks no engine for its cache contents. Nodes of an earlier
+// version ignore the time and would submit three times before they learn of the stop, so a gossip
+// message that the node leaves precedes the answer.
 func TestStoppingNodeRejectsSubmissions(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -184,21 +182,21 @@
 				stopping, submitting = submitting, stopping
 			}
 			stopping.requestStop(t)
-			eventually(t, "it gives its claim back", func() bool { return stopping.node.leads.Load() == 0 })
+			eventually(t, "the stopping node releases its claim", func() bool { return stopping.node.leads.Load() == 0 })
 			var got messageRecorder
 			stopping.node.receive(submitting.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longTimeout.Milliseconds(), Deadline: longTimeout.Milliseconds()}, got.record)
 			list := got.all()
 			if len(list) != 2 || !announcesLeaving(list[0], stopping.node.settings.Node) || !movesTemporarily(list[1], 7) {
-				t.Errorf("answers %+v, want the news that it leaves, and that the work moves for a time", list)
+				t.Errorf("answers %+v, want gossip that the node leaves, then work moved for a limited time", list)
 			}
 			if stopping.node.leads.Load() != 0 {
-				t.Error("it claims the cell")
+				t.Error("the stopping node claims the cell")
 			}
 		})
 	}
 }
 
-// tellsLeaving reports whether a message tells that a node leaves.
+// announcesLeaving reports whether a message is gossip that a node leaves.
 func announcesLeaving(m wire.Message, node string) bool {
 	g, ok := m.(wire.Gossip)
 	if !ok || g.Node != node || len(g.Members) != 1 {
@@ -208,26 +206,26 @@
 	return len(e) == 1 && e[0].Node == node && e[0].Leaving
 }
 
-// movesFor reports whether a message tells that work moves for a time.
+// movesTemporarily reports whether a message answers that work moves elsewhere for a limited time.
 func movesTemporarily(m wire.Message, id uint64) bool {
 	d, ok := m.(wire.StagesDone)
 	return ok && d.ID == id && d.Failed == stagepool.ReasonMoved && d.Again > 0 && d.Again <= longGracePeriod.Milliseconds()
 }
 
-// stub is a node that answers submissions as it is told to.
+// stubLeader is a peer that answers submissions with a function of the test.
 type stubLeader struct {
 	wire.Entry
 	submits atomic.Int64
 }
 
-// startStub starts a stub.
+// startStub starts a stubLeader that answers each submission with answer.
 func startStub(t *testing.T, name string, answer func(*wire.StagesSubmit) wire.Message) *stubLeader {
 	t.Helper()
 	return startStubOn(t, name, func() func(*wire.StagesSubmit) wire.Message { return answer })
 }
 
-// startStubOn starts a stub that may answer differently on each connection, or not
-// at all.
+// startStubOn starts a stubLeader whose answers may differ by connection. It sends nothing where
+// the answer is nil.
 func startStubOn(t *testing.T, name string, onConnection func() func(*wire.StagesSubmit) wire.Message) *stubLeader {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -273,8 +271,8 @@
 	return wire.StagesDone{ID: m.ID, Handles: []string{"made"}}
 }
 
-// submitter is a node, which does not run, that knows the stubs; they lead in
-// the order in which they are given.
+// newSubmitter returns a node that is not running and knows the stubs, ranked as leaders in the
+// given order.
 func newSubmitter(t *testing.T, stubs ...*stubLeader) *Node {
 	t.Helper()
 	n := newNode(t, platformtest.NewSite(t))
@@ -287,7 +285,7 @@
 	return n
 }
 
-// inRank names entries so that they lead the cell in this order.
+// rankedNames returns names of nodes in the order in which they rank as leaders of the cell.
 func rankedNames(count int) []string {
 	var entries []wire.Entry
 	for i := range count {
@@ -296,9 +294,9 @@
 	return nodeNames(lead.Rank(0, entries))
 }
 
-// TestLeavingNodesInARow submits work while more nodes leave than a request has
-// tries: it is done by the one that stays, and each of the others is asked once,
-// also by the requests that follow.
+// TestMoreLeavingNodesThanTries guards against requests that use up their tries on nodes that
+// leave. With more leaving nodes than tries, the node that stays does the work, and each leaving
+// node is asked only once, also by later requests.
 func TestMoreLeavingNodesThanTries(t *testing.T) {
 	var stubs []*stubLeader
 	names := rankedNames(mostJobs + 3)
@@ -306,7 +304,7 @@
 		stubs = append(stubs, startStub(t, name, answerMoved))
 	}
 	last := startStub(t, names[0], answerDone)
-	// The one that stays ranks last, because it does not claim the cell.
+	// The node that stays ranks last because it does not claim the cell.
 	for _, s := range stubs {
 		s.Leads = lead.CellBit(0)
 	}
@@ -319,15 +317,14 @@
 	}
 	for _, s := range stubs {
 		if asked := s.submits.Load(); asked != 1 {
-			t.Errorf("%s leaves and was asked %d times", s.Node, asked)
+			t.Errorf("leaving node %s was asked %d times, want once", s.Node, asked)
 		}
 	}
 }
 
-// TestOutrankedLeaderIsNotPassedOver submits work to a leader that stays and gives
-// it back, because a leader of higher rank is at work that the submitting node has
-// not heard of yet. No third node is asked, since it would claim the cell too; and
-// the refusal does not say that no leader answers.
+// TestOutrankedLeaderIsNotSkipped guards against a third node that claims the cell. A leader that
+// stays returns work because a leader of higher rank, which the submitting node does not know yet,
+// is active. No third node is asked, and the rejection does not say that no leader answers.
 func TestOutrankedLeaderIsNotSkipped(t *testing.T) {
 	names := rankedNames(2)
 	outranked, third := startStub(t, names[0], answerHandedOff), startStub(t, names[1], answerDone)
@@ -335,28 +332,24 @@
 	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), aim: time.Now().Add(longTimeout)})
 	var refused *refusal
 	if !errors.As(err, &refused) || refused.reason != errLeaderMoved.Error() {
-		t.Errorf("got %v, want a refusal for %q", err, errLeaderMoved)
+		t.Errorf("got %v, want a rejection with reason %q", err, errLeaderMoved)
 	}
 	if outranked.submits.Load() != mostJobs || third.submits.Load() != 0 {
-		t.Errorf("the outranked leader was asked %d times, the third node %d times", outranked.submits.Load(), third.submits.Load())
+		t.Errorf("the outranked leader was asked %d times, the third node %d times, want 0", outranked.submits.Load(), third.submits.Load())
 	}
 }
 
-// The tests below tell of another incident of the same stop. All nodes, or the only
-// one, were told to stop. From then on each request with stages was refused, also
-// those that were taken long before, although the nodes ran on for most of their
-// grace period with all engines at hand.
+// The tests below guard against rejected requests with stages when all nodes, or the only one, are
+// told to stop: every such request was rejected, including those accepted long before, although the
+// nodes ran on for most of their grace period with all engines available. With one of two nodes
+// stopped all requests were served, with both 8 of 60.
 //
-// It came about without any other fault. A node that leaves was not ranked among
-// the leaders, itself included; and a leader gave its work back also when the other
-// nodes were leaving as well, to submitters that found nobody to do it. The cause:
-// that a node leaves was taken for that it can do nothing, where only a node that
-// stays would do better.
-//
-// Proof: with one of two nodes stopped all requests are served, with both 8 of 60.
+// Leaving nodes were not ranked as leaders, not even by themselves, and a leader returned its work
+// although the other nodes were leaving too. A leaving node can still lead; it must only rank
+// behind nodes that stay.
 
-// TestLastNodeRunsStages sends a request with stages to the only node, after it was
-// told to stop.
+// TestOnlyNodeRunsStagesWhileStopping guards against requests with stages that are rejected because
+// the only node has been told to stop.
 func TestOnlyNodeRunsStagesWhileStopping(t *testing.T) {
 	n := startStageNode(t, newStageSite(t))
 	n.requestStop(t)
@@ -365,7 +358,8 @@
 	}
 }
 
-// TestAllNodesStopAtOnce stops both nodes while requests are under way.
+// TestAllNodesStopTogether guards against requests with stages that are rejected when both nodes
+// stop while the requests are in flight.
 func TestAllNodesStopTogether(t *testing.T) {
 	leads, other := startLeaderAndPeer(t, newStageSite(t))
 	sendStagedRequests(t, []*testNode{leads, other}, func() {
@@ -374,8 +368,9 @@
 	})
 }
 
-// TestLeaversLeadLast ranks nodes that stay, leave, answered that they leave, or
-// don't answer.
+// TestLeavingNodesRankLast guards against a leaving node that leads although another one stays, and
+// against cells without a leader because all nodes leave. It ranks nodes that stay, leave, have
+// answered that they leave, or do not answer.
 func TestLeavingNodesRankLast(t *testing.T) {
 	stays := func(name string) wire.Entry { return wire.Entry{Node: name, Incarnation: 2, PeerAddress: name} }
 	leaves := func(name string) wire.Entry {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -14,35 +14,34 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// What was seen: two of eighteen endpoints named in their answers that they take 1 request a
-// second from all nodes together, and got 12 in 4 s from nodes that had passed such answers
-// on; 11 are allowed. How it came about: the endpoint is chosen as before its word, by each
-// node for itself or by the leader that places for all. Cause: nothing holds what an endpoint
-// takes from all nodes together but for a time after its start. Proof: the tests below give
-// the endpoints of each kind of service many times the rate that they name, with every node
-// told, on the code before.
+// The tests of this file guard against nodes that together exceed a rate limit announced by an
+// endpoint. Two of eighteen endpoints announced 1 request a second and got 12 in 4 s, where 11 are
+// allowed, from nodes that had already relayed such responses: each node, or the leader that places
+// for all, kept choosing the endpoint as before, since the rate of all nodes together was limited
+// only for a time after the endpoint's start. Without a limit shared by all nodes, the endpoints of
+// each kind of service get many times the announced rate even if every node knows it.
 
 const (
-	// namedRate is what the endpoints of these tests name, in requests a second.
+	// announcedRate is the limit that the endpoints in these tests announce, in requests per
+	// second.
 	announcedRate = 1.5
-	// measured is how long the bound is looked at.
+	// measurePeriod is how long requests are counted against the limit.
 	measurePeriod = 6 * time.Second
-	// mostRounds is how many seconds may pass until a limit that has ended is none any more,
-	// five times what it takes.
+	// maxRounds is how many seconds nodes may take to lift a withdrawn limit, five times what it
+	// usually takes.
 	maxRounds = 120
 )
 
-// limitCase is one kind of work.
+// limitCase is a kind of request and the service whose endpoints announce a limit.
 type limitCase struct {
 	name, service string
 	request       platformtest.Request
-	// fault is met by half of the requests at the service, so that they are sent again; some
-	// may then fail.
+	// fault affects half of the requests at the service, so that they are retried; some may then
+	// fail.
 	fault platformtest.Fault
 }
 
-// limitCases are the kinds of work by which endpoints are reached; Service is the one whose
-// endpoints name a limit.
+// limitCases are the kinds of requests that reach endpoints.
 var limitCases = []limitCase{
 	{name: "plain", service: "desk", request: platformtest.Request{Path: "/read/x"}},
 	{name: "once", service: "desk", request: platformtest.Request{Path: "/book/x"}},
@@ -51,20 +50,19 @@
 	{name: "stages", service: "encode", request: platformtest.Request{Path: "/staged/x", Streaming: true, Pieces: []int{2, 1}}},
 }
 
-// repeatCases are work that is sent again: plain requests whose connection is reset, streams
-// that break midway and are resumed elsewhere, placed by nodes and by a leader.
+// retryCases are requests that are retried: plain requests whose connection is reset, and streams
+// that break midway and resume at another endpoint, placed by nodes and by a leader.
 var retryCases = []limitCase{
 	{name: "repeats", service: "desk", request: platformtest.Request{Path: "/read/x"}, fault: platformtest.Reset},
 	{name: "resumed", service: "model", request: platformtest.Request{Path: "/plain/x", Streaming: true}, fault: platformtest.TruncateEvent},
 	{name: "resumed-placed", service: "model", request: platformtest.Request{Path: "/staged/x", Streaming: true, Pieces: []int{1, 1}}, fault: platformtest.TruncateEvent},
 }
 
-// tally has clients send requests to nodes in turn until a time is over, and counts the
-// answers by status.
+// responseCounts counts the responses to requests by status.
 type responseCounts struct {
 	mu      sync.Mutex
 	answers map[int]int
-	// held are refusals without a time to come back, and failures.
+	// unexpected are failures, and rejections without Retry-After.
 	unexpected []string
 }
 
@@ -77,6 +75,7 @@
 	}
 }
 
+// run has clients send requests to the nodes in turn until a time.
 func (l *responseCounts) run(nodes []*testNode, q platformtest.Request, clients int, until time.Time) {
 	var sending sync.WaitGroup
 	for c := range clients {
@@ -95,9 +94,10 @@
 	sending.Wait()
 }
 
-// TestNamedLimitIsKept has two of six endpoints, then all of them, name a limit, while three
-// nodes send them far more. None gets more than it is allowed, and each gets some; what is
-// not served is refused as not run, with the time to come back.
+// TestAnnouncedRateLimitIsKept guards against nodes that together exceed an announced rate limit,
+// or starve a limited endpoint. Two of six endpoints, then all of them, announce a limit while
+// three nodes send far more. No endpoint gets more than allowed, each gets some requests, and
+// requests that are not served are rejected as not run with Retry-After.
 func TestAnnouncedRateLimitIsKept(t *testing.T) {
 	for _, c := range slices.Concat(limitCases, retryCases) {
 		for _, limited := range []int{2, 6} {
@@ -109,7 +109,7 @@
 	}
 }
 
-// keepsLimit plays the case on three nodes with six endpoints, some of them limited.
+// checkRateLimit runs the case on three nodes with six endpoints, some of them limited.
 func (c limitCase) checkRateLimit(t *testing.T, limited int) {
 	const count = 3
 	site, _ := newSite(t)
@@ -143,29 +143,29 @@
 	counts.run(nodes, c.request, 8, announcedAt.Add(intaketest.GracePeriod+measurePeriod))
 	allowed := intaketest.Allowed(announcedRate)
 	for i, w := range workers[:limited] {
-		// What was sent before the endpoint named its rate doesn't count: at 50 requests a
-		// second, the second before fills any span that it lies in.
+		// Requests sent before the endpoint announced its limit do not count: at 50 requests a
+		// second, they would fill any measured span that includes them.
 		arrivals := intaketest.After(w.ArrivalTimes(), announcedAt.Add(intaketest.NodeReactionTime))
 		if got := intaketest.MaxInSpan(arrivals, announcedAt.Add(intaketest.GracePeriod)); got > allowed {
-			t.Errorf("endpoint %d got %d requests in %v, %d are allowed", i, got, intaketest.Span, allowed)
+			t.Errorf("endpoint %d got %d requests within %v, want at most %d", i, got, intaketest.Span, allowed)
 		}
 		if len(intaketest.After(arrivals, announcedAt.Add(intaketest.GracePeriod))) == 0 {
-			t.Errorf("endpoint %d was left with nothing after %v", i, intaketest.GracePeriod)
+			t.Errorf("endpoint %d got no requests after %v", i, intaketest.GracePeriod)
 		}
 	}
-	t.Logf("answers %v", counts.answers)
+	t.Logf("responses by status: %v", counts.answers)
 	if c.fault != platformtest.Healthy {
 		return
 	}
 	if len(counts.unexpected) > 0 {
-		t.Errorf("%d were neither served nor refused with the time to come back: %s", len(counts.unexpected), counts.unexpected[0])
+		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(counts.unexpected), counts.unexpected[0])
 	}
 	if limited < len(workers) && counts.answers[http.StatusServiceUnavailable] > 0 {
-		t.Errorf("%d were refused though four endpoints name no limit", counts.answers[http.StatusServiceUnavailable])
+		t.Errorf("%d requests were rejected although four endpoints have no limit", counts.answers[http.StatusServiceUnavailable])
 	}
 }
 
-// everySecond lists a fault for every second of some requests.
+// alternateFaults returns a fault for every second of a number of requests.
 func alternateFaults(f platformtest.Fault, requests int) []platformtest.Fault {
 	list := make([]platformtest.Fault, requests)
 	for i := range requests / 2 {
@@ -174,8 +174,9 @@
 	return list
 }
 
-// TestLimitThatEnds has all endpoints name a limit and take it back. They are told by the
-// requests that still reach them, and used as before soon after.
+// TestWithdrawnRateLimit guards against limits that stay in force after their endpoints withdraw
+// them. All endpoints announce a limit and withdraw it in responses to the requests that still
+// reach them; soon after, all requests are served again.
 func TestWithdrawnRateLimit(t *testing.T) {
 	for _, c := range limitCases {
 		for _, perSecond := range []string{"1.5", "0"} {
@@ -197,7 +198,7 @@
 				counts := &responseCounts{answers: make(map[int]int)}
 				counts.run(nodes, c.request, 16, time.Now().Add(2*time.Second))
 				if counts.answers[http.StatusServiceUnavailable] == 0 {
-					t.Error("nothing was refused: the test shows nothing")
+					t.Error("no request was rejected: the test shows nothing")
 				}
 				for _, w := range all[c.service] {
 					w.AnnounceRateLimit("")
@@ -217,9 +218,9 @@
 					served = later.answers[http.StatusServiceUnavailable] == 0 && len(later.unexpected) == 0
 				}
 				if !served {
-					t.Fatalf("some are still refused %v after the limits ended", time.Since(ended))
+					t.Fatalf("some requests are still rejected %v after the limits were withdrawn", time.Since(ended))
 				}
-				t.Logf("all were served %v after the limits ended", time.Since(ended).Round(100*time.Millisecond))
+				t.Logf("all requests were served %v after the limits were withdrawn", time.Since(ended).Round(100*time.Millisecond))
 			})
 		}
 	}
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -19,9 +19,9 @@
 	"gradetiller.example/platform"
 )
 
-// TestLogLevelOfRequests ends requests in each way: those that may have run, or
-// were cut, end with a warning; what was not run, refused for the client's fault
-// or delivered does not.
+// TestRequestLogLevel guards against warnings for requests that ended as expected, and against
+// failures logged without one. Requests that may have run, or were cut, are logged as warnings;
+// those that did not run, were rejected for a fault of the client, or were delivered are not.
 func TestRequestLogLevel(t *testing.T) {
 	expired, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancel()
@@ -54,7 +54,7 @@
 	}
 }
 
-// breakOff ends a stream whose head is out.
+// abortStream ends a stream after its header was sent.
 func abortStream(n *Node, w http.ResponseWriter, q *request) {
 	defer func() {
 		if r := recover(); r != http.ErrAbortHandler {
@@ -64,7 +64,8 @@
 	n.endStream(context.Background(), &stream{q: q, w: w, started: true}, attempt.AnswerUnknown, "stream failed")
 }
 
-// TestLogDropsAreMetrics checks that the metrics tell of dropped lines by kind.
+// TestDroppedLogLinesMetric guards against dropped log lines that do not appear in the metrics by
+// kind.
 func TestDroppedLogLinesMetric(t *testing.T) {
 	dropped := map[logging.Kind]uint64{logging.Ordinary: 7, logging.Urgent: 2}
 	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(k logging.Kind) uint64 { return dropped[k] }))
@@ -75,7 +76,7 @@
 		`gradetiller_log_lines_dropped_total{kind="urgent"} 2`,
 	} {
 		if !strings.Contains(page.String(), want+"\n") {
-			t.Errorf("the metrics don't tell %s", want)
+			t.Errorf("metrics lack %s", want)
 		}
 	}
 }
--- a/internal/node/lookup_test.go
+++ b/internal/node/lookup_test.go
@@ -9,8 +9,9 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// TestLookupWaitsForOthers asks a node that has just started, and knows nobody, which
-// nodes to use: it tells none until it knows the others, or that there are none.
+// TestLookupUnavailableUntilJoined guards against a starting node that answers lookups with its own
+// address alone, which would send all clients to it. It answers 503 until it knows the other nodes,
+// or that there are none.
 func TestLookupUnavailableUntilJoined(t *testing.T) {
 	n := newNode(t, platformtest.NewSite(t), "127.0.0.1:1")
 	ask := func() int {
@@ -19,10 +20,10 @@
 		return w.Code
 	}
 	if status := ask(); status != http.StatusServiceUnavailable {
-		t.Errorf("it answers %d before it knows the others", status)
+		t.Errorf("lookup got %d before the node joined, want 503", status)
 	}
 	n.hasJoined.Store(true)
 	if status := ask(); status != http.StatusOK {
-		t.Errorf("it answers %d once it knows them", status)
+		t.Errorf("lookup got %d after the node joined, want 200", status)
 	}
 }
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -10,28 +10,26 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// What was seen: a request that crashed every endpoint that began to run it came again
-// and again, at any node, and was sent on each time: 21 endpoints of 18 ended by one
-// request, and with each of them all that ran there. How it came about: each of the
-// client's tries is a request of its own to every node; the limits on repeats hold within
-// one try. Cause: nothing that a node learns of a request outlasts a try, or is told to
-// the other nodes, and a batch of a stage whose endpoint ended was put together again
-// with the same pieces. Proof: the tests below, on three nodes and twelve endpoints of
-// which each is back after a time, end an endpoint with every try on the code before
-// (TestPoisonIsRefused), and the mates of the request in a batch with it
-// (TestPoisonInBatches).
+// The tests of this file guard against a request that crashes every endpoint that runs it, and is
+// sent on each time it comes again, at any node: one such request ended endpoints 21 times on a
+// site of 18, with everything that ran there. Each try of the client is a separate request to every
+// node, and retry limits hold within one try only. A node must therefore remember across tries
+// which requests end endpoints and tell the other nodes, and must not form the same batch again
+// after the endpoint of a stage call ended. Without that, every try ends an endpoint
+// (TestPoisonIsRejected), and the other requests of a batch fail too (TestPoisonInBatches). The
+// tests use three nodes and twelve endpoints that restart after a crash.
 
 const (
-	// deadly is the text in a request by which the endpoints of these tests crash.
+	// crashText is the text in a request that crashes the endpoints in these tests.
 	crashText = "divide by zero"
-	// The ends of endpoints after which a request must be known to cause them, and how
-	// long all nodes may take to know it. The sleep is longer, as no verdict depends on
-	// the machine's speed.
+	// maxCrashes is after how many crashes a request must be known to cause them, and spreadTime
+	// how long all nodes may take to learn of it. The tests sleep that long, so that no verdict
+	// depends on the machine's speed.
 	maxCrashes = 3
 	spreadTime = 5 * time.Second
 )
 
-// poisonRoutes are routes of each kind on which a request may crash endpoints.
+// poisonRoutes are requests, one for each kind of route, that may crash endpoints.
 var poisonRoutes = map[string]platformtest.Request{
 	"plain service":               {Path: "/read/x"},
 	"plain service, not repeated": {Path: "/book/x"},
@@ -40,8 +38,7 @@
 	"stages":                      {Path: "/staged/x", Streaming: true, Pieces: []int{2, 3}, PieceKey: crashText},
 }
 
-// poisonSite is a deployment whose endpoints crash by a deadly request and are back
-// after a time.
+// poisonSite returns a site whose endpoints crash on a request with crashText and restart later.
 func poisonSite(t *testing.T) *platformtest.Site {
 	site, _ := newSite(t)
 	for _, service := range []string{"desk", "model", "encode", "rank"} {
@@ -51,9 +48,10 @@
 	return site
 }
 
-// TestPoisonIsRefused sends a deadly request to three nodes in turn until it has ended
-// three endpoints. Then every node refuses it as not run, one that begins only then
-// included, and ends no more endpoints by it; others with the same path go on.
+// TestPoisonIsRejected guards against a request that keeps crashing endpoints. Sent to three nodes
+// in turn until it has ended three endpoints, it is then rejected as not run by every node,
+// including one that starts later, and ends no more endpoints. Other requests with the same path
+// are still served.
 func TestPoisonIsRejected(t *testing.T) {
 	for name, q := range poisonRoutes {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +75,7 @@
 				try(nodes[tries%len(nodes)])
 			}
 			if n := len(site.Crashes()); n < maxCrashes {
-				t.Fatalf("the request has ended %d endpoints in %d tries: the test shows nothing", n, tries)
+				t.Fatalf("the request crashed %d endpoints in %d tries: the test shows nothing", n, tries)
 			}
 			time.Sleep(spreadTime)
 			lateNode := startNode(t, site, nodes[1].Peer)
@@ -85,27 +83,28 @@
 			before := len(site.Crashes())
 			for i, n := range append(nodes, lateNode) {
 				if a := try(n); a.Status != http.StatusServiceUnavailable || a.RetryAfter == "" {
-					t.Errorf("node %d answers %d %v, Retry-After %q", i, a.Status, a.Err, a.RetryAfter)
+					t.Errorf("node %d: got %d %v, Retry-After %q; want 503 with Retry-After", i, a.Status, a.Err, a.RetryAfter)
 				}
 			}
 			if n := len(site.Crashes()) - before; n > 0 {
-				t.Errorf("%d more endpoints were ended after all had time to know the cause", n)
+				t.Errorf("%d more endpoints crashed after all nodes had time to learn the cause", n)
 			}
 			other := q
 			other.Body, other.PieceKey = "seat 4", ""
 			for i, n := range append(nodes, lateNode) {
 				other.ID = fmt.Sprintf("other-%d", i)
 				if a := do(n.Front, other); a.Status != http.StatusOK || a.Err != nil {
-					t.Errorf("another request at node %d: %d %v", i, a.Status, a.Err)
+					t.Errorf("different request at node %d: %d %v", i, a.Status, a.Err)
 				}
 			}
 		})
 	}
 }
 
-// TestPoisonInBatches sends staged requests, one of them deadly to the endpoints of its
-// first stage, all at once, so that their pieces share calls. The others are served, and
-// the deadly one ends no more endpoints than it takes to know it.
+// TestPoisonInBatches guards against a request that fails the others in its batch. Requests with
+// stages, one of which crashes the endpoints of its first stage, are sent at once so that their
+// pieces share calls. The others are served, and the crashing one ends no more endpoints than it
+// takes to identify it.
 func TestPoisonInBatches(t *testing.T) {
 	site := poisonSite(t)
 	n := startNode(t, site)
@@ -122,7 +121,7 @@
 	}
 	sending.Wait()
 	if ends := len(site.Crashes()); ends == 0 || ends > maxCrashes {
-		t.Errorf("%d endpoints were ended, want 1 to %d", ends, maxCrashes)
+		t.Errorf("%d endpoints crashed, want 1 to %d", ends, maxCrashes)
 	}
 	for i, a := range answers {
 		if i != requests/2 && (a.Status != http.StatusOK || a.Err != nil) {
@@ -131,9 +130,9 @@
 	}
 }
 
-// TestBrokenRunsAloneRefuseNothing has a request's runs break off again and again at
-// endpoints that live on: by resets, cut answers and answers of others. It is refused by
-// no node, and served as soon as the endpoints are well.
+// TestBrokenRunsAreNotPoison guards against rejecting a request whose runs broke for other reasons:
+// resets, truncated responses and responses to other requests, from endpoints that stay up. No node
+// rejects it, and it is served as soon as the endpoints work.
 func TestBrokenRunsAreNotPoison(t *testing.T) {
 	faults := map[string]platformtest.Fault{
 		"reset": platformtest.Reset, "cut short": platformtest.TruncateBody, "another's answer": platformtest.WrongRequestID, "no signature": platformtest.MissingStamp,
@@ -156,7 +155,7 @@
 				}
 				q.ID = fmt.Sprintf("broken-%d", i)
 				if a := do(nodes[i%2].Front, q); a.Status != http.StatusBadGateway {
-					t.Errorf("try %d: %d %v", i, a.Status, a.Err)
+					t.Errorf("try %d: got %d %v, want 502", i, a.Status, a.Err)
 				}
 			}
 			for _, w := range workers {
--- a/internal/node/promptcache_test.go
+++ b/internal/node/promptcache_test.go
@@ -9,9 +9,9 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// TestLeaderLearnsWhatEnginesHold has two engines hold parts of prompts from an
-// earlier time: requests with these parts go to their holders once the node
-// that leads has asked.
+// TestLeaderLearnsCachedPrompts guards against a leader that ignores what is already in the
+// engines' prompt caches. Two engines hold prompt parts from before the node started: once the
+// leader has asked them, requests with these parts go to the engine that holds them.
 func TestLeaderLearnsCachedPrompts(t *testing.T) {
 	const tries = 200
 	site, _ := newSite(t)
@@ -25,7 +25,7 @@
 	}
 	n := startNode(t, site)
 	n.awaitReady(t)
-	// A row of 24 that go right is no chance; the first ones may come before
+	// 24 correct placements in a row are not due to chance. The first requests may arrive before
 	// the engines have answered.
 	const wanted = 24
 	inRow, last := 0, ""
@@ -42,13 +42,13 @@
 		}
 	}
 	if inRow < wanted {
-		t.Errorf("after %s: %d requests in a row at the engines that hold their prompts, want %d", last, inRow, wanted)
+		t.Errorf("after %s: %d requests in a row reached the engine that caches their prompt, want %d", last, inRow, wanted)
 	}
 }
 
-// TestWorkBeforeTheFirstView has a node claim a cell before it knows any endpoint,
-// as when it is sent work just after its start. It ended with a fault then (soak
-// seeds 521, 526 and 538); it has to ask the engines once it knows them.
+// TestWorkBeforeFirstView guards against a crash when a node claims a cell before it knows any
+// endpoint, as when it receives work just after its start. It must ask the engines for their cache
+// contents once it knows them.
 func TestWorkBeforeFirstView(t *testing.T) {
 	site, _ := newSite(t)
 	model := site.AddWorkers("model", 1)[0]
@@ -67,7 +67,7 @@
 			t.Error(err)
 		}
 	}()
-	eventually(t, "the engine is asked what it holds", func() bool { return model.CacheListCalls() > 0 })
+	eventually(t, "the engine is asked for its cache contents", func() bool { return model.CacheListCalls() > 0 })
 	cancel()
 	<-done
 }
--- a/internal/node/readers_test.go
+++ b/internal/node/readers_test.go
@@ -12,23 +12,21 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// The incident that these tests tell: on 61 separate processes, changes of the
-// configuration were in force on nodes in touch only after more than the 3 s that
-// their operators allow. Few nodes read the platform's store there, the others ask
-// these. All decisions about that went by the age of the list of endpoints; the
-// configuration is read by another call and had no age. Two ways led out of the
-// bound, shown by the nodes' lines "reads the store" and "reads the store no more"
-// beside the version that each served:
+// The tests of this file guard against configuration changes that take longer than the allowed 3 s
+// to reach nodes that are in touch with each other. Few nodes read the platform's store, and the
+// others ask these. With 61 separate processes the bound was exceeded in two ways, because all
+// decisions about who reads the store went by the age of the list of endpoints, while the
+// configuration is read by a separate call:
 //
-//   - The readers' calls for configurations hung or failed while their lists were
-//     read: nobody took their place, however long it lasted.
-//   - All readers were away from the store: those that stood in for them ceased to
-//     as soon as they had read a list, most of them before they had read the
-//     configuration, and began anew only when that list had grown old.
+//   - The readers' calls for configurations hung or failed while their lists were read: no other
+//     node stood in for them, however long it lasted.
+//   - All readers were cut off from the store: the nodes that stood in stopped as soon as they had
+//     read a list, mostly before they had read the configuration, and resumed only when that list
+//     had grown old.
 
-// TestReadersWithoutConfigurations has the store not answer the readers' calls for
-// configurations, while it serves their lists and all other nodes: a new version
-// comes into force on every node all the same.
+// TestReadersWithoutConfig guards against changes that no node reads because the readers'
+// configuration calls hang. The store serves the readers' lists and all other nodes: a new version
+// still comes into force on every node.
 func TestReadersWithoutConfig(t *testing.T) {
 	const nodes = 12
 	site, c := newSite(t)
@@ -46,7 +44,7 @@
 		all = append(all, r)
 	}
 	t.Cleanup(func() {
-		// They stop side by side.
+		// Stop them concurrently.
 		for _, r := range all {
 			r.stop()
 		}
@@ -64,8 +62,8 @@
 	}
 }
 
-// TestStandInStays has a node read the store in place of readers that are away: that
-// it has read something is no sign that they are back.
+// TestStandInReaderStays guards against a stand-in reader that stops as soon as it has read the
+// store itself, which does not show that the regular readers are back.
 func TestStandInReaderStays(t *testing.T) {
 	const nodes = 40
 	site, _ := newSite(t)
@@ -87,16 +85,16 @@
 	n.readEndpoints(nil, 1, start)
 	at := start.Add(3 * time.Second)
 	if !n.reads(at) {
-		t.Fatal("the node does not stand in for readers of which it has not heard for 3 s")
+		t.Fatal("the node does not stand in for readers that were silent for 3 s")
 	}
 	n.readEndpoints(nil, 2, at)
 	if !n.reads(at.Add(time.Millisecond)) {
-		t.Error("the node ceases to stand in as soon as it has read a list itself")
+		t.Error("the node stops standing in once it has read a list itself")
 	}
 }
 
-// standInAmong returns a name that makes a node the first to stand in for the readers
-// among others.
+// firstStandInName returns a name with which a node is the first to stand in for the readers among
+// the others.
 func firstStandInName(others []string) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprintf("self-%d", i)
--- a/internal/node/restored_test.go
+++ b/internal/node/restored_test.go
@@ -9,11 +9,11 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// restoredFor is how long after a restoration nothing that was acknowledged before it may
-// come undone. Nodes learn of the restored store well within it.
+// restoreWindow is how long after a restore the tests check that nothing acknowledged before it is
+// reverted. Nodes detect the restore well within it.
 const restoreWindow = 2500 * time.Millisecond
 
-// during calls a function again and again for a time.
+// repeatFor calls a function repeatedly for a duration.
 func repeatFor(d time.Duration, f func(turn int)) {
 	for end, turn := time.Now().Add(d), 0; time.Now().Before(end); turn++ {
 		f(turn)
@@ -21,16 +21,17 @@
 	}
 }
 
-// churn writes rows that tell nothing.
+// writeUnrelatedRows writes rows without meaning to the nodes, to raise the store version.
 func writeUnrelatedRows(site *platformtest.Site, writes int) {
 	for i := range writes {
 		site.Store.PutOperatorRow("note", fmt.Appendf(nil, "%d", i))
 	}
 }
 
-// TestVersionsGivenOutAnew has the store come back from a copy while the node can't reach it,
-// and write an evacuation and much else before it can: its versions are beyond the one up to
-// which the node knows all changes, and yet it does not know that one.
+// TestReusedStoreVersions guards against a node that misses changes because a restored store reuses
+// version numbers. The store is restored while the node cannot reach it, and an evacuation and many
+// other rows are written before it can: the store's version is then beyond the last one the node
+// has read, although the node has not seen all changes up to there.
 func TestReusedStoreVersions(t *testing.T) {
 	site, _ := newSite(t)
 	other := addWorkersInBothZones(site)
@@ -50,9 +51,10 @@
 	checkNoCalls(t, n, other)
 }
 
-// TestRestoredStore has the store come back from a copy that was made before a key was taken
-// away, a failure domain was evacuated, and endpoints left, one of them with a word. None of
-// that comes undone until it is written again, and new changes come into force.
+// TestRestoredStoreRevertsNothing guards against a restore that reverts acknowledged changes. The
+// backup predates the removal of an API key, an evacuation, and two endpoints that left, one of
+// them draining first. None of these is reverted before it is written again, and new changes come
+// into force.
 func TestRestoredStoreRevertsNothing(t *testing.T) {
 	site, c := newSite(t)
 	c.Keys["key-2"] = "clinics"
@@ -71,7 +73,7 @@
 	site.Store.Evacuate(otherZone)
 	left.Unlist()
 	leaves.Drain()
-	eventually(t, "the key is taken away", func() bool {
+	eventually(t, "the removed key is rejected", func() bool {
 		return do(n.Front, platformtest.Request{ID: "gone", Path: "/read/", Key: "key-2"}).Status == http.StatusUnauthorized
 	})
 	writeUnrelatedRows(site, 40)
@@ -81,7 +83,7 @@
 	site.Store.Restore(before)
 	repeatFor(restoreWindow, func(turn int) {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprintf("key-%d", turn), Path: "/read/", Key: "key-2"}); a.Status != http.StatusUnauthorized {
-			t.Fatalf("a key that was taken away is answered %d", a.Status)
+			t.Fatalf("request with a removed key got %d", a.Status)
 		}
 		sendEachKind(n.Front, fmt.Sprintf("during-%d", turn))
 	})
@@ -94,7 +96,7 @@
 	leaves.Drain()
 	left.RemoveEntry()
 	fresh := site.AddWorkers("desk", 1)[0]
-	eventually(t, "an endpoint that is new since is used", func() bool {
+	eventually(t, "an endpoint added after the restore is used", func() bool {
 		sendEachKind(n.Front, "after")
 		return fresh.TotalRuns() > 0
 	})
@@ -106,14 +108,14 @@
 	c.Keys["key-3"] = "clinics"
 	c.Version = 4
 	site.Publish(c)
-	eventually(t, "a version written since is in force", func() bool {
+	eventually(t, "a version written after the restore is in force", func() bool {
 		return do(n.Front, platformtest.Request{ID: "new", Path: "/read/", Key: "key-3"}).Status == http.StatusOK
 	})
 }
 
-// TestBegunAfterARestoration starts a node when the store has come back from an older copy
-// and nothing was written again: it is not ready with the older configuration while another
-// node has the newer one.
+// TestStartAfterRestore guards against a node that starts with an outdated configuration. It starts
+// after the store was restored from a backup and before anything was written again: it does not
+// become ready with the older configuration while another node has the newer one.
 func TestStartAfterRestore(t *testing.T) {
 	site, c := newSite(t)
 	c.Keys["key-2"] = "clinics"
@@ -132,7 +134,7 @@
 	eventually(t, "the node serves", func() bool {
 		a := do(late.Front, platformtest.Request{ID: "gone", Path: "/read/", Key: "key-2"})
 		if a.Status == http.StatusOK {
-			t.Fatal("a key that was taken away is let in")
+			t.Fatal("a removed key is accepted")
 		}
 		if a.Status == http.StatusUnauthorized {
 			refused++
@@ -141,8 +143,8 @@
 	})
 }
 
-// TestRestoredTwice restores the store twice within a second, the second time to an older
-// copy than the first.
+// TestStoreRestoredTwice guards against reverted changes when the store is restored twice within a
+// second, the second time from an older backup.
 func TestStoreRestoredTwice(t *testing.T) {
 	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
@@ -166,5 +168,5 @@
 	}
 	c.Version = 3
 	site.Publish(c)
-	eventually(t, "a version written since is in force", func() bool { return n.node.view.Load().version() == 3 })
+	eventually(t, "a version written after the restore is in force", func() bool { return n.node.view.Load().version() == 3 })
 }
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -17,16 +17,16 @@
 	"gradetiller.example/platform/platformtest/signaltest"
 )
 
-// signalScript is a course of signals, read from a file. Its lines:
+// signalScript is a sequence of signals that endpoints send, read from a file. Its lines:
 //
-//	work NAME                               the kind of request, one of signalWork
-//	nodes N                                 3 if it is left out
-//	endpoints N                             of each service, 6 if it is left out
-//	fault NAME                              met by every second request at the service
+//	work NAME                               the kind of request, a key of signalWorks
+//	nodes N                                 default 3
+//	endpoints N                             endpoints of each service, default 6
+//	fault NAME                              affects every second request at the service
 //	at D drain K                            the first K endpoints announce draining from then on
 //	at D reject K every N backoff D for D   the first K endpoints reject one request in N
-//	lasts D
-//	served S                                the least share of requests that must be served
+//	lasts D                                 how long requests are sent
+//	served S                                the minimum share of requests that must be served
 //	used-again D                            how soon after its last backoff each endpoint that
 //	                                        rejected must get requests again
 type signalScript struct {
@@ -39,11 +39,11 @@
 	usedAgain        time.Duration
 }
 
-// signalStep is one change of what endpoints announce.
+// signalStep is one change of the signals that endpoints send.
 type signalStep struct {
 	at    time.Duration
 	count int
-	// every is 0 for endpoints that drain.
+	// every is 0 if the step announces draining.
 	every             int
 	backoff, duration time.Duration
 }
@@ -107,7 +107,7 @@
 	return err
 }
 
-// signalRun is a script being played.
+// signalRun is one run of a script.
 type signalRun struct {
 	script  signalScript
 	workers []*platformtest.Worker
@@ -120,7 +120,7 @@
 	draining   map[string]time.Time
 }
 
-// play starts the nodes and sends requests to them while endpoints announce signals.
+// play starts the nodes and sends requests to them while endpoints send signals.
 func (s signalScript) play(t *testing.T) *signalRun {
 	site, _ := newSite(t)
 	r := &signalRun{script: s, answers: make(map[int]int), draining: make(map[string]time.Time)}
@@ -172,7 +172,7 @@
 	}
 }
 
-// send has eight clients send requests to the nodes in turn until a moment.
+// send has eight clients send requests to the nodes in turn until a time.
 func (r *signalRun) send(until time.Time) {
 	var sending sync.WaitGroup
 	for c := range 8 {
@@ -206,13 +206,14 @@
 	if a.Status != http.StatusOK && (a.Status != http.StatusServiceUnavailable || a.RetryAfter == "") {
 		r.unexpected = append(r.unexpected, fmt.Sprintf("%s: %d %q %v", q.ID, a.Status, a.RetryAfter, a.Err))
 	}
-	// The stamp names the endpoint whose answer it is.
+	// The stamp names the endpoint that answered.
 	if parts := strings.Split(a.Stamp, "."); len(parts) > 1 && announced[parts[1]] {
 		r.log.RecordDraining(parts[1], node, time.Now())
 	}
 }
 
-// check holds the arrivals against the rules, and the answers against the script.
+// check compares the arrivals with the rules for draining and backoff, and the responses with the
+// script.
 func (r *signalRun) check(t *testing.T) {
 	for _, w := range r.workers {
 		reportViolations(t, r.log.DrainingViolations(w.ID, w.Arrivals()))
@@ -225,20 +226,20 @@
 		total += n
 	}
 	if served := float64(r.answers[http.StatusOK]) / float64(total); served < r.script.served {
-		t.Errorf("%.3f of %d requests were served, %.3f must be", served, total, r.script.served)
+		t.Errorf("%.3f of %d requests were served, want at least %.3f", served, total, r.script.served)
 	}
 	if r.script.fault == platformtest.Healthy && len(r.unexpected) > 0 {
-		t.Errorf("%d were neither served nor rejected with a time to come back: %s", len(r.unexpected), r.unexpected[0])
+		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(r.unexpected), r.unexpected[0])
 	}
-	t.Logf("answers %v", r.answers)
+	t.Logf("responses by status: %v", r.answers)
 }
 
-// checkCalls checks the calls of pieces, which carry no request's id: their leader learns that an
-// endpoint drains from the answer to the next one.
+// checkCalls checks the calls of pieces, which carry no request ID: their leader learns that an
+// endpoint drains from the response to its next call.
 func (r *signalRun) checkCalls(t *testing.T, w *platformtest.Worker) {
 	announced, ok := r.draining[w.ID]
 	if after := w.LastRun().Sub(announced); ok && len(w.BatchSizes()) > 0 && after > signaltest.DrainGrace {
-		t.Errorf("%s ran pieces %v after it had announced that it drains", w.ID, after)
+		t.Errorf("%s ran pieces %v after it announced that it drains", w.ID, after)
 	}
 }
 
@@ -253,13 +254,13 @@
 		return a.At.After(ends) && a.At.Before(ends.Add(r.script.usedAgain))
 	}) {
 		arrivals := w.ArrivalTimes()
-		t.Errorf("%s got no request within %v of the end of its backoff, %v after its last one", w.ID, r.script.usedAgain, ends.Sub(arrivals[len(arrivals)-1]))
+		t.Errorf("%s got no request within %v after its backoff, which ended %v after its last request", w.ID, r.script.usedAgain, ends.Sub(arrivals[len(arrivals)-1]))
 	}
 }
 
 func reportViolations(t *testing.T, found []string) {
 	if len(found) > 0 {
-		t.Errorf("%d times, first %s", len(found), found[0])
+		t.Errorf("%d violations, first: %s", len(found), found[0])
 	}
 }
 
@@ -277,7 +278,7 @@
 }
 
 // TestDrainingEndpointGetsNoRequests guards against requests that reach an endpoint after it
-// announced in an answer that it drains, while the store still lists it as ready.
+// announced in a response that it drains, while the store still lists it as ready.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) { playSignals(t, "draining-*.txt") }
 
 // TestBackoffIsHonored guards against requests that reach an endpoint during the backoff that it
--- a/internal/node/silent_test.go
+++ b/internal/node/silent_test.go
@@ -9,8 +9,8 @@
 	"gradetiller.example/internal/wire"
 )
 
-// silentOnFirst answers nothing on the connection that it was asked on first, as if
-// its bytes were lost for good, and everything on later ones.
+// startSilentOnFirstConnection starts a stub that answers nothing on its first connection, as if
+// all packets were lost, and everything on later ones.
 func startSilentOnFirstConnection(t *testing.T, name string) (*stubLeader, *atomic.Int64) {
 	var connections atomic.Int64
 	s := startStubOn(t, name, func() func(*wire.StagesSubmit) wire.Message {
@@ -22,15 +22,15 @@
 	return s, &connections
 }
 
-// TestSilentConnectionKeepsLeader has the connection to the leader fall silent while
-// the leader lives: the work is sent again on a new one, nobody else is asked, and
-// the leader is not passed over.
+// TestSilentConnectionKeepsLeader guards against a leader that is skipped because one connection to
+// it went silent. The work is sent again on a new connection, no other node is asked, and the
+// leader stays in use.
 func TestSilentConnectionKeepsLeader(t *testing.T) {
 	names := rankedNames(2)
 	first, connections := startSilentOnFirstConnection(t, names[0])
 	second := startStub(t, names[1], answerDone)
 	n := newSubmitter(t, first, second)
-	// The connection has been there for a while.
+	// Open the connection before the first submission.
 	n.links.Send(first.PeerAddress, wire.StagesPing{ID: 1})
 	eventually(t, "the connection is open", func() bool { return connections.Load() == 1 })
 	n.patience.second = time.Minute
@@ -40,19 +40,19 @@
 			t.Fatal(err)
 		}
 		if got.leader != first.Node {
-			t.Errorf("%s did the work, want %s", got.leader, first.Node)
+			t.Errorf("work was done by %s, want %s", got.leader, first.Node)
 		}
 		n.patience.first = time.Minute
 	}
 	if second.submits.Load() > 0 || n.jobs.suspected(time.Now(), first.PeerAddress) {
-		t.Error("the leader is passed over")
+		t.Error("the leader is skipped or suspected")
 	}
 	if c := connections.Load(); c != 2 {
 		t.Errorf("%d connections were opened, want 2", c)
 	}
 }
 
-// shortWork is some work with time enough.
+// newStageWork returns work with a deadline that it easily meets.
 func newStageWork() stageWork {
 	now := time.Now()
 	return stageWork{aim: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
--- a/internal/node/slowbody_test.go
+++ b/internal/node/slowbody_test.go
@@ -12,7 +12,8 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// startShort starts a node with a route "/short/" that has little time, and its worker.
+// startShortTimeoutNode starts a node with a route "/short/" that has a short timeout, and its
+// worker.
 func startShortTimeoutNode(t *testing.T) (*testNode, *platformtest.Worker) {
 	t.Helper()
 	site, c := newSite(t)
@@ -25,10 +26,9 @@
 	return r, worker
 }
 
-// TestSlowBodyEndsWithTheRoutesTime has a client send half of a body and then nothing:
-// it is told at the end of its route's time that the request has not run. Before, the
-// node waited for the rest without end, whatever time the configuration gives the
-// route.
+// TestSlowBodyTimesOut guards against waiting forever for a request body, whatever the timeout of
+// its route. A client sends half of a body and then nothing: when the route's timeout ends, it is
+// told that the request has not run.
 func TestSlowBodyTimesOut(t *testing.T) {
 	r, worker := startShortTimeoutNode(t)
 	conn, err := net.Dial("tcp", r.Front)
@@ -39,21 +39,20 @@
 	const whole = "the whole body"
 	half := whole[:len(whole)/2]
 	fmt.Fprintf(conn, "POST /short/x HTTP/1.1\r\nHost: %s\r\nAuthorization: Token %s\r\nX-Request-Id: slow-1\r\nContent-Length: %d\r\n\r\n%s", platformtest.Host, key, len(whole), half)
-	// Without an answer the test would wait for ever; no verdict depends on when it
-	// comes.
+	// Bounds the wait for a missing response; no verdict depends on when it arrives.
 	_ = conn.SetReadDeadline(time.Now().Add(15 * time.Second))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	_, _ = io.Copy(io.Discard, answer.Body)
 	if answer.StatusCode != http.StatusRequestTimeout || worker.Runs("slow-1") > 0 {
-		t.Errorf("answered %d, ran %d times", answer.StatusCode, worker.Runs("slow-1"))
+		t.Errorf("got %d, ran %d times; want 408 and no run", answer.StatusCode, worker.Runs("slow-1"))
 	}
 }
 
-// TestBodyTimeEndsWithTheBody keeps a connection that has sent whole bodies: the time
-// that bodies had is no bound on what comes after them.
+// TestBodyDeadlineEndsWithBody guards against a read deadline for a body that stays on the
+// connection and breaks later requests on it.
 func TestBodyDeadlineEndsWithBody(t *testing.T) {
 	r, worker := startShortTimeoutNode(t)
 	transport := &http.Transport{MaxConnsPerHost: 1}
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -12,7 +12,7 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// running is a node under test.
+// testNode is a running node under test.
 type testNode struct {
 	platformtest.Addresses
 	node *Node
@@ -26,7 +26,7 @@
 	return startNodeWith(t, text, addresses)
 }
 
-// startNodeOn starts a node on an instance of the test's own choice.
+// startNodeOnInstance starts a node on the given instance.
 func startNodeOnInstance(t *testing.T, site *platformtest.Site, on platformtest.Instance, seeds ...string) *testNode {
 	t.Helper()
 	text, addresses := site.SettingsFor(on, seeds...)
@@ -59,8 +59,8 @@
 	eventually(t, "the node is ready", func() bool { return platformtest.Ready(r.Ready) == 200 })
 }
 
-// eventually waits for what must come about; the bound is generous because no
-// verdict depends on speed.
+// eventually waits until a condition holds. Its bound is generous, so that no verdict depends on
+// the machine's speed.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 1500 {
@@ -69,12 +69,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("did not happen: %s", what)
 }
 
 const key = "key-1"
 
-// desk is a site with a plain service, a model service and two stages.
+// newSite returns a site with a plain service, a model service and two stages.
 func newSite(t *testing.T) (*platformtest.Site, platformtest.Config) {
 	site := platformtest.NewSite(t)
 	c := platformtest.Config{
@@ -96,6 +96,7 @@
 	return platformtest.Do(context.Background(), a, q)
 }
 
+// events returns the first n events of the stream that answers a request.
 func events(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
@@ -104,7 +105,8 @@
 	return b.String()
 }
 
-// TestWholePath takes a request of each kind through a node.
+// TestEndToEnd guards against requests that are altered, run more than once or not answered on
+// their way through a node, for a request of each kind.
 func TestEndToEnd(t *testing.T) {
 	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
@@ -118,11 +120,11 @@
 		t.Errorf("plain request: %+v", a)
 	}
 	if runs := workers[0].Runs("p1") + workers[1].Runs("p1"); runs != 1 {
-		t.Errorf("ran %d times", runs)
+		t.Errorf("plain request ran %d times, want once", runs)
 	}
 	for _, w := range workers {
 		if w.Runs("p1") == 1 && w.Tenant("p1") != "barbers" {
-			t.Errorf("tenant %q reached the worker", w.Tenant("p1"))
+			t.Errorf("the worker got tenant %q, want barbers", w.Tenant("p1"))
 		}
 	}
 	s := do(n.Front, platformtest.Request{ID: "s1", Path: "/staged/x", Streaming: true, Pieces: []int{2, 3}, Prefix: "aa:10,bb:20,cc:5"})
@@ -130,20 +132,20 @@
 		t.Errorf("staged stream: %+v", s)
 	}
 	if got := len(models[0].Inputs("s1")) + len(models[1].Inputs("s1")); got != 3 {
-		t.Errorf("the model was given %d results, want 3", got)
+		t.Errorf("the model got %d stage results, want 3", got)
 	}
 	eventually(t, "all results are freed", func() bool { return encode.HeldResults()+rank.HeldResults() == 0 })
 	if b := rank.BatchSizes(); len(b) != 1 || b[0] != 3 {
-		t.Errorf("pieces of one stage went in calls of %v, want one of 3", b)
+		t.Errorf("pieces of one stage were sent in calls of %v, want one call of 3", b)
 	}
 	none := do(n.Front, platformtest.Request{ID: "s2", Path: "/staged/x", Streaming: true, Pieces: []int{0, 0}})
 	if none.Status != 200 {
-		t.Errorf("stages left out: %+v", none)
+		t.Errorf("stream without pieces: %+v", none)
 	}
 }
 
-// TestConfigurationDecides checks routes and keys, that a later version is in
-// force soon, and that an earlier one is never.
+// TestConfigRoutesKeysAndVersions guards against routes or keys that are not honored, and against
+// an older configuration that replaces a newer one.
 func TestConfigRoutesKeysAndVersions(t *testing.T) {
 	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
@@ -161,33 +163,34 @@
 	next.Version = 9
 	next.Keys = map[string]string{"key-2": "barbers"}
 	site.Publish(next)
-	eventually(t, "the revoked key is refused", func() bool {
+	eventually(t, "the revoked key is rejected", func() bool {
 		return do(n.Front, platformtest.Request{ID: "c", Path: "/read/"}).Status == 401
 	})
 	site.Publish(c)
 	time.Sleep(700 * time.Millisecond)
 	if a := do(n.Front, platformtest.Request{ID: "c", Path: "/read/"}); a.Status != 401 {
-		t.Errorf("an older version came into force: %d", a.Status)
+		t.Errorf("an older version came into force: got %d, want 401", a.Status)
 	}
 }
 
-// TestNotReadyWithoutConfiguration checks that a node that knows nothing yet
-// answers 503 and says when to come back.
+// TestNotReadyWithoutConfig guards against a node that claims to be ready before it has a
+// configuration: it answers 503, with Retry-After to requests.
 func TestNotReadyWithoutConfig(t *testing.T) {
 	site := platformtest.NewSite(t)
 	site.Store.SetDown(true)
 	n := startNode(t, site)
 	eventually(t, "the node listens", func() bool { return platformtest.Ready(n.Ready) != 0 })
 	if got := platformtest.Ready(n.Ready); got != 503 {
-		t.Errorf("ready answers %d", got)
+		t.Errorf("readiness check got %d, want 503", got)
 	}
 	a := do(n.Front, platformtest.Request{ID: "x", Path: "/read/"})
 	if a.Status != 503 || a.RetryAfter == "" {
-		t.Errorf("got %+v, want 503 with the time to come back", a)
+		t.Errorf("got %+v, want 503 with Retry-After", a)
 	}
 }
 
-// TestOnceIsNeverRepeated brings each fault to a request that may run once.
+// TestUnsafeRequestIsNotRetried guards against a request that may run only once and is run again
+// after a fault of its endpoint.
 func TestUnsafeRequestIsNotRetried(t *testing.T) {
 	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
@@ -226,18 +229,18 @@
 	}
 	s := do(n.Front, platformtest.Request{ID: "torn", Path: "/once/", Streaming: true, Prefix: "aa:1"})
 	if s.Err == nil {
-		t.Errorf("a broken stream looks complete: %+v", s)
+		t.Errorf("broken stream ended without an error: %+v", s)
 	}
 	if s.Body != events("torn", 2) {
-		t.Errorf("the client got %q, want whole events only", s.Body)
+		t.Errorf("the client got %q, want complete events only", s.Body)
 	}
 	if runs := models[0].Runs("torn") + models[1].Runs("torn"); runs != 1 {
-		t.Errorf("a stream that may run once ran %d times", runs)
+		t.Errorf("stream that may run only once ran %d times", runs)
 	}
 }
 
-// TestSafeIsSentAgain brings faults to requests that may run twice: the
-// client gets a whole answer all the same.
+// TestSafeRequestIsRetried guards against a fault that reaches the client although the request may
+// run twice: the client gets a complete response.
 func TestSafeRequestIsRetried(t *testing.T) {
 	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
@@ -262,14 +265,14 @@
 		id := fmt.Sprintf("resumed-%d", k)
 		s := do(n.Front, platformtest.Request{ID: id, Path: "/plain/", Streaming: true, Prefix: fmt.Sprintf("%x:1", k)})
 		if s.Err != nil || s.Body != events(id, 9) {
-			t.Fatalf("stream with one fault: %+v", s)
+			t.Fatalf("stream after one fault: %+v", s)
 		}
 	}
 }
 
-// TestTwoNodesActAsOne checks that nodes find each other by seeds, are named
-// in look-ups, share one stage pool, and that one that stops is named no more
-// and cuts off nothing.
+// TestTwoNodesShareStagePool guards against nodes that do not form one system: they find each other
+// through seeds, appear in lookups and share one stage pool. A node that stops disappears from
+// lookups and cuts no request.
 func TestTwoNodesShareStagePool(t *testing.T) {
 	site, _ := newSite(t)
 	models := site.AddWorkers("model", 2)
@@ -283,7 +286,7 @@
 	b := startNode(t, site, a.Peer)
 	a.awaitReady(t)
 	b.awaitReady(t)
-	eventually(t, "both are named", func() bool {
+	eventually(t, "lookup returns both nodes", func() bool {
 		list, err := platformtest.Lookup(b.Directory)
 		return err == nil && len(list) == 2
 	})
@@ -302,15 +305,15 @@
 		return (a.node.leads.Load() != 0) != (b.node.leads.Load() != 0)
 	})
 	b.stop()
-	eventually(t, "the stopping node is named no more", func() bool {
+	eventually(t, "lookup no longer returns the stopping node", func() bool {
 		list, err := platformtest.Lookup(a.Directory)
 		return err == nil && len(list) == 1
 	})
 	wait.Wait()
 }
 
-// TestPeersPassTheViewOn checks that a node which the store turns away
-// takes what its peers hold, and serves by it.
+// TestViewFromPeer guards against a node that depends on the store to start: while the store is
+// down, it takes the view from a peer and serves by it.
 func TestViewFromPeer(t *testing.T) {
 	site, _ := newSite(t)
 	site.AddWorkers("desk", 1)
@@ -321,15 +324,15 @@
 	b := startNode(t, site, a.Peer)
 	b.awaitReady(t)
 	if got := b.node.view.Load(); got.version() != v.version() || len(got.endpoints) != 1 {
-		t.Errorf("the second node holds version %d and %d endpoints", got.version(), len(got.endpoints))
+		t.Errorf("the second node has version %d and %d endpoints", got.version(), len(got.endpoints))
 	}
 	if s := do(b.Front, platformtest.Request{ID: "x", Path: "/read/"}); s.Status != 200 {
-		t.Errorf("served %d from what a peer holds", s.Status)
+		t.Errorf("request by a view from a peer got %d, want 200", s.Status)
 	}
 }
 
-// TestDrainingEndpointGetsNothing checks that an endpoint that says it leaves
-// is sent nothing more.
+// TestDrainingEntryGetsNoRequests guards against requests to an endpoint whose entry in the store
+// says that it drains.
 func TestDrainingEntryGetsNoRequests(t *testing.T) {
 	site, _ := newSite(t)
 	workers := site.AddWorkers("desk", 2)
@@ -337,7 +340,7 @@
 	n.awaitReady(t)
 	eventually(t, "both endpoints are listed", func() bool { return len(n.node.view.Load().endpoints) == 2 })
 	workers[0].Drain()
-	eventually(t, "the draining state is known", func() bool {
+	eventually(t, "the node knows that the endpoint drains", func() bool {
 		for _, e := range n.node.view.Load().endpoints {
 			if e.Draining {
 				return true
@@ -347,14 +350,14 @@
 	})
 	workers[1].RemoveEntry()
 	workers = append(workers, site.AddWorkers("desk", 1)...)
-	eventually(t, "the list is current", func() bool {
+	eventually(t, "the list of endpoints is current", func() bool {
 		list := n.node.view.Load().endpoints
 		return len(list) == 2 && list[0].ID != workers[1].ID && list[1].ID != workers[1].ID
 	})
 	before := workers[0].TotalRuns()
 	for i := range 10 {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprint("d", i), Path: "/read/"}); a.Status != 200 {
-			t.Errorf("status %d", a.Status)
+			t.Errorf("request got %d, want 200", a.Status)
 		}
 	}
 	if after := workers[0].TotalRuns(); after != before {
@@ -362,8 +365,8 @@
 	}
 }
 
-// TestClientThatLeaves checks that the work of a client that has left ends,
-// and that its results are given up.
+// TestDisconnectedClient guards against work and stage results that are kept after their client has
+// disconnected.
 func TestDisconnectedClient(t *testing.T) {
 	site, _ := newSite(t)
 	model := site.AddWorkers("model", 1)[0]
@@ -378,16 +381,15 @@
 	}()
 	a := platformtest.Do(ctx, n.Front, platformtest.Request{ID: "left", Key: key, Path: "/staged/", Streaming: true, Pieces: []int{1, 2}, Deadline: 9 * time.Second})
 	if a.Err == nil {
-		t.Fatalf("got an answer: %+v", a)
+		t.Fatalf("got a response: %+v", a)
 	}
-	eventually(t, "results are given up", func() bool { return encode.HeldResults()+rank.HeldResults() == 0 })
+	eventually(t, "all results are freed", func() bool { return encode.HeldResults()+rank.HeldResults() == 0 })
 	eventually(t, "nothing is in flight", func() bool { return n.node.inFlight.Load() == 0 })
 }
 
-// TestCrashedEndpoints takes three of four endpoints down without a word, as
-// with a rack: every request finds the one that is left, and those that are
-// down are asked hardly any more. Two that are down used to take turns until
-// the request was given up.
+// TestCrashedEndpoints guards against retries that alternate between crashed endpoints until the
+// request fails. Three of four endpoints crash without notice, as when a rack fails: every request
+// reaches the one that is left.
 func TestCrashedEndpoints(t *testing.T) {
 	site, _ := newSite(t)
 	models := site.AddWorkers("model", 4)
@@ -406,8 +408,8 @@
 	}
 }
 
-// TestHungEndpoint lets an endpoint run requests and never answer: those that
-// may run twice are answered by another long before their deadline.
+// TestHungEndpoint guards against requests that wait for an endpoint which runs them but never
+// answers. Those that may run twice are answered by another endpoint long before their deadline.
 func TestHungEndpoint(t *testing.T) {
 	site, c := newSite(t)
 	for i := range c.Routes {
--- a/internal/node/views_test.go
+++ b/internal/node/views_test.go
@@ -13,14 +13,10 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// What is seen: an endpoint that has left the list is used until the next change. How it comes
-// about: a change looks at the view, another one puts a newer view in force and hands it to the
-// pools, then the first hands on what it has seen. Cause: the view was looked at before the
-// pools were locked. Proof: the test below, in which many changes come at once; without the
-// lock around both, the pools end with an older view now and then.
-
-// TestNewestViewIsInForce has many changes of the view at once: in the end the pools hold the
-// endpoints of the last one.
+// TestConcurrentViewChanges guards against an endpoint that has left the list but is used until the
+// next change. Without one lock around both steps, one change reads the view, another stores a
+// newer view and passes it to the pools, and then the first passes on its outdated one. After many
+// concurrent changes, the pools must hold the endpoints of the last view.
 func TestConcurrentViewChanges(t *testing.T) {
 	site, _ := newSite(t)
 	text, _ := site.Settings()
@@ -54,7 +50,7 @@
 		}
 		changing.Wait()
 		if n.pools.byService["desk"].Find(last+"-0") == place.None {
-			t.Fatalf("round %d: the pools do not hold the endpoints of the last view", round)
+			t.Fatalf("round %d: the pools lack the endpoints of the last view", round)
 		}
 	}
 }
