--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -19,10 +19,10 @@
 	"gradetiller.example/platform"
 )
 
-// TestLogLevelOfRequests ends requests in each way: those that may have run, or
-// were cut, end with a warning; what was not run, refused for the client's fault
-// or delivered does not.
-func TestLogLevelOfRequests(t *testing.T) {
+// TestRequestLogLevel guards against warnings for requests that ended as expected, and against
+// failures logged without one. Requests that may have run, or were cut, are logged as warnings;
+// those that did not run, were rejected for a fault of the client, or were delivered are not.
+func TestRequestLogLevel(t *testing.T) {
 	expired, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancel()
 	worker := func(status int) *platform.Response { return &platform.Response{Status: status, Header: http.Header{}} }
@@ -36,7 +36,7 @@
 			q.mayHaveRun = true
 			n.answerNotRun(w, q, "no endpoint")
 		}, zap.WarnLevel},
-		"broken off":       {breakOff, zap.WarnLevel},
+		"broken off":       {abortStream, zap.WarnLevel},
 		"not run":          {func(n *Node, w http.ResponseWriter, q *request) { n.answerNotRun(w, q, "no endpoint") }, zap.InfoLevel},
 		"not allowed":      {func(n *Node, w http.ResponseWriter, q *request) { n.refuse(w, q, 401, "not allowed", 0) }, zap.InfoLevel},
 		"worker's 200":     {func(n *Node, w http.ResponseWriter, q *request) { n.deliver(w, q, worker(200), nil) }, zap.InfoLevel},
@@ -57,8 +57,8 @@
 	}
 }
 
-// breakOff ends a stream whose head is out.
-func breakOff(n *Node, w http.ResponseWriter, q *request) {
+// abortStream ends a stream after its header was sent.
+func abortStream(n *Node, w http.ResponseWriter, q *request) {
 	defer func() {
 		if r := recover(); r != http.ErrAbortHandler {
 			panic(r)
@@ -67,8 +67,9 @@
 	n.endStream(context.Background(), &stream{q: q, w: w, started: true}, attempt.AnswerUnknown, "stream failed")
 }
 
-// TestLogDropsAreMetrics checks that the metrics tell of dropped lines by kind.
-func TestLogDropsAreMetrics(t *testing.T) {
+// TestDroppedLogLinesMetric guards against dropped log lines that do not appear in the metrics by
+// kind.
+func TestDroppedLogLinesMetric(t *testing.T) {
 	dropped := map[logging.Kind]uint64{logging.Ordinary: 7, logging.Urgent: 2}
 	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(k logging.Kind) uint64 { return dropped[k] }))
 	var page bytes.Buffer
@@ -78,7 +79,7 @@
 		`gradetiller_log_lines_dropped_total{kind="urgent"} 2`,
 	} {
 		if !strings.Contains(page.String(), want+"\n") {
-			t.Errorf("the metrics don't tell %s", want)
+			t.Errorf("metrics lack %s", want)
 		}
 	}
 }
--- a/internal/node/restored_test.go
+++ b/internal/node/restored_test.go
@@ -9,60 +9,62 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// restoredFor is how long after a restoration nothing that was acknowledged before it may
-// come undone. Nodes learn of the restored store well within it.
-const restoredFor = 2500 * time.Millisecond
+// restoreWindow is how long after a restore the tests check that nothing acknowledged before it is
+// reverted. Nodes detect the restore well within it.
+const restoreWindow = 2500 * time.Millisecond
 
-// during calls a function again and again for a time.
-func during(d time.Duration, f func(turn int)) {
+// repeatFor calls a function repeatedly for a duration.
+func repeatFor(d time.Duration, f func(turn int)) {
 	for end, turn := time.Now().Add(d), 0; time.Now().Before(end); turn++ {
 		f(turn)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// churn writes rows that tell nothing.
-func churn(site *platformtest.Site, writes int) {
+// writeUnrelatedRows writes rows without meaning to the nodes, to raise the store version.
+func writeUnrelatedRows(site *platformtest.Site, writes int) {
 	for i := range writes {
 		site.Store.PutOperatorRow("note", fmt.Appendf(nil, "%d", i))
 	}
 }
 
-// TestVersionsGivenOutAnew has the store come back from a copy while the node can't reach it,
-// and write an evacuation and much else before it can: its versions are beyond the one up to
-// which the node knows all changes, and yet it does not know that one.
-func TestVersionsGivenOutAnew(t *testing.T) {
-	site, _ := desk(t)
-	other := bothZones(site)
+// TestReusedStoreVersions guards against a node that misses changes because a restored store reuses
+// version numbers. The store is restored while the node cannot reach it, and an evacuation and many
+// other rows are written before it can: the store's version is then beyond the last one the node
+// has read, although the node has not seen all changes up to there.
+func TestReusedStoreVersions(t *testing.T) {
+	site, _ := newSite(t)
+	other := addWorkersInBothZones(site)
 	before := site.Store.Snapshot()
-	churn(site, 10)
-	door := site.AddStoreProxy()
-	n := startNodeOn(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: door.Address})
+	writeUnrelatedRows(site, 10)
+	proxy := site.AddStoreProxy()
+	n := startNodeOnInstance(t, site, platformtest.Instance{Zone: platformtest.DefaultZone, MemoryMB: 284, Store: proxy.Address})
 	n.awaitReady(t)
-	awaitRead(t, n, site)
-	door.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
+	awaitStoreRead(t, n, site)
+	proxy.Disrupt(platformtest.AllCalls, platformtest.Unavailable)
 	time.Sleep(time.Second)
 	site.Store.Restore(before)
 	site.Store.Evacuate(otherZone)
-	churn(site, 60)
-	door.Restore()
-	awaitRead(t, n, site)
-	unreached(t, n, other)
+	writeUnrelatedRows(site, 60)
+	proxy.Restore()
+	awaitStoreRead(t, n, site)
+	checkNoCalls(t, n, other)
 }
 
-// TestRestoredStore has the store come back from a copy that was made before a key was taken
-// away, a failure domain was evacuated, and endpoints left, one of them with a word. None of
-// that comes undone until it is written again, and new changes come into force.
-func TestRestoredStore(t *testing.T) {
-	site, c := desk(t)
+// TestRestoredStoreRevertsNothing guards against a restore that reverts acknowledged changes. The
+// backup predates the removal of an API key, an evacuation, and two endpoints that left, one of
+// them draining first. None of these is reverted before it is written again, and new changes come
+// into force.
+func TestRestoredStoreRevertsNothing(t *testing.T) {
+	site, c := newSite(t)
 	c.Keys["key-2"] = "clinics"
 	c.Version = 2
 	site.Publish(c)
-	other := bothZones(site)
+	other := addWorkersInBothZones(site)
 	left, leaves := site.AddWorkers("desk", 1)[0], site.AddWorkers("desk", 1)[0]
 	n := startNode(t, site)
 	n.awaitReady(t)
-	sendAll(n.Front, "before")
+	sendEachKind(n.Front, "before")
 	before := site.Store.Snapshot()
 
 	delete(c.Keys, "key-2")
@@ -71,21 +73,21 @@
 	site.Store.Evacuate(otherZone)
 	left.Unlist()
 	leaves.Drain()
-	eventually(t, "the key is taken away", func() bool {
+	eventually(t, "the removed key is rejected", func() bool {
 		return do(n.Front, platformtest.Request{ID: "gone", Path: "/read/", Key: "key-2"}).Status == http.StatusUnauthorized
 	})
-	churn(site, 40)
-	awaitRead(t, n, site)
-	unreached(t, n, append([]*platformtest.Worker{left, leaves}, other...))
-	reachedBefore := reached(other) + left.TotalRuns() + leaves.TotalRuns()
+	writeUnrelatedRows(site, 40)
+	awaitStoreRead(t, n, site)
+	checkNoCalls(t, n, append([]*platformtest.Worker{left, leaves}, other...))
+	reachedBefore := countCalls(other) + left.TotalRuns() + leaves.TotalRuns()
 	site.Store.Restore(before)
-	during(restoredFor, func(turn int) {
+	repeatFor(restoreWindow, func(turn int) {
 		if a := do(n.Front, platformtest.Request{ID: fmt.Sprintf("key-%d", turn), Path: "/read/", Key: "key-2"}); a.Status != http.StatusUnauthorized {
-			t.Fatalf("a key that was taken away is answered %d", a.Status)
+			t.Fatalf("request with a removed key got %d", a.Status)
 		}
-		sendAll(n.Front, fmt.Sprintf("during-%d", turn))
+		sendEachKind(n.Front, fmt.Sprintf("during-%d", turn))
 	})
-	if now := reached(other) + left.TotalRuns() + leaves.TotalRuns(); now != reachedBefore {
+	if now := countCalls(other) + left.TotalRuns() + leaves.TotalRuns(); now != reachedBefore {
 		t.Errorf("%d requests or calls reached endpoints that had left or are evacuated", now-reachedBefore)
 	}
 
@@ -94,28 +96,28 @@
 	leaves.Drain()
 	left.RemoveEntry()
 	fresh := site.AddWorkers("desk", 1)[0]
-	eventually(t, "an endpoint that is new since is used", func() bool {
-		sendAll(n.Front, "after")
+	eventually(t, "an endpoint added after the restore is used", func() bool {
+		sendEachKind(n.Front, "after")
 		return fresh.TotalRuns() > 0
 	})
 	site.Store.EndEvacuation(otherZone)
 	eventually(t, "the end of the evacuation is in force", func() bool {
-		sendAll(n.Front, "ended")
-		return reached(other) > reachedBefore
+		sendEachKind(n.Front, "ended")
+		return countCalls(other) > reachedBefore
 	})
 	c.Keys["key-3"] = "clinics"
 	c.Version = 4
 	site.Publish(c)
-	eventually(t, "a version written since is in force", func() bool {
+	eventually(t, "a version written after the restore is in force", func() bool {
 		return do(n.Front, platformtest.Request{ID: "new", Path: "/read/", Key: "key-3"}).Status == http.StatusOK
 	})
 }
 
-// TestBegunAfterARestoration starts a node when the store has come back from an older copy
-// and nothing was written again: it is not ready with the older configuration while another
-// node has the newer one.
-func TestBegunAfterARestoration(t *testing.T) {
-	site, c := desk(t)
+// TestStartAfterRestore guards against a node that starts with an outdated configuration. It starts
+// after the store was restored from a backup and before anything was written again: it does not
+// become ready with the older configuration while another node has the newer one.
+func TestStartAfterRestore(t *testing.T) {
+	site, c := newSite(t)
 	c.Keys["key-2"] = "clinics"
 	c.Version = 2
 	site.Publish(c)
@@ -132,7 +134,7 @@
 	eventually(t, "the node serves", func() bool {
 		a := do(late.Front, platformtest.Request{ID: "gone", Path: "/read/", Key: "key-2"})
 		if a.Status == http.StatusOK {
-			t.Fatal("a key that was taken away is let in")
+			t.Fatal("a removed key is accepted")
 		}
 		if a.Status == http.StatusUnauthorized {
 			refused++
@@ -141,10 +143,10 @@
 	})
 }
 
-// TestRestoredTwice restores the store twice within a second, the second time to an older
-// copy than the first.
-func TestRestoredTwice(t *testing.T) {
-	site, c := desk(t)
+// TestStoreRestoredTwice guards against reverted changes when the store is restored twice within a
+// second, the second time from an older backup.
+func TestStoreRestoredTwice(t *testing.T) {
+	site, c := newSite(t)
 	site.AddWorkers("desk", 1)
 	left := site.AddWorkers("desk", 1)[0]
 	oldest := site.Store.Snapshot()
@@ -153,18 +155,18 @@
 	older := site.Store.Snapshot()
 	n := startNode(t, site)
 	n.awaitReady(t)
-	sendAll(n.Front, "before")
+	sendEachKind(n.Front, "before")
 	left.Unlist()
-	awaitRead(t, n, site)
+	awaitStoreRead(t, n, site)
 	ran := left.TotalRuns()
 	site.Store.Restore(older)
 	time.Sleep(900 * time.Millisecond)
 	site.Store.Restore(oldest)
-	during(restoredFor, func(turn int) { sendAll(n.Front, fmt.Sprintf("during-%d", turn)) })
+	repeatFor(restoreWindow, func(turn int) { sendEachKind(n.Front, fmt.Sprintf("during-%d", turn)) })
 	if left.TotalRuns() != ran {
 		t.Errorf("%d requests reached an endpoint that had left", left.TotalRuns()-ran)
 	}
 	c.Version = 3
 	site.Publish(c)
-	eventually(t, "a version written since is in force", func() bool { return n.node.view.Load().version() == 3 })
+	eventually(t, "a version written after the restore is in force", func() bool { return n.node.view.Load().version() == 3 })
 }
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -17,16 +17,16 @@
 	"gradetiller.example/platform/platformtest/signaltest"
 )
 
-// signalScript is a course of signals, read from a file. Its lines:
+// signalScript is a sequence of signals that endpoints send, read from a file. Its lines:
 //
-//	work NAME                               the kind of request, one of signalWork
-//	nodes N                                 3 if it is left out
-//	endpoints N                             of each service, 6 if it is left out
-//	fault NAME                              met by every second request at the service
+//	work NAME                               the kind of request, a key of signalWorks
+//	nodes N                                 default 3
+//	endpoints N                             endpoints of each service, default 6
+//	fault NAME                              affects every second request at the service
 //	at D drain K                            the first K endpoints announce draining from then on
 //	at D reject K every N backoff D for D   the first K endpoints reject one request in N
-//	lasts D
-//	served S                                the least share of requests that must be served
+//	lasts D                                 how long requests are sent
+//	served S                                the minimum share of requests that must be served
 //	used-again D                            how soon after its last backoff each endpoint that
 //	                                        rejected must get requests again
 type signalScript struct {
@@ -39,13 +39,13 @@
 	usedAgain        time.Duration
 }
 
-// signalStep is one change of what endpoints announce.
+// signalStep is one change of the signals that endpoints send.
 type signalStep struct {
 	at    time.Duration
 	count int
-	// every is 0 for endpoints that drain.
-	every         int
-	backoff, long time.Duration
+	// every is 0 if the step announces draining.
+	every             int
+	backoff, duration time.Duration
 }
 
 // signalWork is a kind of request and the service whose endpoints send signals.
@@ -66,18 +66,18 @@
 
 func readSignalScript(t *testing.T, path string) signalScript {
 	s := signalScript{nodes: 3, endpoints: 6}
-	scripted.Read(t, path, s.line)
+	scripted.Read(t, path, s.parseLine)
 	return s
 }
 
-func (s *signalScript) line(words []string) error {
+func (s *signalScript) parseLine(words []string) error {
 	var err error
 	number := func(text string) int {
 		n, e := strconv.Atoi(text)
 		err = errors.Join(err, e)
 		return n
 	}
-	span := func(text string) time.Duration {
+	duration := func(text string) time.Duration {
 		d, e := time.ParseDuration(text)
 		err = errors.Join(err, e)
 		return d
@@ -92,44 +92,44 @@
 	case words[0] == "fault":
 		s.fault = signalFaults[words[1]]
 	case words[0] == "lasts":
-		s.lasts = span(words[1])
+		s.lasts = duration(words[1])
 	case words[0] == "served":
 		s.served, err = strconv.ParseFloat(words[1], 64)
 	case words[0] == "used-again":
-		s.usedAgain = span(words[1])
+		s.usedAgain = duration(words[1])
 	case len(words) == 4 && words[2] == "drain":
-		s.steps = append(s.steps, signalStep{at: span(words[1]), count: number(words[3])})
+		s.steps = append(s.steps, signalStep{at: duration(words[1]), count: number(words[3])})
 	case len(words) == 10 && words[2] == "reject":
-		s.steps = append(s.steps, signalStep{at: span(words[1]), count: number(words[3]), every: number(words[5]), backoff: span(words[7]), long: span(words[9])})
+		s.steps = append(s.steps, signalStep{at: duration(words[1]), count: number(words[3]), every: number(words[5]), backoff: duration(words[7]), duration: duration(words[9])})
 	default:
 		return fmt.Errorf("unknown line %q", strings.Join(words, " "))
 	}
 	return err
 }
 
-// signalRun is a script being played.
+// signalRun is one run of a script.
 type signalRun struct {
 	script  signalScript
 	workers []*platformtest.Worker
-	nodes   []*running
+	nodes   []*testNode
 	log     signaltest.Log
 
-	mu       sync.Mutex
-	answers  map[int]int
-	unsent   []string
-	draining map[string]time.Time
+	mu         sync.Mutex
+	answers    map[int]int
+	unexpected []string
+	draining   map[string]time.Time
 }
 
-// play starts the nodes and sends requests to them while endpoints announce signals.
+// play starts the nodes and sends requests to them while endpoints send signals.
 func (s signalScript) play(t *testing.T) *signalRun {
-	site, _ := desk(t)
+	site, _ := newSite(t)
 	r := &signalRun{script: s, answers: make(map[int]int), draining: make(map[string]time.Time)}
 	for _, name := range []string{"desk", "model", "encode", "rank"} {
 		if list := site.AddWorkers(name, s.endpoints); name == s.work.service {
 			r.workers = list
 		}
 	}
-	r.nodes = []*running{startNode(t, site)}
+	r.nodes = []*testNode{startNode(t, site)}
 	for range s.nodes - 1 {
 		r.nodes = append(r.nodes, startNode(t, site, r.nodes[0].Peer))
 	}
@@ -138,20 +138,20 @@
 	}
 	if s.fault != platformtest.Healthy {
 		for _, w := range r.workers {
-			w.InjectFaults(everySecond(s.fault, 2000)...)
+			w.InjectFaults(alternateFaults(s.fault, 2000)...)
 		}
 	}
 	start := time.Now()
 	var steps sync.WaitGroup
 	for _, step := range s.steps {
-		steps.Go(func() { r.step(start, step) })
+		steps.Go(func() { r.runStep(start, step) })
 	}
 	r.send(start.Add(s.lasts))
 	steps.Wait()
 	return r
 }
 
-func (r *signalRun) step(start time.Time, s signalStep) {
+func (r *signalRun) runStep(start time.Time, s signalStep) {
 	time.Sleep(time.Until(start.Add(s.at)))
 	for _, w := range r.workers[:s.count] {
 		if s.every > 0 {
@@ -166,13 +166,13 @@
 	if s.every == 0 {
 		return
 	}
-	time.Sleep(s.long)
+	time.Sleep(s.duration)
 	for _, w := range r.workers[:s.count] {
 		w.RejectEvery(0, 0)
 	}
 }
 
-// send has eight clients send requests to the nodes in turn until a moment.
+// send has eight clients send requests to the nodes in turn until a time.
 func (r *signalRun) send(until time.Time) {
 	var sending sync.WaitGroup
 	for c := range 8 {
@@ -183,7 +183,7 @@
 				if q.Streaming {
 					q.Prefix = fmt.Sprintf("%x:5", c*1000+i)
 				}
-				r.one(q, r.nodes[(c+i)%len(r.nodes)].Front)
+				r.sendOne(q, r.nodes[(c+i)%len(r.nodes)].Front)
 				time.Sleep(30 * time.Millisecond)
 			}
 		})
@@ -191,7 +191,7 @@
 	sending.Wait()
 }
 
-func (r *signalRun) one(q platformtest.Request, node string) {
+func (r *signalRun) sendOne(q platformtest.Request, node string) {
 	r.mu.Lock()
 	announced := make(map[string]bool, len(r.draining))
 	for id := range r.draining {
@@ -204,19 +204,20 @@
 	defer r.mu.Unlock()
 	r.answers[a.Status]++
 	if a.Status != http.StatusOK && (a.Status != http.StatusServiceUnavailable || a.RetryAfter == "") {
-		r.unsent = append(r.unsent, fmt.Sprintf("%s: %d %q %v", q.ID, a.Status, a.RetryAfter, a.Err))
+		r.unexpected = append(r.unexpected, fmt.Sprintf("%s: %d %q %v", q.ID, a.Status, a.RetryAfter, a.Err))
 	}
-	// The stamp names the endpoint whose answer it is.
+	// The stamp names the endpoint that answered.
 	if parts := strings.Split(a.Stamp, "."); len(parts) > 1 && announced[parts[1]] {
 		r.log.RecordDraining(parts[1], node, time.Now())
 	}
 }
 
-// check holds the arrivals against the rules, and the answers against the script.
+// check compares the arrivals with the rules for draining and backoff, and the responses with the
+// script.
 func (r *signalRun) check(t *testing.T) {
 	for _, w := range r.workers {
-		report(t, r.log.DrainingViolations(w.ID, w.Arrivals()))
-		report(t, r.log.BackoffViolations(w.Rejections(), w.Arrivals()))
+		reportViolations(t, r.log.DrainingViolations(w.ID, w.Arrivals()))
+		reportViolations(t, r.log.BackoffViolations(w.Rejections(), w.Arrivals()))
 		r.checkUsedAgain(t, w)
 		r.checkCalls(t, w)
 	}
@@ -225,20 +226,20 @@
 		total += n
 	}
 	if served := float64(r.answers[http.StatusOK]) / float64(total); served < r.script.served {
-		t.Errorf("%.3f of %d requests were served, %.3f must be", served, total, r.script.served)
+		t.Errorf("%.3f of %d requests were served, want at least %.3f", served, total, r.script.served)
 	}
-	if r.script.fault == platformtest.Healthy && len(r.unsent) > 0 {
-		t.Errorf("%d were neither served nor rejected with a time to come back: %s", len(r.unsent), r.unsent[0])
+	if r.script.fault == platformtest.Healthy && len(r.unexpected) > 0 {
+		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(r.unexpected), r.unexpected[0])
 	}
-	t.Logf("answers %v", r.answers)
+	t.Logf("responses by status: %v", r.answers)
 }
 
-// checkCalls checks the calls of pieces, which carry no request's id: their leader learns that an
-// endpoint drains from the answer to the next one.
+// checkCalls checks the calls of pieces, which carry no request ID: their leader learns that an
+// endpoint drains from the response to its next call.
 func (r *signalRun) checkCalls(t *testing.T, w *platformtest.Worker) {
 	announced, ok := r.draining[w.ID]
 	if after := w.LastRun().Sub(announced); ok && len(w.BatchSizes()) > 0 && after > signaltest.DrainGrace {
-		t.Errorf("%s ran pieces %v after it had announced that it drains", w.ID, after)
+		t.Errorf("%s ran pieces %v after it announced that it drains", w.ID, after)
 	}
 }
 
@@ -253,13 +254,13 @@
 		return a.At.After(ends) && a.At.Before(ends.Add(r.script.usedAgain))
 	}) {
 		arrivals := w.ArrivalTimes()
-		t.Errorf("%s got no request within %v of the end of its backoff, %v after its last one", w.ID, r.script.usedAgain, ends.Sub(arrivals[len(arrivals)-1]))
+		t.Errorf("%s got no request within %v after its backoff, which ended %v after its last request", w.ID, r.script.usedAgain, ends.Sub(arrivals[len(arrivals)-1]))
 	}
 }
 
-func report(t *testing.T, found []string) {
+func reportViolations(t *testing.T, found []string) {
 	if len(found) > 0 {
-		t.Errorf("%d times, first %s", len(found), found[0])
+		t.Errorf("%d violations, first: %s", len(found), found[0])
 	}
 }
 
@@ -277,7 +278,7 @@
 }
 
 // TestDrainingEndpointGetsNoRequests guards against requests that reach an endpoint after it
-// announced in an answer that it drains, while the store still lists it as ready.
+// announced in a response that it drains, while the store still lists it as ready.
 func TestDrainingEndpointGetsNoRequests(t *testing.T) { playSignals(t, "draining-*.txt") }
 
 // TestBackoffIsHonored guards against requests that reach an endpoint during the backoff that it
--- a/internal/node/silent_test.go
+++ b/internal/node/silent_test.go
@@ -9,51 +9,51 @@
 	"gradetiller.example/internal/wire"
 )
 
-// silentOnFirst answers nothing on the connection that it was asked on first, as if
-// its bytes were lost for good, and everything on later ones.
-func silentOnFirst(t *testing.T, name string) (*stub, *atomic.Int64) {
+// startSilentOnFirstConnection starts a stub that answers nothing on its first connection, as if
+// all packets were lost, and everything on later ones.
+func startSilentOnFirstConnection(t *testing.T, name string) (*stubLeader, *atomic.Int64) {
 	var connections atomic.Int64
 	s := startStubOn(t, name, func() func(*wire.StagesSubmit) wire.Message {
 		if connections.Add(1) == 1 {
 			return func(*wire.StagesSubmit) wire.Message { return nil }
 		}
-		return makes
+		return answerDone
 	})
 	return s, &connections
 }
 
-// TestSilentConnectionKeepsLeader has the connection to the leader fall silent while
-// the leader lives: the work is sent again on a new one, nobody else is asked, and
-// the leader is not passed over.
+// TestSilentConnectionKeepsLeader guards against a leader that is skipped because one connection to
+// it went silent. The work is sent again on a new connection, no other node is asked, and the
+// leader stays in use.
 func TestSilentConnectionKeepsLeader(t *testing.T) {
-	names := inRank(2)
-	first, connections := silentOnFirst(t, names[0])
-	second := startStub(t, names[1], makes)
-	n := submitter(t, first, second)
-	// The connection has been there for a while.
+	names := rankedNames(2)
+	first, connections := startSilentOnFirstConnection(t, names[0])
+	second := startStub(t, names[1], answerDone)
+	n := newSubmitter(t, first, second)
+	// Open the connection before the first submission.
 	n.links.Send(first.PeerAddress, wire.StagesPing{ID: 1})
 	eventually(t, "the connection is open", func() bool { return connections.Load() == 1 })
 	n.patience.second = time.Minute
 	for range 5 {
-		got, err := n.runStages(context.Background(), shortWork())
+		got, err := n.runStages(context.Background(), newStageWork())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got.leader != first.Node {
-			t.Errorf("%s did the work, want %s", got.leader, first.Node)
+			t.Errorf("work was done by %s, want %s", got.leader, first.Node)
 		}
 		n.patience.first = time.Minute
 	}
 	if second.submits.Load() > 0 || n.jobs.suspected(time.Now(), first.PeerAddress) {
-		t.Error("the leader is passed over")
+		t.Error("the leader is skipped or suspected")
 	}
 	if c := connections.Load(); c != 2 {
 		t.Errorf("%d connections were opened, want 2", c)
 	}
 }
 
-// shortWork is some work with time enough.
-func shortWork() stageWork {
+// newStageWork returns work with a deadline that it easily meets.
+func newStageWork() stageWork {
 	now := time.Now()
 	return stageWork{aim: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
 }
