--- a/internal/node/asking_test.go
+++ b/internal/node/asking_test.go
@@ -23,11 +23,11 @@
 		entries = append(entries, wire.Entry{Node: name, PeerAddress: name, Capacity: 192})
 	}
 	n.setEntries(entries)
-	readers := n.readers.Load().Readers(0)
+	readers := n.ranking.Load().Readers(0)
 	asked := make(map[string]int)
 	for _, e := range entries {
-		n.settings.Node, n.asked = e.Node, 0
-		address := n.knowing(&view{})
+		n.settings.Node, n.viewRequests = e.Node, 0
+		address := n.viewSource(&view{})
 		if !slices.Contains(readers, address) {
 			t.Errorf("%s asks %s, which does not read", e.Node, address)
 		}
@@ -40,8 +40,8 @@
 	}
 	clear(asked)
 	for _, e := range entries {
-		n.settings.Node, n.asked = e.Node, 0
-		asked[n.knowing(&view{fresh: discovery.Freshness{List: time.Now()}})]++
+		n.settings.Node, n.viewRequests = e.Node, 0
+		asked[n.viewSource(&view{fresh: discovery.Freshness{List: time.Now()}})]++
 	}
 	if len(asked) < nodes/3 {
 		t.Errorf("%d nodes are asked by %d", len(asked), nodes)
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -25,6 +25,6 @@
 	v.fresh.List = time.Now()
 	n.view.Store(v)
 	for b.Loop() {
-		n.viewChanged()
+		n.updatePools()
 	}
 }
--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -54,16 +54,16 @@
 }
 
 // cellsLed is the number of cells that this node claims.
-func (n *Node) cellsLed() int { return bits.OnesCount64(n.leads.Load()) }
+func (n *Node) cellsLed() int { return bits.OnesCount64(n.claimedCells.Load()) }
 
 // claim tells all nodes that this one leads a cell. A node that comes back
 // does not take its cell from the one that leads it by then: each change
 // leaves two leaders at the same endpoints for a while. A claim is no lease:
 // two leaders cost time only.
 func (n *Node) claim(cell int) {
-	if n.leads.Or(lead.CellBit(cell))&lead.CellBit(cell) == 0 {
-		n.log.Info(eventLeadsACell, zap.Int("cell", cell))
-		n.leaders.contend(cell, time.Now())
+	if n.claimedCells.Or(lead.CellBit(cell))&lead.CellBit(cell) == 0 {
+		n.log.Info(eventCellClaimed, zap.Int("cell", cell))
+		n.leaders.expectContention(cell, time.Now())
 		n.ratesChanged.Store(true)
 		n.crowd()
 		n.publishEntry()
@@ -76,24 +76,24 @@
 // a cell too, it gives back what has not begun, and its claim when all tasks have
 // ended.
 func (n *Node) watchCells() {
-	own := n.leads.Load()
-	leaves := n.stopping() && n.othersStay(time.Now())
+	own := n.claimedCells.Load()
+	leaves := n.stopping() && n.hasSuccessor(time.Now())
 	for cell := 0; own>>cell != 0; cell++ {
 		if own&lead.CellBit(cell) == 0 {
 			continue
 		}
-		shared := n.otherLeads(cell)
+		shared := n.isCellShared(cell)
 		if shared {
-			n.leaders.contend(cell, time.Now())
+			n.leaders.expectContention(cell, time.Now())
 			n.crowd()
 		}
 		if !leaves && (!shared || n.ranksFirst(cell)) {
 			continue
 		}
-		n.leaders.giveBack(cell, time.Now())
+		n.leaders.handOff(cell, time.Now())
 		if n.leaders.idle(cell) {
-			n.log.Info(eventLeadsACellNoMore, zap.Int("cell", cell))
-			n.leads.And(^lead.CellBit(cell))
+			n.log.Info(eventCellReleased, zap.Int("cell", cell))
+			n.claimedCells.And(^lead.CellBit(cell))
 			n.ratesChanged.Store(true)
 			n.publishEntry()
 		}
@@ -105,9 +105,9 @@
 	return ok && first.Node == n.settings.Node
 }
 
-// otherLeads reports whether another node leads a cell too, or is about to
+// isCellShared reports whether another node leads a cell too, or is about to
 // end its work there.
-func (n *Node) otherLeads(cell int) bool {
+func (n *Node) isCellShared(cell int) bool {
 	for _, e := range *n.entries.Load() {
 		if e.Node != n.settings.Node && e.Leads&lead.CellBit(cell) != 0 {
 			return true
@@ -128,24 +128,24 @@
 // that leave may only if none stays: work that ends within their grace period is
 // done by them or not at all.
 func (n *Node) leaderOf(now time.Time, cell int) (wire.Entry, bool) {
-	return lead.Leader(cell, n.mayLead(now))
+	return lead.Leader(cell, n.leaderCandidates(now))
 }
 
-// mayLead lists the nodes that may lead.
-func (n *Node) mayLead(now time.Time) []wire.Entry {
-	stay, leave := n.answering(now)
+// leaderCandidates lists the nodes that may lead.
+func (n *Node) leaderCandidates(now time.Time) []wire.Entry {
+	stay, leave := n.responsiveNodes(now)
 	if len(stay) == 0 {
 		return leave
 	}
 	return stay
 }
 
-// answering lists the nodes that answer: those that stay, as far as this one knows,
+// responsiveNodes lists the nodes that answer: those that stay, as far as this one knows,
 // and those that leave but did not say that they take no work.
-func (n *Node) answering(now time.Time) (stay, leave []wire.Entry) {
+func (n *Node) responsiveNodes(now time.Time) (stay, leave []wire.Entry) {
 	for _, e := range *n.entries.Load() {
 		switch {
-		case n.jobs.leaves(e) || n.jobs.suspected(now, e.PeerAddress):
+		case n.submissions.isLeaving(e) || n.submissions.suspected(now, e.PeerAddress):
 		case e.Leaving || e.Node == n.settings.Node && n.stopping():
 			// This node's entry tells of the stop a moment after it has begun.
 			leave = append(leave, e)
@@ -156,8 +156,8 @@
 	return stay, leave
 }
 
-// othersStay reports whether another node can take this one's work.
-func (n *Node) othersStay(now time.Time) bool {
-	stay, _ := n.answering(now)
+// hasSuccessor reports whether another node can take this one's work.
+func (n *Node) hasSuccessor(now time.Time) bool {
+	stay, _ := n.responsiveNodes(now)
 	return slices.ContainsFunc(stay, func(e wire.Entry) bool { return e.Node != n.settings.Node })
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	knows.takeConfig(r.Data, "store")
+	knows.applyConfig(r.Data, "store")
 	for _, packed := range []bool{false, true} {
 		asks := newNode(t, site)
 		var got *wire.View
-		knows.answerView(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
+		knows.handleViewRequest(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
 			v := m.(wire.View)
 			got = &v
 			return nil
@@ -56,13 +56,13 @@
 		if packed && 5*len(got.Config) > len(r.Data) {
 			t.Errorf("%d of %d bytes are left", len(got.Config), len(r.Data))
 		}
-		asks.takeView(got)
+		asks.applyView(got)
 		if v := asks.view.Load(); v.version() != 7 || !bytes.Equal(v.file.data, r.Data) {
 			t.Errorf("packed %v: version %d is in force", packed, v.version())
 		}
 	}
 	asks := newNode(t, site)
-	asks.takeView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
+	asks.applyView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
 	if v := asks.view.Load().version(); v != 0 {
 		t.Errorf("version %d is in force after a file that can't be read", v)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -16,7 +16,7 @@
 	// of a look-up answer, and half a second for the news that it leaves to reach
 	// the nodes that give them. Clients that hold an answer longer are better off
 	// with a connection refused, since they take another address at once.
-	acceptAfter = answerLife + 500*time.Millisecond
+	acceptAfter = maxLookupTTL + 500*time.Millisecond
 	// lastMoment is what is left of the grace period when the node gives up
 	// what is still in flight.
 	lastMoment = 400 * time.Millisecond
@@ -98,7 +98,7 @@
 // that its line in the log tells what became of it; then its answer goes out. A
 // request whose client does not read ends with its connection.
 func (n *Node) endRequests(f *front) {
-	n.giveUp(errStopped)
+	n.cancelRequests(errStopped)
 	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
 	defer cancel()
 	if f.server.Shutdown(ctx) == nil {
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -54,7 +54,7 @@
 	n.signals.markDraining(next.endpoints)
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.viewChanged()
+	n.updatePools()
 }
 
 // sweepDraining drops endpoints that drained and are gone.
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -168,8 +168,8 @@
 		t.Fatal(err)
 	}
 	n := New(s)
-	n.takeConfig([]byte(`{"version":1,"services":[{"name":"desk"},{"name":"model","engine":{"slots":8}}]}`), sourceStore)
-	n.readEndpoints([]catalog.Endpoint{
+	n.applyConfig([]byte(`{"version":1,"services":[{"name":"desk"},{"name":"model","engine":{"slots":8}}]}`), sourceStore)
+	n.applyStoreEndpoints([]catalog.Endpoint{
 		{ID: "a", Service: "model", Address: "127.0.0.1:1", Domain: platformtest.DefaultZone, Slots: 8},
 		{ID: "b", Service: "model", Address: "127.0.0.1:2", Domain: otherZone, Slots: 8},
 	}, 5, time.Now())
@@ -183,7 +183,7 @@
 	if got := uses(n.pools) + uses(n.leaders.models); got != "" {
 		t.Errorf("endpoint %s is used before evacuations are known", got)
 	}
-	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
+	n.updateEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		return present.Replace(now, 5, []string{platformtest.DefaultZone})
 	})
 	if own, placed := uses(n.pools), uses(n.leaders.models); own != "b" || placed != "b" {
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -10,10 +10,10 @@
 	"gradetiller.example/platform"
 )
 
-// readEvacuations takes in what the store tells of evacuated failure domains.
-func (n *Node) readEvacuations(r platform.ConfigUpdate) {
-	n.noteEvacuationRows(r)
-	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
+// applyStoreEvacuations takes in what the store tells of evacuated failure domains.
+func (n *Node) applyStoreEvacuations(r platform.ConfigUpdate) {
+	n.logEvacuationFaults(r)
+	n.updateEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		if !r.Complete {
 			return present.ApplyChanges(now, r.Revision, r.Evacuations)
 		}
@@ -25,22 +25,22 @@
 	})
 }
 
-// noteEvacuationRows logs each row that is not as it should be once, as long as it is there.
-func (n *Node) noteEvacuationRows(r platform.ConfigUpdate) {
+// logEvacuationFaults logs each row that is not as it should be once, as long as it is there.
+func (n *Node) logEvacuationFaults(r platform.ConfigUpdate) {
 	now := make(map[string]bool, len(r.Refused))
 	for _, refused := range r.Refused {
 		now[refused.Error()] = true
-		if !n.badEvacuations[refused.Error()] {
+		if !n.loggedEvacuationFaults[refused.Error()] {
 			n.log.Warn(eventEvacuationRefused, zap.Bool("holds", refused.Effective), zap.Error(refused))
 		}
 	}
 	if r.Complete || len(now) > 0 {
-		n.badEvacuations = now
+		n.loggedEvacuationFaults = now
 	}
 }
 
-// takeEvacuations puts evacuations in force that change makes of the present ones.
-func (n *Node) takeEvacuations(source string, change func(now time.Time, present discovery.Evacuations) discovery.Evacuations) {
+// updateEvacuations puts evacuations in force that change makes of the present ones.
+func (n *Node) updateEvacuations(source string, change func(now time.Time, present discovery.Evacuations) discovery.Evacuations) {
 	n.viewMu.Lock()
 	old := n.view.Load()
 	next := *old
@@ -56,7 +56,7 @@
 		return
 	}
 	n.logEvacuations(source, old, &next)
-	n.viewChanged()
+	n.updatePools()
 }
 
 // logEvacuations logs what changed from one view to the next.
@@ -85,9 +85,9 @@
 	return count
 }
 
-// coldness is when an endpoint of a service is taken to be cold: as the list tells, and for
+// coldPeriod is when an endpoint of a service is taken to be cold: as the list tells, and for
 // the time of a start after an evacuation, of which the list may tell too late.
-func (v *view) coldness(service catalog.Service, e catalog.Endpoint) discovery.ColdPeriod {
+func (v *view) coldPeriod(service catalog.Service, e catalog.Endpoint) discovery.ColdPeriod {
 	cold := v.cold[e.ID]
 	ended := v.evacuations.EndedAt(e.Domain)
 	if ended.IsZero() || cold.Until.After(ended) {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -32,7 +32,7 @@
 	// A call of a stage service without an answer.
 	eventStageCallLost = "stage call lost"
 	// A call of a stage service that left pieces unmade, by reason.
-	eventStageCallWithUnmadePieces = "stage call with unmade pieces"
+	eventStageCallIncomplete = "stage call with unmade pieces"
 	// The state of a stage service at its leader, once a second while it is in use.
 	eventStageService = "stage service"
 	// Results that could not be freed at their maker.
@@ -42,9 +42,9 @@
 	// A model engine did not tell which parts of prompts it holds.
 	eventCacheUnknown = "cache unknown"
 	// This node claims a cell of stage endpoints.
-	eventLeadsACell = "leads a cell"
+	eventCellClaimed = "leads a cell"
 	// This node gives its claim back.
-	eventLeadsACellNoMore = "leads a cell no more"
+	eventCellReleased = "leads a cell no more"
 	// A configuration takes the place of the one before.
 	eventConfigurationInForce = "configuration in force"
 	// A configuration that can't be read.
@@ -82,11 +82,11 @@
 	eventRunBroke = "run broke"
 	// An endpoint ended under the requests that ran there, or did not although it was
 	// taken to have.
-	eventEndpointEnded = "endpoint ended under requests"
+	eventEndpointCrashed = "endpoint ended under requests"
 	// A request is refused from now on, since endpoints ended under it.
 	eventPoison = "request crashes endpoints"
 	// Another node told that a request crashes endpoints.
-	eventPoisonHeard = "heard of a request that crashes endpoints"
+	eventPoisonReceived = "heard of a request that crashes endpoints"
 	// A request is refused no more, since it was served or the ends were none.
 	eventPoisonPardoned = "request refused no more"
 	// A connection to a node broke or could not be opened.
@@ -94,7 +94,7 @@
 	// A connection from a process that is no node of this system.
 	eventPeerRefused = "peer refused"
 	// A message that nodes don't send each other.
-	eventMessageNotExpected = "message not expected"
+	eventUnexpectedMessage = "message not expected"
 	// The metrics address can't be opened.
 	eventNoMetrics = "no metrics"
 	// The process serves from here on.
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -320,7 +320,7 @@
 		if at.IsZero() || !at.Before(limit) || ctx.Err() != nil {
 			return nil, false
 		}
-		pause(ctx, at.Sub(now))
+		sleep(ctx, at.Sub(now))
 	}
 }
 
@@ -375,7 +375,7 @@
 		n.log.Info(eventAnswerBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Error(err))
 		if event != attempt.Rejected {
 			event = attempt.NoResponse
-			n.runBroke(limited, c.endpoint, time.Since(c.started), q.content)
+			n.recordBrokenRuns(limited, c.endpoint, time.Since(c.started), q.content)
 		}
 	}
 	if event == attempt.FirstByte {
@@ -427,7 +427,7 @@
 		return attempt.NotSent
 	}
 	q.sent++
-	n.runBroke(limited, c.endpoint, time.Since(c.started), q.content)
+	n.recordBrokenRuns(limited, c.endpoint, time.Since(c.started), q.content)
 	return attempt.NoResponse
 }
 
@@ -439,7 +439,7 @@
 	w.WriteHeader(a.Status)
 	_, err := w.Write(body)
 	if err == nil && a.Status < http.StatusBadRequest {
-		n.served(q)
+		n.recordServed(q)
 	}
 	n.logRequest(q, a.Status)
 }
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -11,8 +11,8 @@
 
 // refusal is a request that was not taken, and when to come back.
 type refusal struct {
-	reason string
-	again  time.Duration
+	reason     string
+	retryAfter time.Duration
 	// predicted is how long the work would have taken, or 0.
 	predicted time.Duration
 }
@@ -23,14 +23,14 @@
 // The reasons for which a leader does not do the work; the last one is the outcome
 // of a request that has no try left.
 var (
-	// errLeaderMoved tells that a leader gives work back that it had taken. It may
+	// errHandedOff tells that a leader gives work back that it had taken. It may
 	// stay: then one of higher rank is at work, and a third node that is asked
 	// instead would claim the cell too.
-	errLeaderMoved = errors.New("the leader of the stage pool gives its work back")
-	// errLeaderLeaves tells that a node takes no work any more. Any other may be
+	errHandedOff = errors.New("the leader of the stage pool gives its work back")
+	// errLeaderLeaving tells that a node takes no work any more. Any other may be
 	// asked.
-	errLeaderLeaves = errors.New("the leader of the stage pool leaves")
-	errLeaderLost   = errors.New("no leader of the stage pool answers")
+	errLeaderLeaving = errors.New("the leader of the stage pool leaves")
+	errLeaderLost    = errors.New("no leader of the stage pool answers")
 )
 
 // leavingAnswer is what a node that leaves answers to a submission. Nodes of an
@@ -40,25 +40,25 @@
 	return wire.StagesDone{ID: id, Failed: stagepool.ReasonMoved, Again: max(left.Milliseconds(), 1)}
 }
 
-// moved returns errLeaderLeaves or errLeaderMoved if the work is to go elsewhere.
-func moved(d *wire.StagesDone) error {
+// leaderError returns errLeaderLeaves or errLeaderMoved if the work is to go elsewhere.
+func leaderError(d *wire.StagesDone) error {
 	switch {
 	case d.Failed != stagepool.ReasonMoved:
 		return nil
 	case d.Again > 0:
-		return errLeaderLeaves
+		return errLeaderLeaving
 	}
-	return errLeaderMoved
+	return errHandedOff
 }
 
-// jobs are the submissions of this node to leaders.
-type jobs struct {
+// submissions are the submissions of this node to leaders.
+type submissions struct {
 	mu       sync.Mutex
 	last     uint64
-	open     map[uint64]*job
+	open     map[uint64]*submission
 	suspects map[string]suspicion
-	// left are the incarnations of the nodes that answered that they leave.
-	left map[string]uint64
+	// leaving are the incarnations of the nodes that answered that they leave.
+	leaving map[string]uint64
 }
 
 // suspicion keeps a node from leading until a moment, or until it is heard of.
@@ -67,8 +67,8 @@
 	lasts time.Duration
 }
 
-// job is one submission.
-type job struct {
+// submission is one submission.
+type submission struct {
 	id       uint64
 	address  string
 	verdicts chan *wire.StagesVerdict
@@ -76,15 +76,15 @@
 	broken   chan struct{}
 }
 
-func newJobs() *jobs {
-	return &jobs{open: make(map[uint64]*job), suspects: make(map[string]suspicion), left: make(map[string]uint64)}
+func newJobs() *submissions {
+	return &submissions{open: make(map[uint64]*submission), suspects: make(map[string]suspicion), leaving: make(map[string]uint64)}
 }
 
-func (j *jobs) add(address string) *job {
+func (j *submissions) add(address string) *submission {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.last++
-	b := &job{
+	b := &submission{
 		id: j.last, address: address, verdicts: make(chan *wire.StagesVerdict, 1),
 		dones: make(chan *wire.StagesDone, 1), broken: make(chan struct{}, 1),
 	}
@@ -92,32 +92,32 @@
 	return b
 }
 
-func (j *jobs) remove(b *job) {
+func (j *submissions) remove(b *submission) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	delete(j.open, b.id)
 }
 
-func (j *jobs) find(id uint64) *job {
+func (j *submissions) find(id uint64) *submission {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.open[id]
 }
 
-func (j *jobs) verdict(m *wire.StagesVerdict) {
+func (j *submissions) verdict(m *wire.StagesVerdict) {
 	if b := j.find(m.ID); b != nil {
 		offer(b.verdicts, m)
 	}
 }
 
-func (j *jobs) done(m *wire.StagesDone) {
+func (j *submissions) done(m *wire.StagesDone) {
 	if b := j.find(m.ID); b != nil {
 		offer(b.dones, m)
 	}
 }
 
-// lost tells all jobs at an address that their leader may be gone.
-func (j *jobs) lost(address string) {
+// connectionLost tells all jobs at an address that their leader may be gone.
+func (j *submissions) connectionLost(address string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, b := range j.open {
@@ -136,20 +136,20 @@
 
 // suspect keeps a node from leading for a while, longer each time in a row,
 // and tells all jobs there that their leader may be gone.
-func (j *jobs) suspect(now time.Time, address string) {
+func (j *submissions) suspect(now time.Time, address string) {
 	j.mu.Lock()
 	old := j.suspects[address]
-	lasts := suspectFor
-	if now.Before(old.until.Add(suspectFor)) {
-		lasts = min(2*old.lasts, suspectMost)
+	lasts := minSuspectPeriod
+	if now.Before(old.until.Add(minSuspectPeriod)) {
+		lasts = min(2*old.lasts, maxSuspectPeriod)
 	}
 	j.suspects[address] = suspicion{until: now.Add(lasts), lasts: lasts}
 	j.mu.Unlock()
-	j.lost(address)
+	j.connectionLost(address)
 }
 
-// heard ends the suspicion of a node that has sent something.
-func (j *jobs) heard(address string) {
+// clearSuspicion ends the suspicion of a node that has sent something.
+func (j *submissions) clearSuspicion(address string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if s, ok := j.suspects[address]; ok {
@@ -158,25 +158,25 @@
 	}
 }
 
-func (j *jobs) suspected(now time.Time, address string) bool {
+func (j *submissions) suspected(now time.Time, address string) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return now.Before(j.suspects[address].until)
 }
 
-// leave notes that a node answered that it leaves. Its entry may tell so later,
+// markLeaving notes that a node answered that it leaves. Its entry may tell so later,
 // or never.
-func (j *jobs) leave(e wire.Entry) {
+func (j *submissions) markLeaving(e wire.Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.left[e.Node] = e.Incarnation
+	j.leaving[e.Node] = e.Incarnation
 }
 
-// leaves reports whether a node answered that it leaves. A later incarnation of
+// isLeaving reports whether a node answered that it isLeaving. A later incarnation of
 // it did not.
-func (j *jobs) leaves(e wire.Entry) bool {
+func (j *submissions) isLeaving(e wire.Entry) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	incarnation, ok := j.left[e.Node]
+	incarnation, ok := j.leaving[e.Node]
 	return ok && incarnation == e.Incarnation
 }
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -71,16 +71,16 @@
 		if took := time.Since(started); took > 60*time.Millisecond {
 			t.Errorf("moved after %v, want at once", took)
 		}
-		time.Sleep(suspectFor + 50*time.Millisecond)
+		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
 		if j.suspected(time.Now(), "leader") {
 			t.Error("still suspected after the first time")
 		}
 		j.suspect(time.Now(), "leader")
-		time.Sleep(suspectFor + 50*time.Millisecond)
+		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
 		if !j.suspected(time.Now(), "leader") {
 			t.Error("the second suspicion in a row is no longer than the first")
 		}
-		j.heard("leader")
+		j.clearSuspicion("leader")
 		if j.suspected(time.Now(), "leader") {
 			t.Error("suspected although it was heard of")
 		}
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -18,15 +18,15 @@
 
 const (
 	leaderTick = 20 * time.Millisecond
-	// stateGap is how often the state of a pool is logged.
-	stateGap = time.Second
-	// contention is how long the calls of another leader may still wait at
+	// statsLogInterval is how often the state of a pool is logged.
+	statsLogInterval = time.Second
+	// contentionPeriod is how long the calls of another leader may still wait at
 	// endpoints after the last sign of it.
-	contention = 2500 * time.Millisecond
+	contentionPeriod = 2500 * time.Millisecond
 )
 
-// ownerKey names a task by the node that submitted it.
-type ownerKey struct {
+// taskKey names a task by the node that submitted it.
+type taskKey struct {
 	node        string
 	incarnation uint64
 	id          uint64
@@ -34,7 +34,7 @@
 
 // owner is where the news of a task go.
 type owner struct {
-	key    ownerKey
+	key    taskKey
 	answer func(wire.Message) error
 }
 
@@ -50,11 +50,11 @@
 	mu      sync.Mutex
 	view    *view
 	cells   map[int]*leader
-	// asks tells that the engines are to be asked what they hold as soon as
+	// learnOnUpdate tells that the engines are to be asked what they hold as soon as
 	// there is a view.
-	asks bool
-	// broke is told of calls that broke off at an endpoint, and of their requests.
-	broke func(ctx context.Context, e catalog.Endpoint, took time.Duration, requests []poison.ID)
+	learnOnUpdate bool
+	// onBrokenCall is told of calls that onBrokenCall off at an endpoint, and of their requests.
+	onBrokenCall func(ctx context.Context, e catalog.Endpoint, took time.Duration, requests []poison.ID)
 }
 
 // leader runs one cell's stage pool.
@@ -64,13 +64,13 @@
 	mu     sync.Mutex
 	pool   *stagepool.Pool
 	owners map[stagepool.TaskID]owner
-	tasks  map[ownerKey]stagepool.TaskID
-	// asks are what the requests ask of their models, placed where they were
+	tasks  map[taskKey]stagepool.TaskID
+	// modelRequests are what the requests ask of their models, placed where they were
 	// sent until their answers begin, turnWaits those that can't be sent yet.
-	asks      map[stagepool.TaskID]ask
-	placed    map[stagepool.TaskID]*placed
-	turnWaits []turnWait
-	logged    time.Time
+	modelRequests map[stagepool.TaskID]ask
+	placed        map[stagepool.TaskID]*placed
+	turnWaits     []turnWait
+	logged        time.Time
 	// ticking tells whether the ticker runs; it does while there are tasks.
 	ticking bool
 }
@@ -82,8 +82,8 @@
 func (l *leaders) update(now time.Time, v *view) {
 	l.mu.Lock()
 	l.view = v
-	asks := l.asks
-	l.asks = false
+	asks := l.learnOnUpdate
+	l.learnOnUpdate = false
 	l.mu.Unlock()
 	l.models.update(v)
 	for _, c := range l.all() {
@@ -110,8 +110,8 @@
 	}
 	c = &leader{
 		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
-		owners: make(map[stagepool.TaskID]owner), tasks: make(map[ownerKey]stagepool.TaskID),
-		asks: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
+		owners: make(map[stagepool.TaskID]owner), tasks: make(map[taskKey]stagepool.TaskID),
+		modelRequests: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
 	}
 	l.cells[cell] = c
 	c.configure(time.Now(), l.view)
@@ -121,45 +121,45 @@
 func (c *leader) configure(now time.Time, v *view) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.Configure(now, v.config.Services, v.cellEndpoints(c.cell)))
+	c.execute(c.pool.Configure(now, v.config.Services, v.cellEndpoints(c.cell)))
 }
 
-// contend tells a cell's pool that another leader may be at work.
-func (l *leaders) contend(cell int, now time.Time) {
+// expectContention tells a cell's pool that another leader may be at work.
+func (l *leaders) expectContention(cell int, now time.Time) {
 	c := l.get(cell)
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pool.ExpectContention(now.Add(contention))
+	c.pool.ExpectContention(now.Add(contentionPeriod))
 }
 
 // backoff has nothing go to a stage endpoint until a moment.
 func (l *leaders) backoff(now time.Time, endpoint string, until time.Time) {
 	for _, c := range l.all() {
 		c.mu.Lock()
-		c.carryOut(c.pool.Backoff(now, endpoint, until))
+		c.execute(c.pool.Backoff(now, endpoint, until))
 		c.mu.Unlock()
 	}
 }
 
-// giveBack gives the tasks of a cell that have not begun back to their owners.
-func (l *leaders) giveBack(cell int, now time.Time) {
+// handOff gives the tasks of a cell that have not begun back to their owners.
+func (l *leaders) handOff(cell int, now time.Time) {
 	c := l.get(cell)
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.HandOff(now))
+	c.execute(c.pool.HandOff(now))
 }
 
-// drop gives the work of a request up that is refused from now on.
-func (c *leader) drop(content poison.ID) {
+// failContent gives the work of a request up that is refused from now on.
+func (c *leader) failContent(content poison.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.FailContent(time.Now(), content))
+	c.execute(c.pool.FailContent(time.Now(), content))
 }
 
 // idle reports whether a cell has no task here.
@@ -211,11 +211,11 @@
 		l.models.promise(m.Model)
 		c.owners[verdict.ID] = o
 		c.tasks[o.key] = verdict.ID
-		c.asks[verdict.ID] = wants
-		c.tick()
+		c.modelRequests[verdict.ID] = wants
+		c.scheduleTick()
 	}
 	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), Again: verdict.RetryAfter.Milliseconds()})
-	c.carryOut(actions)
+	c.execute(actions)
 }
 
 // all lists the cells that this node leads or led.
@@ -230,7 +230,7 @@
 }
 
 // knows reports whether a task of an owner is at work here.
-func (l *leaders) knows(key ownerKey) bool {
+func (l *leaders) knows(key taskKey) bool {
 	for _, c := range l.all() {
 		c.mu.Lock()
 		_, ok := c.tasks[key]
@@ -243,13 +243,13 @@
 }
 
 // release ends a task for its owner.
-func (l *leaders) release(key ownerKey, how wire.Placement) {
+func (l *leaders) release(key taskKey, how wire.Placement) {
 	for _, c := range l.all() {
 		c.mu.Lock()
 		if id, ok := c.tasks[key]; ok {
 			c.endPlaced(id, how)
 			c.forget(id)
-			c.carryOut(c.pool.Release(time.Now(), id))
+			c.execute(c.pool.Release(time.Now(), id))
 		}
 		c.mu.Unlock()
 	}
@@ -258,13 +258,13 @@
 func (c *leader) forget(id stagepool.TaskID) {
 	c.endPlaced(id, wire.PlacementUnused)
 	c.settle(id)
-	delete(c.asks, id)
+	delete(c.modelRequests, id)
 	delete(c.tasks, c.owners[id].key)
 	delete(c.owners, id)
 }
 
-// tick runs the ticker while there are tasks; the lock is held.
-func (c *leader) tick() {
+// scheduleTick runs the ticker while there are tasks; the lock is held.
+func (c *leader) scheduleTick() {
 	if c.ticking {
 		return
 	}
@@ -273,18 +273,18 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.ticking = false
-		c.carryOut(c.pool.Tick(time.Now()))
+		c.execute(c.pool.Tick(time.Now()))
 		c.placeWaiting(time.Now())
 		c.logState(time.Now())
 		if c.pool.Tasks() > 0 {
-			c.tick()
+			c.scheduleTick()
 		}
 	})
 }
 
 // logState writes the state of the pool now and then; the lock is held.
 func (c *leader) logState(now time.Time) {
-	if now.Sub(c.logged) < stateGap {
+	if now.Sub(c.logged) < statsLogInterval {
 		return
 	}
 	c.logged = now
@@ -296,9 +296,9 @@
 	}
 }
 
-// carryOut does what the pool asks for; the lock is held, and nothing here
+// execute does what the pool asks for; the lock is held, and nothing here
 // blocks.
-func (c *leader) carryOut(actions []stagepool.Action) {
+func (c *leader) execute(actions []stagepool.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case stagepool.StartCall:
@@ -308,13 +308,13 @@
 		case stagepool.Complete:
 			c.complete(time.Now(), a)
 		case stagepool.Fail:
-			c.tell(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
+			c.sendDone(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
 			c.forget(a.Task)
 		}
 	}
 }
 
-func (c *leader) tell(id stagepool.TaskID, m wire.StagesDone) {
+func (c *leader) sendDone(id stagepool.TaskID, m wire.StagesDone) {
 	o, ok := c.owners[id]
 	if !ok {
 		return
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -79,7 +79,7 @@
 	other = startLeaving(t, site, leads.Peer)
 	eventually(t, "the nodes know each other", func() bool { return leads.knows(2) && other.knows(2) })
 	leads.node.claim(0)
-	eventually(t, "the other node knows the leader", func() bool { return other.node.otherLeads(0) })
+	eventually(t, "the other node knows the leader", func() bool { return other.node.isCellShared(0) })
 	return leads, other
 }
 
@@ -184,14 +184,14 @@
 				stops, asks = asks, stops
 			}
 			stops.tellStop(t)
-			eventually(t, "it gives its claim back", func() bool { return stops.node.leads.Load() == 0 })
+			eventually(t, "it gives its claim back", func() bool { return stops.node.claimedCells.Load() == 0 })
 			var got answers
-			stops.node.receive(asks.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longWait.Milliseconds(), Deadline: longWait.Milliseconds()}, got.take)
+			stops.node.handleMessage(asks.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longWait.Milliseconds(), Deadline: longWait.Milliseconds()}, got.take)
 			list := got.all()
 			if len(list) != 2 || !tellsLeaving(list[0], stops.node.settings.Node) || !movesFor(list[1], 7) {
 				t.Errorf("answers %+v, want the news that it leaves, and that the work moves for a time", list)
 			}
-			if stops.node.leads.Load() != 0 {
+			if stops.node.claimedCells.Load() != 0 {
 				t.Error("it claims the cell")
 			}
 		})
@@ -301,7 +301,7 @@
 // also by the requests that follow.
 func TestLeavingNodesInARow(t *testing.T) {
 	var stubs []*stub
-	names := inRank(mostJobs + 3)
+	names := inRank(maxLeaderAttempts + 3)
 	for _, name := range names[1:] {
 		stubs = append(stubs, startStub(t, name, movesAway))
 	}
@@ -334,10 +334,10 @@
 	n := submitter(t, outranked, third)
 	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), aim: time.Now().Add(longWait)})
 	var refused *refusal
-	if !errors.As(err, &refused) || refused.reason != errLeaderMoved.Error() {
-		t.Errorf("got %v, want a refusal for %q", err, errLeaderMoved)
+	if !errors.As(err, &refused) || refused.reason != errHandedOff.Error() {
+		t.Errorf("got %v, want a refusal for %q", err, errHandedOff)
 	}
-	if outranked.submits.Load() != mostJobs || third.submits.Load() != 0 {
+	if outranked.submits.Load() != maxLeaderAttempts || third.submits.Load() != 0 {
 		t.Errorf("the outranked leader was asked %d times, the third node %d times", outranked.submits.Load(), third.submits.Load())
 	}
 }
@@ -396,9 +396,9 @@
 	} {
 		n := submitter(t)
 		n.setEntries(c.entries)
-		n.jobs.suspect(time.Now().Add(time.Hour), "silent")
-		n.jobs.leave(stays("answered"))
-		got := nodeNames(n.mayLead(time.Now()))
+		n.submissions.suspect(time.Now().Add(time.Hour), "silent")
+		n.submissions.markLeaving(stays("answered"))
+		got := nodeNames(n.leaderCandidates(time.Now()))
 		slices.Sort(got)
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v may lead, want %v", c.name, got, c.want)
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -15,8 +15,8 @@
 
 const (
 	metricsPath = "/metrics"
-	// mostSeries bounds the series of one name; further labels share "other".
-	mostSeries = 400
+	// maxSeries bounds the series of one name; further labels share "other".
+	maxSeries = 400
 )
 
 // meters are the node's counters and histograms.
@@ -37,14 +37,14 @@
 	m.set.NewGauge("gradetiller_view_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.List).Seconds() })
 	m.set.NewGauge("gradetiller_config_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Config).Seconds() })
 	m.set.NewGauge("gradetiller_readers_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Primaries).Seconds() })
-	m.set.NewGauge("gradetiller_reads_store", func() float64 { return number(n.readsStore.Load()) })
+	m.set.NewGauge("gradetiller_reads_store", func() float64 { return boolValue(n.readsStore.Load()) })
 	m.set.NewGauge("gradetiller_configurations_refused_total", func() float64 { return float64(n.configsRefused.Load()) })
 	m.set.NewGauge("gradetiller_members_live", func() float64 { return float64(n.liveNodes.Load()) })
-	m.set.NewGauge("gradetiller_store_lost", func() float64 { return number(n.storeLost[callConfig].Load() || n.storeLost[callList].Load()) })
-	m.set.NewGauge("gradetiller_draining", func() float64 { return number(n.stopping()) })
+	m.set.NewGauge("gradetiller_store_lost", func() float64 { return boolValue(n.storeLost[callConfig].Load() || n.storeLost[callList].Load()) })
+	m.set.NewGauge("gradetiller_draining", func() float64 { return boolValue(n.stopping()) })
 	m.set.NewGauge("gradetiller_cells_led", func() float64 { return float64(n.cellsLed()) })
-	m.set.NewGauge("gradetiller_poison_suspects", func() float64 { suspects, _ := n.poisons.sizes(); return float64(suspects) })
-	m.set.NewGauge("gradetiller_poison_known", func() float64 { _, known := n.poisons.sizes(); return float64(known) })
+	m.set.NewGauge("gradetiller_poison_suspects", func() float64 { suspects, _ := n.poisonGuard.sizes(); return float64(suspects) })
+	m.set.NewGauge("gradetiller_poison_known", func() float64 { _, known := n.poisonGuard.sizes(); return float64(known) })
 	m.set.NewGauge("gradetiller_endpoints_limited", func() float64 { return float64(n.signals.limited()) })
 	m.set.NewGauge("gradetiller_endpoints_draining", func() float64 { return float64(n.signals.draining()) })
 	m.set.NewGauge("gradetiller_endpoints_in_backoff", func() float64 { return float64(n.signals.backingOff(time.Now())) })
@@ -60,7 +60,7 @@
 	m.set.NewGauge(fmt.Sprintf(`gradetiller_log_lines_dropped_total{kind=%q}`, kind), func() float64 { return float64(count()) })
 }
 
-func number(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -72,7 +72,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.series[value] {
-		if len(m.series) >= mostSeries {
+		if len(m.series) >= maxSeries {
 			return "other"
 		}
 		m.series[value] = true
@@ -109,8 +109,10 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_runs_broken_total{endpoint_refuses="%t"}`, refuses)).Inc()
 }
 
-// endpointEnded counts an endpoint that ended under runs of this node.
-func (m *meters) endpointEnded() { m.set.GetOrCreateCounter("gradetiller_endpoints_ended_total").Inc() }
+// endpointCrashed counts an endpoint that ended under runs of this node.
+func (m *meters) endpointCrashed() {
+	m.set.GetOrCreateCounter("gradetiller_endpoints_ended_total").Inc()
+}
 
 // observedLimit counts an answer that advertises a rate limit.
 func (m *meters) observedLimit() {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,35 +28,35 @@
 )
 
 const (
-	// answerLife is how long a look-up answer may be held.
-	answerLife    = 2 * time.Second
+	// maxLookupTTL is how long a look-up answer may be held.
+	maxLookupTTL  = 2 * time.Second
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 40 * time.Second
 	maxHeader     = 64 << 10
-	// slackShare is the part of the fixed allowance of repeats that the
+	// retrySlackShare is the part of the fixed allowance of repeats that the
 	// nodes together use.
-	slackShare = 0.5
-	// ratioShare is the part of the allowed ratio of repeats that a node
+	retrySlackShare = 0.5
+	// retryRatioShare is the part of the allowed ratio of repeats that a node
 	// uses.
-	ratioShare = 0.75
+	retryRatioShare = 0.75
 )
 
 // Node is the state of the process.
 type Node struct {
-	settings    platform.Settings
-	incarnation uint64
-	started     time.Time
-	log         *zap.Logger
-	store       *platform.Store
-	workers     *platform.WorkerClient
-	pools       *pools
-	leaders     *leaders
-	jobs        *jobs
-	links       *peer.Links
-	patience    leaderPatience
-	sizes       *sizes
-	times       *times
-	meters      *meters
+	settings        platform.Settings
+	incarnation     uint64
+	started         time.Time
+	log             *zap.Logger
+	store           *platform.Store
+	workers         *platform.WorkerClient
+	pools           *pools
+	leaders         *leaders
+	submissions     *submissions
+	links           *peer.Links
+	verdictTimeouts verdictTimeouts
+	sizes           *sizes
+	times           *times
+	meters          *meters
 	// metricsAddress serves the metrics; it may be empty.
 	metricsAddress string
 	// droppedLines returns how many lines of a kind the log dropped; it may be
@@ -64,54 +64,54 @@
 	droppedLines func(logging.Kind) uint64
 	// peerAddress is where other nodes reach this one.
 	peerAddress string
-	// off are the mechanisms that are switched off.
-	off         mechanism.Disabled
+	// disabled are the mechanisms that are switched disabled.
+	disabled    mechanism.Disabled
 	budget      *lockedBudget
 	stageBudget *lockedBudget
 
 	// viewMu is held by changes of the view, the list and what this node read
 	// itself.
-	viewMu sync.Mutex
-	view   atomic.Pointer[view]
-	list   *discovery.List
-	own    discovery.DirectReads
+	viewMu      sync.Mutex
+	view        atomic.Pointer[view]
+	list        *discovery.List
+	directReads discovery.DirectReads
 	// refused belongs to the goroutine that reads the list of endpoints.
 	refused refusedEntries
-	// badEvacuations are the faults of rows that evacuate failure domains, as logged; it
+	// loggedEvacuationFaults are the faults of rows that evacuate failure domains, as logged; it
 	// belongs to the goroutine that reads the configuration.
-	badEvacuations map[string]bool
+	loggedEvacuationFaults map[string]bool
 
 	// poolsMu is held while a view is handed to the pools.
 	poolsMu sync.Mutex
 
 	membersMu sync.Mutex
 	members   *member.Node
-	// listedAt is when the list of live nodes was last made from the members.
-	listedAt time.Time
-	entries  atomic.Pointer[[]wire.Entry]
-	// readers tells which nodes read the store, by the entries.
-	readers   atomic.Pointer[discovery.Ranking]
+	// entriesBuiltAt is when the list of live nodes was last made from the members.
+	entriesBuiltAt time.Time
+	entries        atomic.Pointer[[]wire.Entry]
+	// ranking tells which nodes read the store, by the entries.
+	ranking   atomic.Pointer[discovery.Ranking]
 	liveNodes atomic.Int64
 	// share is this node's part of all nodes.
 	share  atomic.Pointer[share]
 	peakMu sync.Mutex
 	peak   intake.Peak
-	// crowded is the time from the start until which another leader may be at work, and
+	// contendedUntil is the time from the start until which another leader may be at work, and
 	// ratesChanged tells that what this node may send to some endpoint has changed.
-	crowded      atomic.Int64
-	ratesChanged atomic.Bool
-	// leads has a bit for each cell that this node claims.
-	leads atomic.Uint64
-	// askedView, greeted and asked belong to the goroutine that beats.
-	askedView time.Time
-	greeted   time.Time
-	asked     int
+	contendedUntil atomic.Int64
+	ratesChanged   atomic.Bool
+	// claimedCells has a bit for each cell that this node claims.
+	claimedCells atomic.Uint64
+	// viewRequestedAt, greeted and asked belong to the goroutine that beats.
+	viewRequestedAt time.Time
+	joinSentAt      time.Time
+	viewRequests    int
 
-	// changedAt is the time from the start to the last change of the set of nodes
+	// candidatesChangedAt is the time from the start to the last change of the set of nodes
 	// that may lead; hasJoined stays true once these are known.
-	changedAt  atomic.Int64
-	leadingSet atomic.Uint64
-	hasJoined  atomic.Bool
+	candidatesChangedAt atomic.Int64
+	candidatesHash      atomic.Uint64
+	hasJoined           atomic.Bool
 	// hasCaughtUp stays true once this node has had the newest configuration that others
 	// told of.
 	hasCaughtUp atomic.Bool
@@ -124,14 +124,14 @@
 	// keptEndpoints counts the endpoints that are used although the store does not
 	// list them, since their entries lapsed.
 	keptEndpoints atomic.Int64
-	poisons       *poisons
+	poisonGuard   *lockedGuard
 	signals       *signals
 	inFlight      atomic.Int64
 	// stop is the planned stop under way, or nil.
 	stop atomic.Pointer[stop]
-	// serving is the context of all requests; giveUp ends it with a cause.
-	serving context.Context
-	giveUp  context.CancelCauseFunc
+	// requestContext is the context of all requests; giveUp ends it with a cause.
+	requestContext context.Context
+	cancelRequests context.CancelCauseFunc
 }
 
 // Option changes a new node.
@@ -159,31 +159,31 @@
 }
 
 // Without switches mechanisms off, to measure what they are worth.
-func Without(off mechanism.Disabled) Option { return func(n *Node) { n.off = off } }
+func Without(off mechanism.Disabled) Option { return func(n *Node) { n.disabled = off } }
 
 // New returns a node that serves nothing until Run.
 func New(s platform.Settings, options ...Option) *Node {
 	n := &Node{
 		settings: s, incarnation: settings.Incarnation(), started: time.Now(), log: zap.NewNop(),
-		jobs: newJobs(), times: newTimes(), sizes: &sizes{usual: make(map[string]float64)},
-		patience:    leaderPatience{first: verdictTimeout, second: secondVerdict},
-		peerAddress: s.PeerAddress,
+		submissions: newJobs(), times: newTimes(), sizes: &sizes{usual: make(map[string]float64)},
+		verdictTimeouts: verdictTimeouts{first: verdictTimeout, second: reconnectVerdictTimeout},
+		peerAddress:     s.PeerAddress,
 	}
 	for _, o := range options {
 		o(n)
 	}
-	n.serving, n.giveUp = context.WithCancelCause(context.Background())
+	n.requestContext, n.cancelRequests = context.WithCancelCause(context.Background())
 	n.store = platform.NewStore(s.StoreAddress, platform.WithEraErrorHandler(func(err error) { n.log.Warn(eventStoreEra, zap.Error(err)) }))
 	n.workers = platform.NewWorkerClient(platform.WithSignalObserver(n.observeSignals), platform.WithSendCheck(n.checkSignals))
 	n.signals = newSignals(hash.Of(s.Node))
-	n.pools = newPools(hash.Of(s.Node), modelPolicy, n.ownPace, n.off)
+	n.pools = newPools(hash.Of(s.Node), modelPolicy, n.ownPace, n.disabled)
 	n.budget = n.newBudget()
 	n.stageBudget = n.newBudget()
-	n.leaders = newLeaders(n.log, n.workers, newPools(hash.Of(s.Node), leaderPolicy, n.leaderPace, n.off), func() stagepool.RetryBudget { return n.stageBudget }, n.stagePace, n.off)
-	n.poisons = &poisons{guard: poison.NewGuard(s.HeartbeatInterval)}
+	n.leaders = newLeaders(n.log, n.workers, newPools(hash.Of(s.Node), leaderPolicy, n.leaderPace, n.disabled), func() stagepool.RetryBudget { return n.stageBudget }, n.stagePace, n.disabled)
+	n.poisonGuard = &lockedGuard{guard: poison.NewGuard(s.HeartbeatInterval)}
 	n.meters = newMeters(n)
 	n.leaders.meters = n.meters
-	n.leaders.broke = n.stageCallBroke
+	n.leaders.onBrokenCall = n.recordBrokenStageCall
 	n.refused = refusedEntries{logged: make(map[refusedEntry]bool), faults: make(map[platform.EntryFault]bool)}
 	n.view.Store(&view{})
 	n.list = discovery.NewList(discovery.WithHeartbeat(s.HeartbeatInterval))
@@ -193,18 +193,18 @@
 	}, hash.Of(s.Node))
 	n.setEntries(n.members.Entries())
 	n.links = peer.NewLinks(n.hello(), &peer.Security{}, func(m wire.Message, answer peer.Answer) {
-		n.receive(n.hello(), m, answer)
+		n.handleMessage(n.hello(), m, answer)
 	}, n.peerLost)
 	return n
 }
 
 func (n *Node) newBudget() *lockedBudget {
-	return &lockedBudget{budget: attempt.NewWindowBudget(ratioShare*n.settings.RetryRatio, 1, n.settings.RetryWindow)}
+	return &lockedBudget{budget: attempt.NewWindowBudget(retryRatioShare*n.settings.RetryRatio, 1, n.settings.RetryWindow)}
 }
 
 // shareBudgets divides the fixed allowance of repeats by the live nodes.
 func (n *Node) shareBudgets(live int) {
-	allowance := max(1, slackShare*n.settings.RetrySlack/float64(max(live, 2)))
+	allowance := max(1, retrySlackShare*n.settings.RetrySlack/float64(max(live, 2)))
 	for _, b := range []*lockedBudget{n.budget, n.stageBudget} {
 		b.mu.Lock()
 		b.budget.SetAllowance(allowance)
@@ -216,7 +216,7 @@
 	s := n.settings
 	return wire.Entry{
 		Node: s.Node, Incarnation: n.incarnation, Address: s.FrontAddress, PeerAddress: n.peerAddress,
-		Domain: s.Domain, Region: s.Region, Leaving: leaving, Leads: n.leads.Load(), Capacity: s.Millicores,
+		Domain: s.Domain, Region: s.Region, Leaving: leaving, Leads: n.claimedCells.Load(), Capacity: s.Millicores,
 	}
 }
 
@@ -277,7 +277,7 @@
 	}
 	s := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-		BaseContext: func(net.Listener) context.Context { return n.serving },
+		BaseContext: func(net.Listener) context.Context { return n.requestContext },
 	}
 	go func() { _ = s.Serve(listener) }()
 	return &front{server: s, listener: listener}, nil
@@ -286,7 +286,7 @@
 // isReady reports whether the node can serve: it knows a configuration and
 // the endpoints, and is not leaving.
 func (n *Node) isReady() bool {
-	return n.serves() && n.joined() && n.caughtUp() && n.liveNodes.Load() > 0 && !n.stopping()
+	return n.hasCompleteView() && n.joined() && n.caughtUp() && n.liveNodes.Load() > 0 && !n.stopping()
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -306,5 +306,5 @@
 		return
 	}
 	addresses := subset.Addresses(*n.entries.Load(), n.settings.Node, platform.ParseLookup(r).Domain)
-	platform.WriteLookup(w, addresses, min(answerLife, n.settings.LookupTTL))
+	platform.WriteLookup(w, addresses, min(maxLookupTTL, n.settings.LookupTTL))
 }
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -39,7 +39,7 @@
 // leaderPart is this node's part as a leader. Each stage endpoint belongs to one cell, which
 // has all of it; the leaders of all cells share the others.
 func (n *Node) leaderPart(v *view, service catalog.Service) intake.Share {
-	crowded := n.started.Add(time.Duration(n.crowded.Load()))
+	crowded := n.started.Add(time.Duration(n.contendedUntil.Load()))
 	if service.Batching != nil {
 		return intake.LeaderShare(intake.ByLeaders, 1, 1, crowded)
 	}
@@ -78,7 +78,7 @@
 		return intake.Pace{}
 	}
 	service := v.config.Services[e.Service]
-	return n.leaderPace(v, service)(e.ID, v.coldness(service, e))
+	return n.leaderPace(v, service)(e.ID, v.coldPeriod(service, e))
 }
 
 // recomputeRates puts in force what this node may send to endpoints that bound what they take, if
@@ -88,7 +88,7 @@
 		return
 	}
 	if v := n.view.Load(); len(v.cold) > 0 || n.signals.any() {
-		n.viewChanged()
+		n.updatePools()
 	}
 }
 
@@ -96,7 +96,7 @@
 // at work, or may have been until now.
 func (n *Node) crowd() {
 	until := time.Since(n.started) + crowdedTime
-	if before := n.crowded.Swap(int64(until)); until-time.Duration(before) > crowdedTime/4 {
+	if before := n.contendedUntil.Swap(int64(until)); until-time.Duration(before) > crowdedTime/4 {
 		n.ratesChanged.Store(true)
 	}
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// silentPeer closes an incoming connection from which nothing comes.
-	silentPeer = 40 * time.Second
-	askViewGap = 300 * time.Millisecond
-	// suspectFor is how long a node that did not answer leads nothing.
-	suspectFor  = 2 * time.Second
-	suspectMost = 4 * time.Second
+	// peerIdleTimeout closes an incoming connection from which nothing comes.
+	peerIdleTimeout        = 40 * time.Second
+	minViewRequestInterval = 300 * time.Millisecond
+	// minSuspectPeriod is how long a node that did not answer leads nothing.
+	minSuspectPeriod = 2 * time.Second
+	maxSuspectPeriod = 4 * time.Second
 )
 
 // system names the system towards peers.
@@ -34,7 +34,7 @@
 
 // runMembers beats until ctx ends.
 func (n *Node) runMembers(ctx context.Context) {
-	n.beat(time.Now())
+	n.tick(time.Now())
 	ticker := time.NewTicker(member.FlushInterval)
 	defer ticker.Stop()
 	for {
@@ -42,39 +42,39 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			n.beat(now)
+			n.tick(now)
 		}
 	}
 }
 
-func (n *Node) beat(now time.Time) {
+func (n *Node) tick(now time.Time) {
 	spread := n.expireSignals(now)
 	n.recomputeRates()
 	n.membersMu.Lock()
 	if spread {
 		n.members.RequestHeartbeat()
 	}
-	n.members.SetSeeds(n.strangers())
+	n.members.SetSeeds(n.missingSeeds())
 	sends := n.members.Tick(now)
-	if n.alone() && now.Sub(n.greeted) > greetGap {
-		n.greeted = now
+	if n.alone() && now.Sub(n.joinSentAt) > joinInterval {
+		n.joinSentAt = now
 		sends = append(sends, n.members.Join()...)
 	}
-	ahead := n.aheadOf(now, n.view.Load())
+	ahead := n.peerAhead(now, n.view.Load())
 	entries, changed := n.changedEntries(now)
 	n.membersMu.Unlock()
 	n.sendGossip(sends)
 	if changed {
-		n.takeEntries(entries)
+		n.applyEntries(entries)
 	}
-	n.askForView(now, ahead)
+	n.requestView(now, ahead)
 	n.watchCells()
 }
 
-// aheadOf returns the address of a node that is known to have a newer configuration than
+// peerAhead returns the address of a node that is known to have a newer configuration than
 // a view, or, when the view is old, a newer list of endpoints; the lock of the members is
 // held. While the readers answer, each node asks them for the list anyway.
-func (n *Node) aheadOf(now time.Time, v *view) string {
+func (n *Node) peerAhead(now time.Time, v *view) string {
 	if node, version := n.members.NewerConfig(); version > v.version() {
 		return n.members.Address(node)
 	}
@@ -84,11 +84,11 @@
 	return ""
 }
 
-// listGap is how often messages have the list of live nodes made anew at most; the
+// minEntriesInterval is how often messages have the list of live nodes made anew at most; the
 // next beat has it made in any case. Making it for 295 nodes takes 0.23 ms of a whole
 // core, four times as long as taking in 32 records, and in a start of all nodes
 // hundreds of messages change it.
-const listGap = 50 * time.Millisecond
+const minEntriesInterval = 50 * time.Millisecond
 
 // changedEntries returns the entries of the live nodes if they may have changed,
 // or if none were taken yet; the lock is held.
@@ -97,12 +97,12 @@
 	if !n.members.PollChanged() && !first {
 		return nil, false
 	}
-	n.listedAt = now
+	n.entriesBuiltAt = now
 	return n.members.Entries(), true
 }
 
-// strangers lists the seeds that are no known live member; the lock is held.
-func (n *Node) strangers() []member.Seed {
+// missingSeeds lists the seeds that are no known live member; the lock is held.
+func (n *Node) missingSeeds() []member.Seed {
 	var list []member.Seed
 	for _, address := range n.settings.Seeds {
 		if address != n.peerAddress && !n.members.HasLiveAddress(address) {
@@ -112,13 +112,13 @@
 	return list
 }
 
-// answerInPlace sends the messages without an address back the way the message
+// sendReplies sends the messages without an address back the way the message
 // that they answer came, and returns the others.
-func (n *Node) answerInPlace(sends []member.Message, answer peer.Answer) []member.Message {
+func (n *Node) sendReplies(sends []member.Message, answer peer.Answer) []member.Message {
 	var others []member.Message
 	for _, s := range sends {
 		if s.Address == "" {
-			_ = answer(n.withNews(s.Node, s.Gossip))
+			_ = answer(n.withUpdates(s.Node, s.Gossip))
 			continue
 		}
 		others = append(others, s)
@@ -126,8 +126,8 @@
 	return others
 }
 
-// noneOf returns what reports whether a node is none of some.
-func noneOf(entries []wire.Entry) func(node string) bool {
+// notIn returns what reports whether a node is none of some.
+func notIn(entries []wire.Entry) func(node string) bool {
 	names := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		names[e.Node] = true
@@ -135,21 +135,21 @@
 	return func(node string) bool { return !names[node] }
 }
 
-// withNews adds to a message what its receiver may not know of what heartbeats spread.
-func (n *Node) withNews(to string, m wire.Gossip) wire.Gossip {
+// withUpdates adds to a message what its receiver may not know of what heartbeats spread.
+func (n *Node) withUpdates(to string, m wire.Gossip) wire.Gossip {
 	return n.appendSignals(to, n.withRefusals(to, m))
 }
 
 func (n *Node) sendGossip(sends []member.Message) {
 	for _, s := range sends {
-		n.links.Send(s.Address, n.withNews(s.Node, s.Gossip))
+		n.links.Send(s.Address, n.withUpdates(s.Node, s.Gossip))
 	}
 }
 
-// takeEntries keeps the list of live nodes for look-ups and leaders.
-func (n *Node) takeEntries(entries []wire.Entry) {
+// applyEntries keeps the list of live nodes for look-ups and leaders.
+func (n *Node) applyEntries(entries []wire.Entry) {
 	n.setEntries(entries)
-	n.poisons.membersChanged(entries)
+	n.poisonGuard.membersChanged(entries)
 	n.signals.membersChanged(entries)
 	live := 0
 	for _, e := range entries {
@@ -158,8 +158,8 @@
 		}
 	}
 	before := n.liveNodes.Swap(int64(live))
-	if leading := lead.CandidatesHash(entries); n.leadingSet.Swap(leading) != leading {
-		n.changedAt.Store(int64(time.Since(n.started)))
+	if leading := lead.CandidatesHash(entries); n.candidatesHash.Swap(leading) != leading {
+		n.candidatesChangedAt.Store(int64(time.Since(n.started)))
 	}
 	if before != int64(live) {
 		n.log.Info(eventMembersChanged, zap.Int("live", live), zap.Int("listed", len(entries)))
@@ -167,33 +167,33 @@
 	}
 }
 
-// askForView asks a peer that is ahead for what is new, or any peer when neither the
+// requestView asks a peer that is ahead for what is new, or any peer when neither the
 // store nor the readers tell.
-func (n *Node) askForView(now time.Time, ahead string) {
+func (n *Node) requestView(now time.Time, ahead string) {
 	v := n.view.Load()
 	own := v.version()
-	old := n.readers.Load().Overdue(now, v.fresh)
-	if ahead == "" && !old && own > 0 || now.Sub(n.askedView) < askViewGap {
+	old := n.ranking.Load().Overdue(now, v.fresh)
+	if ahead == "" && !old && own > 0 || now.Sub(n.viewRequestedAt) < minViewRequestInterval {
 		return
 	}
 	if ahead == "" {
-		ahead = n.knowing(v)
+		ahead = n.viewSource(v)
 	}
 	if ahead == "" {
 		return
 	}
-	n.askedView = now
+	n.viewRequestedAt = now
 	n.links.Send(ahead, wire.ViewRequest{ConfigAbove: own, EndpointsAbove: uint64(v.revision), TakesPacked: true})
 }
 
-// knowing returns the peer address of a node that may know more than a view: a
+// viewSource returns the peer address of a node that may know more than a view: a
 // reader while this node knows nothing, then any live node, or a seed. No two nodes
 // ask the others in the same order: when all of 295 that had started together did,
 // one small node after the other was asked for some hundred whole views at once.
-func (n *Node) knowing(v *view) string {
+func (n *Node) viewSource(v *view) string {
 	others := *n.entries.Load()
 	if v.fresh.List.IsZero() {
-		if readers := entriesOf(others, n.readers.Load().Readers(0)); len(readers) > 0 {
+		if readers := entriesOf(others, n.ranking.Load().Readers(0)); len(readers) > 0 {
 			others = readers
 		}
 	}
@@ -206,8 +206,8 @@
 	if len(list) == 0 {
 		list = n.settings.Seeds
 	}
-	n.asked++
-	return discovery.ReaderFor(list, n.settings.Node, n.asked)
+	n.viewRequests++
+	return discovery.ReaderFor(list, n.settings.Node, n.viewRequests)
 }
 
 // entriesOf returns the entries of some nodes.
@@ -226,76 +226,76 @@
 	answer, stop := peer.Answers(c)
 	defer stop()
 	for {
-		c.SetReceiveTimeout(silentPeer)
+		c.SetReceiveTimeout(peerIdleTimeout)
 		m, err := c.Receive()
 		if err != nil {
 			return
 		}
-		n.receive(c.Hello(), m, answer)
+		n.handleMessage(c.Hello(), m, answer)
 	}
 }
 
-// receive takes a message from another node.
-func (n *Node) receive(from wire.Hello, m wire.Message, answer peer.Answer) {
+// handleMessage takes a message from another node.
+func (n *Node) handleMessage(from wire.Hello, m wire.Message, answer peer.Answer) {
 	switch m := m.(type) {
 	case *wire.Gossip:
-		lacks := n.takeRefusals(m)
+		lacks := n.mergeRefusals(m)
 		if n.mergeSignals(m) || lacks {
-			_ = answer(n.withNews(m.Node, n.news()))
+			_ = answer(n.withUpdates(m.Node, n.selfGossip()))
 		}
 		n.membersMu.Lock()
-		n.jobs.heard(n.members.Address(m.Node))
+		n.submissions.clearSuspicion(n.members.Address(m.Node))
 		now := time.Now()
 		sends := n.members.Receive(now, *m)
 		var entries []wire.Entry
 		changed := false
-		if now.Sub(n.listedAt) >= listGap {
+		if now.Sub(n.entriesBuiltAt) >= minEntriesInterval {
 			entries, changed = n.changedEntries(now)
 		}
 		n.membersMu.Unlock()
-		n.sendGossip(n.answerInPlace(sends, answer))
+		n.sendGossip(n.sendReplies(sends, answer))
 		if changed {
-			n.takeEntries(entries)
+			n.applyEntries(entries)
 		}
 	case *wire.Ends:
-		n.takeEnds(from, m)
+		n.handleEnds(from, m)
 	case *wire.ViewRequest:
-		n.answerView(m, answer)
+		n.handleViewRequest(m, answer)
 	case *wire.View:
-		n.takeView(m)
+		n.applyView(m)
 	case *wire.StagesSubmit:
-		n.takeStages(from, m, answer)
+		n.handleStagesSubmit(from, m, answer)
 	case *wire.StagesRelease:
-		n.leaders.release(ownerKey{from.Node, from.Incarnation, m.ID}, m.Placement)
+		n.leaders.release(taskKey{from.Node, from.Incarnation, m.ID}, m.Placement)
 	case *wire.StagesPing:
-		known := n.leaders.knows(ownerKey{from.Node, from.Incarnation, m.ID})
+		known := n.leaders.knows(taskKey{from.Node, from.Incarnation, m.ID})
 		_ = answer(wire.StagesVerdict{ID: m.ID, Accepted: known})
 	case *wire.StagesVerdict:
-		n.jobs.verdict(m)
+		n.submissions.verdict(m)
 	case *wire.StagesDone:
-		n.jobs.done(m)
+		n.submissions.done(m)
 	default:
-		n.log.Warn(eventMessageNotExpected, zap.String("node", from.Node))
+		n.log.Warn(eventUnexpectedMessage, zap.String("node", from.Node))
 	}
 }
 
-// takeStages takes work for this node's stage pool. A node that stops takes none
+// handleStagesSubmit takes work for this node's stage pool. A node that stops takes none
 // that another can do: it would give it back at the next beat, and the submitting
 // node, which has not heard of the stop, would send it again. Just before its end it
 // takes none at all.
-func (n *Node) takeStages(from wire.Hello, m *wire.StagesSubmit, answer peer.Answer) {
-	if s := n.stop.Load(); s != nil && (s.closing.Load() || n.othersStay(time.Now())) {
-		_ = answer(n.news())
+func (n *Node) handleStagesSubmit(from wire.Hello, m *wire.StagesSubmit, answer peer.Answer) {
+	if s := n.stop.Load(); s != nil && (s.closing.Load() || n.hasSuccessor(time.Now())) {
+		_ = answer(n.selfGossip())
 		_ = answer(leavingAnswer(m.ID, time.Until(s.ends)))
 		return
 	}
 	n.claim(m.Cell)
-	n.leaders.submit(owner{key: ownerKey{from.Node, from.Incarnation, m.ID}, answer: answer}, m)
+	n.leaders.submit(owner{key: taskKey{from.Node, from.Incarnation, m.ID}, answer: answer}, m)
 }
 
-// news tells a node what this one tells of itself. A node of an earlier version
+// selfGossip tells a node what this one tells of itself. A node of an earlier version
 // does not understand leavingAnswer and ranks the leaders anew at once.
-func (n *Node) news() wire.Gossip {
+func (n *Node) selfGossip() wire.Gossip {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
 	self := n.members.Self()
@@ -308,20 +308,20 @@
 // peerLost tells that a connection to a node broke or could not be opened.
 func (n *Node) peerLost(address string, err error) {
 	n.log.Info(eventPeerLost, zap.String("address", address), zap.Error(err))
-	n.jobs.lost(address)
+	n.submissions.connectionLost(address)
 }
 
 const (
-	// joinTime is how long a node that was just started waits for others
+	// maxJoinWait is how long a node that was just started waits for others
 	// before it takes itself for the only one.
-	joinTime = 2 * time.Second
-	joinPoll = 20 * time.Millisecond
-	// settleTime is how long the known nodes that may lead must have stayed the
+	maxJoinWait = 2 * time.Second
+	joinPoll    = 20 * time.Millisecond
+	// settlePeriod is how long the known nodes that may lead must have stayed the
 	// same before a node that was just started takes them for all there are.
-	settleTime = 250 * time.Millisecond
-	// greetGap is how often a node that is alone greets its seeds: after a
+	settlePeriod = 250 * time.Millisecond
+	// joinInterval is how often a node that is alone greets its seeds: after a
 	// loss of power they may start later than it does.
-	greetGap = 200 * time.Millisecond
+	joinInterval = 200 * time.Millisecond
 )
 
 // alone reports whether this node knows no other.
@@ -331,22 +331,22 @@
 // itself, or any of the few it knows, for the leader of a cell, and after a loss
 // of all power many leaders would work at the same endpoints.
 func (n *Node) joined() bool {
-	if n.hasJoined.Load() || n.off.Has(mechanism.Join) {
+	if n.hasJoined.Load() || n.disabled.Has(mechanism.Join) {
 		return true
 	}
-	changed := time.Duration(n.changedAt.Load())
+	changed := time.Duration(n.candidatesChangedAt.Load())
 	sinceStart := time.Since(n.started)
-	settled := !n.alone() && sinceStart-changed >= settleTime
-	if len(n.settings.Seeds) > 0 && !settled && sinceStart <= joinTime {
+	settled := !n.alone() && sinceStart-changed >= settlePeriod
+	if len(n.settings.Seeds) > 0 && !settled && sinceStart <= maxJoinWait {
 		return false
 	}
 	n.hasJoined.Store(true)
 	return true
 }
 
-// catchUpTime bounds how long a node that has just begun waits for a configuration that
+// maxCatchUpWait bounds how long a node that has just begun waits for a configuration that
 // others told of: who told may be lost since.
-const catchUpTime = 5 * time.Second
+const maxCatchUpWait = 5 * time.Second
 
 // caughtUp reports whether this node, since its start, has had the newest configuration that
 // others told of. A store that came back from an older copy gives an older one to a node
@@ -358,11 +358,11 @@
 	n.membersMu.Lock()
 	_, newest := n.members.NewerConfig()
 	n.membersMu.Unlock()
-	late := time.Since(n.started) > catchUpTime
+	late := time.Since(n.started) > maxCatchUpWait
 	if newest > n.view.Load().version() && !late {
 		return false
 	}
-	if n.joined() && n.serves() {
+	if n.joined() && n.hasCompleteView() {
 		n.hasCaughtUp.Store(true)
 	}
 	return true
@@ -371,6 +371,6 @@
 // awaitJoined waits until the node has joined.
 func (n *Node) awaitJoined(ctx context.Context) {
 	for !n.joined() && ctx.Err() == nil {
-		pause(ctx, joinPoll)
+		sleep(ctx, joinPoll)
 	}
 }
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -39,7 +39,7 @@
 		engines = l.models.cachingEndpoints(time.Now(), l.view)
 	}
 	// Work may come before the first list of endpoints, and the configuration too.
-	l.asks = len(engines) == 0
+	l.learnOnUpdate = len(engines) == 0
 	l.mu.Unlock()
 	turns := make(chan struct{}, listsAtOnce)
 	for _, e := range engines {
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -182,7 +182,7 @@
 		if paces[s.Name] == nil {
 			paces[s.Name] = p.pace(v, s)
 		}
-		if !paces[s.Name](e.ID, v.coldness(s, e)).Bounded(now) {
+		if !paces[s.Name](e.ID, v.coldPeriod(s, e)).Bounded(now) {
 			list = append(list, e)
 		}
 	}
--- a/internal/node/readers_test.go
+++ b/internal/node/readers_test.go
@@ -52,9 +52,9 @@
 		}
 	})
 	eventually(t, "all nodes know each other", func() bool {
-		return !slices.ContainsFunc(all, func(r *running) bool { return r.node.liveNodes.Load() != nodes || !r.node.serves() })
+		return !slices.ContainsFunc(all, func(r *running) bool { return r.node.liveNodes.Load() != nodes || !r.node.hasCompleteView() })
 	})
-	for _, name := range all[0].node.readers.Load().Readers(0) {
+	for _, name := range all[0].node.ranking.Load().Readers(0) {
 		doors[name].Disrupt(platformtest.ConfigCalls, platformtest.Hang)
 	}
 	c.Version = 2
@@ -84,13 +84,13 @@
 	n := New(s)
 	n.setEntries(append(entries, n.entry(false)))
 	start := time.Now()
-	n.readEndpoints(nil, 1, start)
+	n.applyStoreEndpoints(nil, 1, start)
 	at := start.Add(3 * time.Second)
-	if !n.reads(at) {
+	if !n.shouldReadStore(at) {
 		t.Fatal("the node does not stand in for readers of which it has not heard for 3 s")
 	}
-	n.readEndpoints(nil, 2, at)
-	if !n.reads(at.Add(time.Millisecond)) {
+	n.applyStoreEndpoints(nil, 2, at)
+	if !n.shouldReadStore(at.Add(time.Millisecond)) {
 		t.Error("the node ceases to stand in as soon as it has read a list itself")
 	}
 }
--- a/internal/node/signalgossip.go
+++ b/internal/node/signalgossip.go
@@ -113,7 +113,7 @@
 		if u.Bounded {
 			rate, err := intake.NewRate(u.PerSecond)
 			if err != nil {
-				n.log.Warn(eventMessageNotExpected, zap.String("node", m.Node), zap.Error(err))
+				n.log.Warn(eventUnexpectedMessage, zap.String("node", m.Node), zap.Error(err))
 				continue
 			}
 			update.Rate = rate
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -89,7 +89,7 @@
 func (s *signals) membersChanged(live []wire.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.ForgetPeers(noneOf(live))
+	s.registry.ForgetPeers(notIn(live))
 }
 
 // observeSignals records the signals of an endpoint's answer.
--- a/internal/node/silent_test.go
+++ b/internal/node/silent_test.go
@@ -33,7 +33,7 @@
 	// The connection has been there for a while.
 	n.links.Send(first.PeerAddress, wire.StagesPing{ID: 1})
 	eventually(t, "the connection is open", func() bool { return connections.Load() == 1 })
-	n.patience.second = time.Minute
+	n.verdictTimeouts.second = time.Minute
 	for range 5 {
 		got, err := n.runStages(context.Background(), shortWork())
 		if err != nil {
@@ -42,9 +42,9 @@
 		if got.leader != first.Node {
 			t.Errorf("%s did the work, want %s", got.leader, first.Node)
 		}
-		n.patience.first = time.Minute
+		n.verdictTimeouts.first = time.Minute
 	}
-	if second.submits.Load() > 0 || n.jobs.suspected(time.Now(), first.PeerAddress) {
+	if second.submits.Load() > 0 || n.submissions.suspected(time.Now(), first.PeerAddress) {
 		t.Error("the leader is passed over")
 	}
 	if c := connections.Load(); c != 2 {
--- a/internal/node/stagecalls.go
+++ b/internal/node/stagecalls.go
@@ -34,19 +34,19 @@
 		c.group.backoff(time.Now(), blocked.Endpoint, blocked.Until)
 	}
 	if outcome.Status == stagepool.ConnectionBroken {
-		c.group.broke(ctx, catalog.Endpoint{ID: a.Endpoint, Service: a.Service, Address: a.Address}, time.Since(started), contents(a.Items))
+		c.group.onBrokenCall(ctx, catalog.Endpoint{ID: a.Endpoint, Service: a.Service, Address: a.Address}, time.Since(started), contents(a.Items))
 	}
 	switch {
 	case err != nil:
 		c.group.log.Warn(eventStageCallLost, append(fields, zap.Error(err))...)
 	case len(unmade) > 0:
-		c.group.log.Info(eventStageCallWithUnmadePieces, append(fields, unmade...)...)
+		c.group.log.Info(eventStageCallIncomplete, append(fields, unmade...)...)
 	default:
 		c.group.log.Debug(eventStageCall, fields...)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.Done(time.Now(), a.Call, outcome))
+	c.execute(c.pool.Done(time.Now(), a.Call, outcome))
 }
 
 // contents lists the requests of a call, each once.
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -80,14 +80,14 @@
 func (n *Node) turnAway(w http.ResponseWriter, q *request) {
 	n.meters.turnedAway(q.route.Name)
 	again := againSoon
-	if n.othersStay(time.Now()) {
+	if n.hasSuccessor(time.Now()) {
 		again = elsewhere
 	}
 	n.refuse(w, q, http.StatusServiceUnavailable, stoppingReason, again)
 }
 
 // ended reports whether the process ends now and gives up its requests.
-func (n *Node) ended() bool { return n.serving.Err() != nil }
+func (n *Node) ended() bool { return n.requestContext.Err() != nil }
 
 // givenUp returns why a request ends: that the process does, if it does.
 func (n *Node) givenUp(q *request, reason string) string {
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -73,7 +73,7 @@
 		a, event := n.tryStream(ctx, s, c)
 		if event == attempt.Complete {
 			q.outcome = delivered
-			n.served(q)
+			n.recordServed(q)
 			n.logRequest(q, http.StatusOK)
 			return
 		}
@@ -102,7 +102,7 @@
 	if !s.started {
 		return n.refusePoison(s.w, s.q)
 	}
-	_, refused := n.poisons.refused(s.q.content)
+	_, refused := n.poisonGuard.refused(s.q.content)
 	if refused {
 		n.endStream(ctx, s, attempt.AnswerUnknown, poisonReason)
 	}
@@ -123,7 +123,7 @@
 		// request: one that has just begun, or is of an earlier version.
 		asks.wanted = ""
 	}
-	if s.node.poisons.suspected(q.content) {
+	if s.node.poisonGuard.suspected(q.content) {
 		asks.prefix, asks.wanted = q.content.Key(), ""
 	}
 	return asks
@@ -156,7 +156,7 @@
 	}}
 	work.aim = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
-	if !n.off.Has(mechanism.Sizes) {
+	if !n.disabled.Has(mechanism.Sizes) {
 		work.submit.Extra = n.sizes.extra(q.route.Name, q.in.PromptTokens)
 	}
 	any := false
@@ -207,7 +207,7 @@
 		s.q.predicted = refused.predicted
 	}
 	if refused != nil && !s.started && !s.q.ran {
-		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.again, againSoon))
+		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.retryAfter, againSoon))
 		return
 	}
 	n.endStream(ctx, s, attempt.AnswerUnknown, err.Error())
@@ -270,7 +270,7 @@
 	if err != nil {
 		n.log.Info(eventStreamBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
 		if !errors.Is(err, errClientGone) {
-			n.runBroke(ctx, c.endpoint, time.Since(c.started), q.content)
+			n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), q.content)
 		}
 		return a, attempt.NoResponse
 	}
@@ -301,7 +301,7 @@
 	}
 	body, err := io.ReadAll(a.Body)
 	if err != nil {
-		n.runBroke(ctx, c.endpoint, time.Since(c.started), s.q.content)
+		n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), s.q.content)
 		return attempt.NoResponse
 	}
 	a.Body = io.NopCloser(bytes.NewReader(body))
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -17,19 +17,19 @@
 	// verdictTimeout is how long a leader may take to answer a submission. It
 	// covers the loss of a packet, after which TCP sends it again.
 	verdictTimeout = 400 * time.Millisecond
-	// secondVerdict is how long it may take on a connection that was just opened
+	// reconnectVerdictTimeout is how long it may take on a connection that was just opened
 	// because the one before had fallen silent.
-	secondVerdict = 150 * time.Millisecond
+	reconnectVerdictTimeout = 150 * time.Millisecond
 	// pingGap is how often a leader is asked whether it is still at work. A
 	// leader that is slow is left to its work: a second one would compete with
 	// it for the same endpoints and make both slower.
-	pingGap  = 400 * time.Millisecond
-	mostJobs = 3
+	pingGap           = 400 * time.Millisecond
+	maxLeaderAttempts = 3
 )
 
-// leaderPatience is how long a leader has for its verdict, at first and on a renewed
+// verdictTimeouts is how long a leader has for its verdict, at first and on a renewed
 // connection.
-type leaderPatience struct{ first, second time.Duration }
+type verdictTimeouts struct{ first, second time.Duration }
 
 // stageWork is a request's stages, in absolute times.
 type stageWork struct {
@@ -62,21 +62,21 @@
 	n.awaitJoined(ctx)
 	var last error
 	silent := ""
-	for tries := 0; tries < mostJobs; {
+	for tries := 0; tries < maxLeaderAttempts; {
 		leader, ok := n.leaderOf(time.Now(), w.submit.Cell)
 		if !ok {
-			return stageResults{}, &refusal{reason: "no node leads the stage pool", again: time.Second}
+			return stageResults{}, &refusal{reason: "no node leads the stage pool", retryAfter: time.Second}
 		}
-		limit := n.patience.first
+		limit := n.verdictTimeouts.first
 		if silent == leader.Node {
-			limit = n.patience.second
+			limit = n.verdictTimeouts.second
 		}
 		asked := time.Now()
 		results, err := n.tryLeader(ctx, leader, w, limit)
 		switch {
-		case errors.Is(err, errLeaderLeaves) && leader.Node != n.settings.Node:
+		case errors.Is(err, errLeaderLeaving) && leader.Node != n.settings.Node:
 			// It is no try, and can't go on for ever: the node is not ranked again.
-			n.jobs.leave(leader)
+			n.submissions.markLeaving(leader)
 			continue
 		case errors.Is(err, errLeaderLost) && leader.Node != n.settings.Node && silent != leader.Node:
 			// Perhaps only the connection is lost. The work stays with its leader
@@ -86,14 +86,14 @@
 			n.renewLink(leader, asked)
 			continue
 		case errors.Is(err, errLeaderLost):
-			n.leaderLost(leader, w)
-		case !errors.Is(err, errLeaderLeaves) && !errors.Is(err, errLeaderMoved):
+			n.suspectLeader(leader, w)
+		case !errors.Is(err, errLeaderLeaving) && !errors.Is(err, errHandedOff):
 			return results, err
 		}
 		last = err
 		tries++
 	}
-	return stageResults{}, &refusal{reason: last.Error(), again: time.Second}
+	return stageResults{}, &refusal{reason: last.Error(), retryAfter: time.Second}
 }
 
 // renewLink gives the connection to a node up on which the answer to what was asked at
@@ -101,60 +101,60 @@
 // later stays.
 func (n *Node) renewLink(to wire.Entry, asked time.Time) {
 	if n.links.Renew(to.PeerAddress, asked) {
-		n.jobs.lost(to.PeerAddress)
+		n.submissions.connectionLost(to.PeerAddress)
 	}
 }
 
-// leaderLost keeps a node that did not answer from leading for a while.
-func (n *Node) leaderLost(e wire.Entry, w stageWork) {
+// suspectLeader keeps a node that did not answer from leading for a while.
+func (n *Node) suspectLeader(e wire.Entry, w stageWork) {
 	n.log.Warn(eventLeaderLost, zap.String("request", w.submit.RequestID), zap.String("leader", e.Node))
 	if e.Node != n.settings.Node {
-		n.jobs.suspect(time.Now(), e.PeerAddress)
+		n.submissions.suspect(time.Now(), e.PeerAddress)
 	}
 }
 
 func (n *Node) tryLeader(ctx context.Context, to wire.Entry, w stageWork, limit time.Duration) (stageResults, error) {
-	b := n.jobs.add(to.PeerAddress)
+	b := n.submissions.add(to.PeerAddress)
 	now := time.Now()
 	w.submit.ID = b.id
 	w.submit.Aim = w.aim.Sub(now).Milliseconds()
 	w.submit.Deadline = w.deadline.Sub(now).Milliseconds()
-	n.toLeader(to, &w.submit)
+	n.sendToLeader(to, &w.submit)
 	var once sync.Once
 	release := func(how wire.Placement) {
 		once.Do(func() {
-			n.jobs.remove(b)
-			n.toLeader(to, &wire.StagesRelease{ID: b.id, Placement: how})
+			n.submissions.remove(b)
+			n.sendToLeader(to, &wire.StagesRelease{ID: b.id, Placement: how})
 		})
 	}
-	done, predicted, err := b.await(ctx, limit)
+	done, predicted, err := b.awaitVerdict(ctx, limit)
 	if err == nil && done == nil {
-		done, err = b.awaitDone(ctx, func() { n.toLeader(to, &wire.StagesPing{ID: b.id}) })
+		done, err = b.awaitDone(ctx, func() { n.sendToLeader(to, &wire.StagesPing{ID: b.id}) })
 	}
 	if err != nil {
 		release(wire.PlacementUnused)
 		return stageResults{}, err
 	}
-	if err := moved(done); err != nil {
+	if err := leaderError(done); err != nil {
 		release(wire.PlacementUnused)
 		return stageResults{}, err
 	}
 	if done.Failed != "" {
 		release(wire.PlacementUnused)
-		return stageResults{}, &refusal{reason: "stages: " + done.Failed, again: time.Duration(done.Again) * time.Millisecond, predicted: predicted}
+		return stageResults{}, &refusal{reason: "stages: " + done.Failed, retryAfter: time.Duration(done.Again) * time.Millisecond, predicted: predicted}
 	}
 	return stageResults{handles: done.Handles, endpoint: done.Endpoint, bounded: done.Bounded, copyFrom: done.CopyFrom, leader: to.Node, predicted: predicted, release: release}, nil
 }
 
-// await waits for the leader's verdict until a limit; a result that comes first
+// awaitVerdict waits for the leader's verdict until a limit; a result that comes first
 // counts too. It returns the leader's prediction too.
-func (b *job) await(ctx context.Context, limit time.Duration) (*wire.StagesDone, time.Duration, error) {
+func (b *submission) awaitVerdict(ctx context.Context, limit time.Duration) (*wire.StagesDone, time.Duration, error) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case v := <-b.verdicts:
 		if !v.Accepted {
-			return nil, 0, &refusal{reason: cmp.Or(v.Reason, "stages would be late"), again: time.Duration(v.Again) * time.Millisecond, predicted: time.Duration(v.Finish) * time.Millisecond}
+			return nil, 0, &refusal{reason: cmp.Or(v.Reason, "stages would be late"), retryAfter: time.Duration(v.Again) * time.Millisecond, predicted: time.Duration(v.Finish) * time.Millisecond}
 		}
 		return nil, time.Duration(v.Finish) * time.Millisecond, nil
 	case d := <-b.dones:
@@ -169,7 +169,7 @@
 
 // awaitDone waits for the results as long as the leader answers that it works
 // on them.
-func (b *job) awaitDone(ctx context.Context, ping func()) (*wire.StagesDone, error) {
+func (b *submission) awaitDone(ctx context.Context, ping func()) (*wire.StagesDone, error) {
 	timer := time.NewTimer(pingGap)
 	defer timer.Stop()
 	asked := false
@@ -198,18 +198,18 @@
 	}
 }
 
-// toLeader hands a message to a leader, which may be this node.
-func (n *Node) toLeader(to wire.Entry, m wire.Message) {
+// sendToLeader hands a message to a leader, which may be this node.
+func (n *Node) sendToLeader(to wire.Entry, m wire.Message) {
 	if to.Node != n.settings.Node {
 		n.links.Send(to.PeerAddress, m)
 		return
 	}
-	n.receive(n.hello(), m, func(m wire.Message) error {
+	n.handleMessage(n.hello(), m, func(m wire.Message) error {
 		switch m := m.(type) {
 		case wire.StagesVerdict:
-			n.jobs.verdict(&m)
+			n.submissions.verdict(&m)
 		case wire.StagesDone:
-			n.jobs.done(&m)
+			n.submissions.done(&m)
 		}
 		return nil
 	})
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -299,7 +299,7 @@
 		})
 	}
 	eventually(t, "exactly one node leads the stage pool", func() bool {
-		return (a.node.leads.Load() != 0) != (b.node.leads.Load() != 0)
+		return (a.node.claimedCells.Load() != 0) != (b.node.claimedCells.Load() != 0)
 	})
 	b.stop()
 	eventually(t, "the stopping node is named no more", func() bool {
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -106,10 +106,10 @@
 func (c *leader) complete(now time.Time, done stagepool.Complete) {
 	m, waits := c.place(now, done)
 	if !waits {
-		c.tell(done.Task, m)
+		c.sendDone(done.Task, m)
 		return
 	}
-	a := c.asks[done.Task]
+	a := c.modelRequests[done.Task]
 	until := now.Add(leastTurnWait)
 	if a.aim.After(until) {
 		until = a.aim
@@ -135,7 +135,7 @@
 		m, waits := c.place(now, w.done)
 		switch {
 		case !waits:
-			c.tell(w.done.Task, m)
+			c.sendDone(w.done.Task, m)
 		case now.Before(w.until):
 			kept = append(kept, w)
 		default:
@@ -152,19 +152,19 @@
 // giveUpTurn ends a request for which no turn came; the lock is held.
 func (c *leader) giveUpTurn(now time.Time, w turnWait) {
 	again := againSoon
-	if wait, ok := c.group.models.nextTurn(now, c.asks[w.done.Task].service); ok {
+	if wait, ok := c.group.models.nextTurn(now, c.modelRequests[w.done.Task].service); ok {
 		again = clampAgain(wait)
 	}
-	c.tell(w.done.Task, wire.StagesDone{Failed: noTurnReason, Again: again.Milliseconds()})
+	c.sendDone(w.done.Task, wire.StagesDone{Failed: noTurnReason, Again: again.Milliseconds()})
 	c.forget(w.done.Task)
-	c.carryOut(c.pool.Release(now, w.done.Task))
+	c.execute(c.pool.Release(now, w.done.Task))
 }
 
 // place chooses the endpoint for a request whose stages are done, or reports that it has to
 // wait for a turn; the lock is held.
 func (c *leader) place(now time.Time, done stagepool.Complete) (m wire.StagesDone, waits bool) {
 	m = wire.StagesDone{Handles: done.Handles}
-	a, ok := c.asks[done.Task]
+	a, ok := c.modelRequests[done.Task]
 	if !ok || !c.group.places() {
 		return m, false
 	}
@@ -186,9 +186,9 @@
 
 // settle counts the promise to a request as kept or over; the lock is held.
 func (c *leader) settle(id stagepool.TaskID) {
-	if a, ok := c.asks[id]; ok && a.promised {
+	if a, ok := c.modelRequests[id]; ok && a.promised {
 		a.promised = false
-		c.asks[id] = a
+		c.modelRequests[id] = a
 		c.group.models.settle(a.service)
 	}
 }
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -62,8 +62,8 @@
 	return f.packed
 }
 
-// takeConfig puts a configuration in force if it is above the present one.
-func (n *Node) takeConfig(data []byte, source string) {
+// applyConfig puts a configuration in force if it is above the present one.
+func (n *Node) applyConfig(data []byte, source string) {
 	if inForce := n.view.Load().file; inForce != nil && bytes.Equal(inForce.data, data) {
 		return
 	}
@@ -88,29 +88,29 @@
 	n.membersMu.Lock()
 	n.members.SetConfigVersion(cfg.Version)
 	n.membersMu.Unlock()
-	n.viewChanged()
+	n.updatePools()
 }
 
-// readEndpoints takes a list in that was read from the store at a moment.
-func (n *Node) readEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
-	fresh := n.readItself(func(own *discovery.DirectReads) { own.RecordList(at) })
-	n.changeEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
+// applyStoreEndpoints takes a list in that was read from the store at a moment.
+func (n *Node) applyStoreEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
+	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordList(at) })
+	n.updateEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
 }
 
-// readConfig notes that the store told this node its newest configuration as of a
+// recordConfigRead notes that the store told this node its newest configuration as of a
 // moment, whether it could be put in force or not.
-func (n *Node) readConfig(at time.Time) {
-	fresh := n.readItself(func(own *discovery.DirectReads) { own.RecordConfig(at) })
-	n.changeEndpoints(sourceStore, fresh, func() bool { return false })
+func (n *Node) recordConfigRead(at time.Time) {
+	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordConfig(at) })
+	n.updateEndpoints(sourceStore, fresh, func() bool { return false })
 }
 
-// readItself notes a read of the store and returns what this node knows by its own
+// recordRead notes a read of the store and returns what this node knows by its own
 // reads.
-func (n *Node) readItself(note func(*discovery.DirectReads)) discovery.Freshness {
+func (n *Node) recordRead(note func(*discovery.DirectReads)) discovery.Freshness {
 	n.viewMu.Lock()
 	defer n.viewMu.Unlock()
-	note(&n.own)
-	return n.own.Freshness(*n.readers.Load(), n.settings.Node)
+	note(&n.directReads)
+	return n.directReads.Freshness(*n.ranking.Load(), n.settings.Node)
 }
 
 // Where news of the view come from, in log lines.
@@ -119,9 +119,9 @@
 	sourcePeer  = "peer"
 )
 
-// changeEndpoints changes the list and puts it in force if anything changed, and
+// updateEndpoints changes the list and puts it in force if anything changed, and
 // notes as of when the view is the store's.
-func (n *Node) changeEndpoints(source string, fresh discovery.Freshness, change func() bool) {
+func (n *Node) updateEndpoints(source string, fresh discovery.Freshness, change func() bool) {
 	now := time.Now()
 	n.viewMu.Lock()
 	listAge := age(now, n.list.AsOf())
@@ -148,24 +148,24 @@
 	}
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.endpointsListed(next.fresh.List, next.endpoints)
+	n.updateGuardEndpoints(next.fresh.List, next.endpoints)
 	if next.revision.Era() > old.revision.Era() && old.revision != 0 {
 		n.log.Warn(eventStoreRestored, zap.Stringer("before", old.revision), zap.Stringer("after", next.revision), zap.Int("doubted", doubted), zap.String("source", source))
 	}
 	if next.revision != old.revision {
-		n.tellRevision(next.revision, old.fresh.Stale(now))
+		n.advertiseRevision(next.revision, old.fresh.Stale(now))
 	}
 	if changed {
-		n.viewChanged()
+		n.updatePools()
 	}
 }
 
-// tellRevision has the heartbeats tell the revision of the list, at once when it is the
+// advertiseRevision has the heartbeats tell the revision of the list, at once when it is the
 // first news in a while: then the readers are lost, and the nodes that would ask for
 // them may go on asking lost ones. With the readers and all that stand in for them first
 // lost, 61 nodes have dropped an endpoint 2.3 s after it left, and 4.2 s without this
 // (simulated time, TestLeaving, stand-ins-lost).
-func (n *Node) tellRevision(revision catalog.Revision, late bool) {
+func (n *Node) advertiseRevision(revision catalog.Revision, late bool) {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
 	n.members.SetListRevision(uint64(revision), late)
@@ -189,9 +189,9 @@
 	}
 }
 
-// viewChanged hands the view in force to the pools, once it is complete. Other nodes may
+// updatePools hands the view in force to the pools, once it is complete. Other nodes may
 // submit work before.
-func (n *Node) viewChanged() {
+func (n *Node) updatePools() {
 	n.poolsMu.Lock()
 	defer n.poolsMu.Unlock()
 	// The view is looked at under the lock, so that no older one is put in force after it.
@@ -204,8 +204,8 @@
 	n.leaders.update(time.Now(), v)
 }
 
-// answerView sends a peer what it lacks.
-func (n *Node) answerView(m *wire.ViewRequest, answer func(wire.Message) error) {
+// handleViewRequest sends a peer what it lacks.
+func (n *Node) handleViewRequest(m *wire.ViewRequest, answer func(wire.Message) error) {
 	n.viewMu.Lock()
 	v := n.view.Load()
 	delta := n.list.ChangesSince(catalog.Revision(m.EndpointsAbove))
@@ -230,32 +230,32 @@
 	_ = answer(out)
 }
 
-// longAgo is the age, in milliseconds, of what was never known.
-const longAgo = int64(24 * time.Hour / time.Millisecond)
+// unknownAge is the age, in milliseconds, of what was never known.
+const unknownAge = int64(24 * time.Hour / time.Millisecond)
 
 // age is how long ago a moment was, in milliseconds.
 func age(now, at time.Time) int64 {
 	if at.IsZero() {
-		return longAgo
+		return unknownAge
 	}
 	return now.Sub(at).Milliseconds()
 }
 
-// moment is the one that has an age, or zero.
-func moment(now time.Time, age int64) time.Time {
-	if age >= longAgo {
+// timeOfAge is the one that has an age, or zero.
+func timeOfAge(now time.Time, age int64) time.Time {
+	if age >= unknownAge {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// takeView takes a peer's answer in.
-func (n *Node) takeView(m *wire.View) {
+// applyView takes a peer's answer in.
+func (n *Node) applyView(m *wire.View) {
 	if len(m.Config) > 0 && m.ConfigVersion > n.view.Load().version() {
-		n.takePeerConfig(m)
+		n.applyPeerConfig(m)
 	}
 	if m.EvacuatedRevision > 0 {
-		n.takeEvacuations(sourcePeer, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
+		n.updateEvacuations(sourcePeer, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 			return present.Replace(now, catalog.Revision(m.EvacuatedRevision), m.Evacuated)
 		})
 	}
@@ -267,17 +267,17 @@
 		delta.Changed = append(delta.Changed, catalog.Endpoint(w))
 	}
 	now := time.Now()
-	fresh := discovery.Freshness{List: moment(now, m.Age), Primaries: moment(now, m.ReadersAge), Candidates: moment(now, m.StandInsAge)}
+	fresh := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.ReadersAge), Candidates: timeOfAge(now, m.StandInsAge)}
 	if m.ConfigVersion <= n.view.Load().version() && m.EvacuatedRevision > 0 {
 		// What the peer holds is in force here too. Of evacuations one of an earlier
 		// version knows nothing.
-		fresh.Config = moment(now, m.ConfigAge)
+		fresh.Config = timeOfAge(now, m.ConfigAge)
 	}
-	n.changeEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
+	n.updateEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
 }
 
-// takePeerConfig takes a configuration that a peer sent.
-func (n *Node) takePeerConfig(m *wire.View) {
+// applyPeerConfig takes a configuration that a peer sent.
+func (n *Node) applyPeerConfig(m *wire.View) {
 	data := m.Config
 	if m.Packed {
 		unpacked, err := packed.Unpack(data)
@@ -287,7 +287,7 @@
 		}
 		data = unpacked
 	}
-	n.takeConfig(data, sourcePeer)
+	n.applyConfig(data, sourcePeer)
 }
 
 // specs returns the endpoints of a service that take new work.
@@ -305,7 +305,7 @@
 		}
 		specs = append(specs, place.Spec{
 			Name: e.ID, Address: e.Address, Domain: e.Domain, Slots: max(e.Slots, 1),
-			CacheTokens: cache.Tokens, CanCopy: cache.SupportsCopy, Pace: paceOf(e.ID, v.coldness(service, e)),
+			CacheTokens: cache.Tokens, CanCopy: cache.SupportsCopy, Pace: paceOf(e.ID, v.coldPeriod(service, e)),
 		})
 	}
 	return specs
--- a/internal/node/views_test.go
+++ b/internal/node/views_test.go
@@ -50,7 +50,7 @@
 				next.endpoints[k] = catalog.Endpoint{ID: fmt.Sprintf("%s-%d", last, k), Service: "desk", Domain: platformtest.DefaultZone, Slots: 4}
 			}
 			n.view.Store(&next)
-			changing.Go(n.viewChanged)
+			changing.Go(n.updatePools)
 		}
 		changing.Wait()
 		if n.pools.byService["desk"].Find(last+"-0") == place.None {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// configEvery is how often the store is asked for configurations at most: in a
+	// minConfigInterval is how often the store is asked for configurations at most: in a
 	// storm of changes each is replaced before it matters.
-	configEvery = 400 * time.Millisecond
-	// firstPoll is how often a node that knows nothing yet looks whether it
+	minConfigInterval = 400 * time.Millisecond
+	// startPollInterval is how often a node that knows nothing yet looks whether it
 	// reads the store, and standInPoll how often one that serves looks whether it
 	// stands in for the readers: a change has few seconds to be in force.
-	firstPoll   = 50 * time.Millisecond
-	standInPoll = 100 * time.Millisecond
+	startPollInterval  = 50 * time.Millisecond
+	backupPollInterval = 100 * time.Millisecond
 )
 
 // watchConfig keeps the configuration current until ctx ends. A node that is
@@ -32,14 +32,14 @@
 	failed := 0
 	for ctx.Err() == nil {
 		asked := time.Now()
-		if !n.noteReads(asked, n.reads(asked)) {
+		if !n.updateReadsStore(asked, n.shouldReadStore(asked)) {
 			revision, failed = 0, 0
-			pause(ctx, n.untilAsked())
+			sleep(ctx, n.readerCheckInterval())
 			continue
 		}
-		wait := n.readers.Load().ConfigWait()
+		wait := n.ranking.Load().ConfigWait()
 		r, err := n.nextConfig(ctx, revision, failed, wait)
-		n.storeState(callConfig, err)
+		n.recordStoreResult(callConfig, err)
 		if err != nil {
 			// The next call reads the whole configuration, which confirms it at once
 			// and has a shorter limit than a question for changes.
@@ -49,37 +49,37 @@
 				continue
 			}
 			failed++
-			pause(ctx, discovery.RetryDelay(n.serves(), failed))
+			sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), failed))
 			continue
 		}
 		failed = 0
 		if r.Data != nil {
-			n.takeConfig(r.Data, sourceStore)
+			n.applyConfig(r.Data, sourceStore)
 		}
-		n.readEvacuations(r)
+		n.applyStoreEvacuations(r)
 		// A whole read is no wait, and tells the configuration as of its question.
-		n.readConfig(discovery.AnswerAsOf(asked, time.Now(), wait, r.Data != nil || revision == 0))
+		n.recordConfigRead(discovery.AnswerAsOf(asked, time.Now(), wait, r.Data != nil || revision == 0))
 		revision = r.Revision
 		// Other rows of the table also end the store's wait.
-		pause(ctx, configEvery-time.Since(asked))
+		sleep(ctx, minConfigInterval-time.Since(asked))
 	}
 }
 
-// untilAsked is how long a node that is no reader waits before it looks again
+// readerCheckInterval is how long a node that is no reader waits before it looks again
 // whether it is one.
-func (n *Node) untilAsked() time.Duration {
+func (n *Node) readerCheckInterval() time.Duration {
 	if n.view.Load().config == nil {
-		return firstPoll
+		return startPollInterval
 	}
-	return standInPoll
+	return backupPollInterval
 }
 
-// serves reports whether this node knows all that it serves by.
-func (n *Node) serves() bool { return n.view.Load().complete() }
+// hasCompleteView reports whether this node knows all that it hasCompleteView by.
+func (n *Node) hasCompleteView() bool { return n.view.Load().complete() }
 
 func (n *Node) nextConfig(ctx context.Context, after catalog.Revision, failed int, wait time.Duration) (platform.ConfigUpdate, error) {
 	if after == 0 {
-		return n.store.ReadConfig(ctx, discovery.ReadTimeout(n.serves(), failed))
+		return n.store.ReadConfig(ctx, discovery.ReadTimeout(n.hasCompleteView(), failed))
 	}
 	return n.store.AwaitConfig(ctx, after, wait)
 }
@@ -90,49 +90,49 @@
 	inVain, silent := 0, 0
 	for ctx.Err() == nil {
 		asked := time.Now()
-		if n.reads(asked) {
-			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.serves(), inVain))
-			n.storeState(callList, err)
+		if n.shouldReadStore(asked) {
+			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.hasCompleteView(), inVain))
+			n.recordStoreResult(callList, err)
 			if err != nil {
 				inVain++
-				pause(ctx, discovery.RetryDelay(n.serves(), inVain))
+				sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), inVain))
 				continue
 			}
 			inVain = 0
 			n.noteRefused(list.Refused)
-			n.readEndpoints(list.Endpoints, list.Revision, asked)
+			n.applyStoreEndpoints(list.Endpoints, list.Revision, asked)
 			silent++
-			n.askIfBack(silent)
-			pause(ctx, discovery.ReadInterval-time.Since(asked))
+			n.pollOwnReaders(silent)
+			sleep(ctx, discovery.ReadInterval-time.Since(asked))
 			continue
 		}
 		inVain = 0
 		v := n.view.Load()
 		if v.fresh.List.IsZero() {
 			// The first list is also asked for with each beat, of any node.
-			pause(ctx, firstPoll)
+			sleep(ctx, startPollInterval)
 			continue
 		}
 		if v.fresh.Stale(asked) {
 			silent++
 		}
-		n.askReader(n.readers.Load().Readers(asked.Sub(v.fresh.Primaries)), silent)
-		pause(ctx, discovery.PollInterval)
+		n.pollReader(n.ranking.Load().Readers(asked.Sub(v.fresh.Primaries)), silent)
+		sleep(ctx, discovery.PollInterval)
 	}
 }
 
-// reads reports whether this node reads the store itself.
-func (n *Node) reads(now time.Time) bool {
+// shouldReadStore reports whether this node shouldReadStore the store itself.
+func (n *Node) shouldReadStore(now time.Time) bool {
 	fresh := n.view.Load().fresh
 	if fresh.List.IsZero() || !n.view.Load().evacuations.Known() {
-		return len(n.settings.Seeds) == 0 || n.readers.Load().ReadsAtStart(n.settings.Node, now.Sub(n.started))
+		return len(n.settings.Seeds) == 0 || n.ranking.Load().ReadsAtStart(n.settings.Node, now.Sub(n.started))
 	}
-	return n.readers.Load().Reads(n.settings.Node, now, fresh)
+	return n.ranking.Load().Reads(n.settings.Node, now, fresh)
 }
 
-// noteReads logs when this node begins or ceases to read the store, and returns
+// updateReadsStore logs when this node begins or ceases to read the store, and returns
 // whether it does.
-func (n *Node) noteReads(now time.Time, reads bool) bool {
+func (n *Node) updateReadsStore(now time.Time, reads bool) bool {
 	if n.readsStore.Swap(reads) == reads {
 		return reads
 	}
@@ -159,7 +159,7 @@
 	n.entries.Store(&entries)
 	n.shareOut(time.Now(), entries)
 	readers := n.rankReaders(entries)
-	n.readers.Store(&readers)
+	n.ranking.Store(&readers)
 }
 
 func (n *Node) rankReaders(entries []wire.Entry) discovery.Ranking {
@@ -181,22 +181,22 @@
 	return names
 }
 
-// askIfBack has a node that reads in the place of others ask one of these, so that it
+// pollOwnReaders has a node that reads in the place of others ask one of these, so that it
 // leaves it to them once they are back.
-func (n *Node) askIfBack(turn int) {
-	readers := n.readers.Load()
+func (n *Node) pollOwnReaders(turn int) {
+	readers := n.ranking.Load()
 	switch {
 	case readers.IsPrimary(n.settings.Node):
 	case readers.IsCandidate(n.settings.Node):
-		n.askReader(readers.Readers(0), turn)
+		n.pollReader(readers.Readers(0), turn)
 	default:
-		n.askReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), turn)
+		n.pollReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), turn)
 	}
 }
 
-// askReader asks one of the readers for what is new, the next one after each try that
+// pollReader asks one of the readers for what is new, the next one after each try that
 // failed.
-func (n *Node) askReader(readers []string, failed int) {
+func (n *Node) pollReader(readers []string, failed int) {
 	v := n.view.Load()
 	name := discovery.ReaderFor(readers, n.settings.Node, failed)
 	for _, e := range entriesOf(*n.entries.Load(), []string{name}) {
@@ -216,8 +216,8 @@
 // String returns the name in log lines.
 func (c storeCall) String() string { return [...]string{"configuration", "endpoints"}[c] }
 
-// storeState logs when the store is lost or regained for a kind of call.
-func (n *Node) storeState(call storeCall, err error) {
+// recordStoreResult logs when the store is lost or regained for a kind of call.
+func (n *Node) recordStoreResult(call storeCall, err error) {
 	lost := err != nil
 	if n.storeLost[call].Swap(lost) == lost {
 		return
@@ -229,7 +229,7 @@
 	n.log.Info(eventStoreReached, zap.Stringer("call", call))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(max(d, 0))
 	defer timer.Stop()
 	select {
