--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -71,11 +71,11 @@
 	}
 }
 
-// watchCells tells the pools of this node's cells whether another leader is at
+// updateCells tells the pools of this node's cells whether another leader is at
 // work there. When this node leaves and another stays, or one of higher rank claims
 // a cell too, it gives back what has not begun, and its claim when all tasks have
 // ended.
-func (n *Node) watchCells() {
+func (n *Node) updateCells() {
 	own := n.claimedCells.Load()
 	leaves := n.stopping() && n.hasSuccessor(time.Now())
 	for cell := 0; own>>cell != 0; cell++ {
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -20,7 +20,7 @@
 	for _, e := range endpoints {
 		n.log.Info(eventEndpointDraining, zap.String("endpoint", e), zap.String("source", source))
 		n.pools.drain(e)
-		n.leaders.models.drain(e)
+		n.leaders.modelPools.drain(e)
 	}
 	n.signals.mu.Lock()
 	n.signals.pending, n.signals.viewStale = true, true
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -180,13 +180,13 @@
 		}
 		return c.endpoint.ID
 	}
-	if got := uses(n.pools) + uses(n.leaders.models); got != "" {
+	if got := uses(n.pools) + uses(n.leaders.modelPools); got != "" {
 		t.Errorf("endpoint %s is used before evacuations are known", got)
 	}
 	n.updateEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		return present.Replace(now, 5, []string{platformtest.DefaultZone})
 	})
-	if own, placed := uses(n.pools), uses(n.leaders.models); own != "b" || placed != "b" {
+	if own, placed := uses(n.pools), uses(n.leaders.modelPools); own != "b" || placed != "b" {
 		t.Errorf("endpoints %q and %q are used, want b alone", own, placed)
 	}
 }
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -68,7 +68,7 @@
 	}
 	for _, domain := range old.evacuations.Domains() {
 		if !next.evacuations.Contains(domain) {
-			n.log.Info(eventEvacuationOver, zap.String("failure_domain", domain), zap.Int("endpoints", next.endpointsIn(domain)), zap.Stringer("revision", next.evacuations.Revision()), zap.String("source", source))
+			n.log.Info(eventEvacuationEnded, zap.String("failure_domain", domain), zap.Int("endpoints", next.endpointsIn(domain)), zap.Stringer("revision", next.evacuations.Revision()), zap.String("source", source))
 		}
 	}
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -8,7 +8,7 @@
 	// An attempt at an endpoint without a usable answer.
 	eventAttemptFailed = "attempt failed"
 	// An answer that broke off.
-	eventAnswerBroke = "answer broke"
+	eventAnswerBroken = "answer broke"
 	// An endpoint said that it has not run a request.
 	eventEndpointDeclined = "endpoint declined"
 	// The rate limit that an endpoint advertises changed.
@@ -24,7 +24,7 @@
 	// An endpoint rejected a request and asked this node to send nothing for a while.
 	eventEndpointBackoff = "endpoint backoff"
 	// A stream that broke off.
-	eventStreamBroke = "stream broke"
+	eventStreamBroken = "stream broke"
 	// A leader did not answer and is passed over for a while.
 	eventLeaderLost = "leader lost"
 	// A call of a stage service that made all its pieces.
@@ -52,7 +52,7 @@
 	// An endpoint is new in the list, or began or ended to leave.
 	eventEndpointListed = "endpoint listed"
 	// An endpoint left the list.
-	eventEndpointGone = "endpoint gone"
+	eventEndpointRemoved = "endpoint gone"
 	// An entry of the list of endpoints names none to use.
 	eventEntryRefused = "entry refused"
 	// The number of endpoints that are used although the store does not list them
@@ -60,7 +60,7 @@
 	eventEndpointsKept = "endpoints kept"
 	// Nothing further is sent to the endpoints of a failure domain, or again.
 	eventEvacuationInForce = "evacuation in force"
-	eventEvacuationOver    = "evacuation over"
+	eventEvacuationEnded   = "evacuation over"
 	// A row that evacuates a failure domain is not as it should be.
 	eventEvacuationRefused = "evacuation not as expected"
 	// The number of known nodes changed.
@@ -72,19 +72,19 @@
 	// The platform's store does not answer this node.
 	eventStoreLost = "store lost"
 	// The store answers again.
-	eventStoreReached = "store reached"
+	eventStoreRecovered = "store reached"
 	// This node reads the store itself, as a reader or in the readers' place.
-	eventReadsStore = "reads the store"
+	eventStoreReadsStarted = "reads the store"
 	// This node leaves the store to its readers.
-	eventReadsStoreNoMore = "reads the store no more"
+	eventStoreReadsEnded = "reads the store no more"
 	// Runs of requests broke off at an endpoint without a whole answer, and whether it
 	// refuses connections now.
-	eventRunBroke = "run broke"
+	eventRunBroken = "run broke"
 	// An endpoint ended under the requests that ran there, or did not although it was
 	// taken to have.
 	eventEndpointCrashed = "endpoint ended under requests"
 	// A request is refused from now on, since endpoints ended under it.
-	eventPoison = "request crashes endpoints"
+	eventPoisonRefused = "request crashes endpoints"
 	// Another node told that a request crashes endpoints.
 	eventPoisonReceived = "heard of a request that crashes endpoints"
 	// A request is refused no more, since it was served or the ends were none.
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -372,7 +372,7 @@
 	}
 	body, err := io.ReadAll(a.Body)
 	if err != nil {
-		n.log.Info(eventAnswerBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Error(err))
+		n.log.Info(eventAnswerBroken, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Error(err))
 		if event != attempt.Rejected {
 			event = attempt.NoResponse
 			n.recordBrokenRuns(limited, c.endpoint, time.Since(c.started), q.content)
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -54,7 +54,7 @@
 // submissions are the submissions of this node to leaders.
 type submissions struct {
 	mu       sync.Mutex
-	last     uint64
+	lastID   uint64
 	open     map[uint64]*submission
 	suspects map[string]suspicion
 	// leaving are the incarnations of the nodes that answered that they leave.
@@ -63,8 +63,8 @@
 
 // suspicion keeps a node from leading until a moment, or until it is heard of.
 type suspicion struct {
-	until time.Time
-	lasts time.Duration
+	until  time.Time
+	period time.Duration
 }
 
 // submission is one submission.
@@ -83,9 +83,9 @@
 func (j *submissions) add(address string) *submission {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.last++
+	j.lastID++
 	b := &submission{
-		id: j.last, address: address, verdicts: make(chan *wire.StagesVerdict, 1),
+		id: j.lastID, address: address, verdicts: make(chan *wire.StagesVerdict, 1),
 		dones: make(chan *wire.StagesDone, 1), broken: make(chan struct{}, 1),
 	}
 	j.open[b.id] = b
@@ -104,15 +104,15 @@
 	return j.open[id]
 }
 
-func (j *submissions) verdict(m *wire.StagesVerdict) {
+func (j *submissions) deliverVerdict(m *wire.StagesVerdict) {
 	if b := j.find(m.ID); b != nil {
-		offer(b.verdicts, m)
+		trySend(b.verdicts, m)
 	}
 }
 
-func (j *submissions) done(m *wire.StagesDone) {
+func (j *submissions) deliverResults(m *wire.StagesDone) {
 	if b := j.find(m.ID); b != nil {
-		offer(b.dones, m)
+		trySend(b.dones, m)
 	}
 }
 
@@ -122,12 +122,12 @@
 	defer j.mu.Unlock()
 	for _, b := range j.open {
 		if b.address == address {
-			offer(b.broken, struct{}{})
+			trySend(b.broken, struct{}{})
 		}
 	}
 }
 
-func offer[T any](c chan T, v T) {
+func trySend[T any](c chan T, v T) {
 	select {
 	case c <- v:
 	default:
@@ -141,9 +141,9 @@
 	old := j.suspects[address]
 	lasts := minSuspectPeriod
 	if now.Before(old.until.Add(minSuspectPeriod)) {
-		lasts = min(2*old.lasts, maxSuspectPeriod)
+		lasts = min(2*old.period, maxSuspectPeriod)
 	}
-	j.suspects[address] = suspicion{until: now.Add(lasts), lasts: lasts}
+	j.suspects[address] = suspicion{until: now.Add(lasts), period: lasts}
 	j.mu.Unlock()
 	j.connectionLost(address)
 }
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -18,8 +18,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
 		b := j.add("leader")
-		time.AfterFunc(9*time.Second, func() { j.done(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
-		d, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
+		time.AfterFunc(9*time.Second, func() { j.deliverResults(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
+		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
 		if err != nil || len(d.Handles) != 1 {
 			t.Fatalf("slow leader: %v, %v", d, err)
 		}
@@ -30,7 +30,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newJobs().add("leader")
 		started := time.Now()
-		_, err := b.awaitDone(context.Background(), func() {})
+		_, err := b.awaitResults(context.Background(), func() {})
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want a lost leader", err)
 		}
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		j := newJobs()
 		b := j.add("leader")
-		_, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id}) })
+		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id}) })
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want a lost leader", err)
 		}
@@ -65,7 +65,7 @@
 			j.suspect(time.Now(), "leader")
 		}()
 		started := time.Now()
-		if _, err := waiting.awaitDone(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
+		if _, err := waiting.awaitResults(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v", err)
 		}
 		if took := time.Since(started); took > 60*time.Millisecond {
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	leaderTick = 20 * time.Millisecond
+	leaderTickInterval = 20 * time.Millisecond
 	// statsLogInterval is how often the state of a pool is logged.
 	statsLogInterval = time.Second
 	// contentionPeriod is how long the calls of another leader may still wait at
@@ -32,24 +32,24 @@
 	id          uint64
 }
 
-// owner is where the news of a task go.
-type owner struct {
+// taskOwner is where the news of a task go.
+type taskOwner struct {
 	key    taskKey
 	answer func(wire.Message) error
 }
 
 // leaders holds the stage pools that this node leads.
 type leaders struct {
-	log     *zap.Logger
-	workers *platform.WorkerClient
-	meters  *meters
-	models  *pools
-	budget  func() stagepool.RetryBudget
-	pace    func(catalog.Endpoint) intake.Pace
-	off     mechanism.Disabled
-	mu      sync.Mutex
-	view    *view
-	cells   map[int]*leader
+	log        *zap.Logger
+	workers    *platform.WorkerClient
+	meters     *meters
+	modelPools *pools
+	budget     func() stagepool.RetryBudget
+	pace       func(catalog.Endpoint) intake.Pace
+	off        mechanism.Disabled
+	mu         sync.Mutex
+	view       *view
+	cells      map[int]*leader
 	// learnOnUpdate tells that the engines are to be asked what they hold as soon as
 	// there is a view.
 	learnOnUpdate bool
@@ -63,20 +63,20 @@
 	cell   int
 	mu     sync.Mutex
 	pool   *stagepool.Pool
-	owners map[stagepool.TaskID]owner
+	owners map[stagepool.TaskID]taskOwner
 	tasks  map[taskKey]stagepool.TaskID
 	// modelRequests are what the requests ask of their models, placed where they were
 	// sent until their answers begin, turnWaits those that can't be sent yet.
 	modelRequests map[stagepool.TaskID]ask
 	placed        map[stagepool.TaskID]*placed
 	turnWaits     []turnWait
-	logged        time.Time
+	lastLogged    time.Time
 	// ticking tells whether the ticker runs; it does while there are tasks.
 	ticking bool
 }
 
 func newLeaders(log *zap.Logger, workers *platform.WorkerClient, models *pools, budget func() stagepool.RetryBudget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Disabled) *leaders {
-	return &leaders{log: log, workers: workers, models: models, budget: budget, pace: pace, off: off, cells: make(map[int]*leader)}
+	return &leaders{log: log, workers: workers, modelPools: models, budget: budget, pace: pace, off: off, cells: make(map[int]*leader)}
 }
 
 func (l *leaders) update(now time.Time, v *view) {
@@ -85,7 +85,7 @@
 	asks := l.learnOnUpdate
 	l.learnOnUpdate = false
 	l.mu.Unlock()
-	l.models.update(v)
+	l.modelPools.update(v)
 	for _, c := range l.all() {
 		c.configure(now, v)
 	}
@@ -110,7 +110,7 @@
 	}
 	c = &leader{
 		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
-		owners: make(map[stagepool.TaskID]owner), tasks: make(map[taskKey]stagepool.TaskID),
+		owners: make(map[stagepool.TaskID]taskOwner), tasks: make(map[taskKey]stagepool.TaskID),
 		modelRequests: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
 	}
 	l.cells[cell] = c
@@ -174,7 +174,7 @@
 }
 
 // submit takes a request's stages.
-func (l *leaders) submit(o owner, m *wire.StagesSubmit) {
+func (l *leaders) submit(o taskOwner, m *wire.StagesSubmit) {
 	c := l.get(m.Cell)
 	if c == nil {
 		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: time.Second.Milliseconds()})
@@ -182,7 +182,7 @@
 	}
 	now := time.Now()
 	wants := askOf(now, m)
-	f := l.models.predict(now, wants.at(now), m.Extra)
+	f := l.modelPools.predict(now, wants.at(now), m.Extra)
 	t := stagepool.Task{
 		RequestID: m.RequestID, Key: m.Key, Priority: m.Priority, Domain: f.domain,
 		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.read),
@@ -199,7 +199,7 @@
 	if latest := t.SoftDeadline.Add(t.Allowance); latest.After(by) {
 		by = latest
 	}
-	if again, ok := l.models.admits(now, m.Model, by); !ok && l.places() {
+	if again, ok := l.modelPools.admits(now, m.Model, by); !ok && l.places() {
 		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: again.Milliseconds(), Reason: noTurnReason})
 		return
 	}
@@ -208,7 +208,7 @@
 	verdict, actions := c.pool.Submit(now, t)
 	if verdict.Accepted {
 		wants.promised = true
-		l.models.promise(m.Model)
+		l.modelPools.promise(m.Model)
 		c.owners[verdict.ID] = o
 		c.tasks[o.key] = verdict.ID
 		c.modelRequests[verdict.ID] = wants
@@ -248,14 +248,14 @@
 		c.mu.Lock()
 		if id, ok := c.tasks[key]; ok {
 			c.endPlaced(id, how)
-			c.forget(id)
+			c.removeTask(id)
 			c.execute(c.pool.Release(time.Now(), id))
 		}
 		c.mu.Unlock()
 	}
 }
 
-func (c *leader) forget(id stagepool.TaskID) {
+func (c *leader) removeTask(id stagepool.TaskID) {
 	c.endPlaced(id, wire.PlacementUnused)
 	c.settle(id)
 	delete(c.modelRequests, id)
@@ -269,7 +269,7 @@
 		return
 	}
 	c.ticking = true
-	time.AfterFunc(leaderTick, func() {
+	time.AfterFunc(leaderTickInterval, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.ticking = false
@@ -284,10 +284,10 @@
 
 // logState writes the state of the pool now and then; the lock is held.
 func (c *leader) logState(now time.Time) {
-	if now.Sub(c.logged) < statsLogInterval {
+	if now.Sub(c.lastLogged) < statsLogInterval {
 		return
 	}
-	c.logged = now
+	c.lastLogged = now
 	for _, s := range c.pool.Stats(now) {
 		c.group.log.Info(eventStageService, zap.Int("cell", c.cell), zap.String("service", s.Service),
 			zap.Int("endpoints", s.Endpoints), zap.Int("busy", s.Busy), zap.Int("queued", s.Queued), zap.Int("backlog", s.Backlog),
@@ -309,7 +309,7 @@
 			c.complete(time.Now(), a)
 		case stagepool.Fail:
 			c.sendDone(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
-			c.forget(a.Task)
+			c.removeTask(a.Task)
 		}
 	}
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -235,7 +235,7 @@
 		t.Fatal(err)
 	}
 	s := &stub{Entry: wire.Entry{Node: name, Incarnation: 1, PeerAddress: listener.Addr().String()}}
-	self := wire.Hello{Version: wire.Version, System: system, Role: wire.RoleNode, Node: name, Incarnation: 1}
+	self := wire.Hello{Version: wire.Version, System: systemName, Role: wire.RoleNode, Node: name, Incarnation: 1}
 	server := peer.NewServer(listener, self, &peer.Security{}, []wire.Role{wire.RoleNode}, func(c *peer.Conn) {
 		answer := onConnection()
 		for {
@@ -312,7 +312,7 @@
 	}
 	n := submitter(t, append(stubs, last)...)
 	for range 2 {
-		got, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), aim: time.Now().Add(longWait)})
+		got, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), softDeadline: time.Now().Add(longWait)})
 		if err != nil || got.leader != last.Node {
 			t.Errorf("leader %q, %v; want %q", got.leader, err, last.Node)
 		}
@@ -332,7 +332,7 @@
 	names := inRank(2)
 	outranked, third := startStub(t, names[0], givesBack), startStub(t, names[1], makes)
 	n := submitter(t, outranked, third)
-	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), aim: time.Now().Add(longWait)})
+	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longWait), softDeadline: time.Now().Add(longWait)})
 	var refused *refusal
 	if !errors.As(err, &refused) || refused.reason != errHandedOff.Error() {
 		t.Errorf("got %v, want a refusal for %q", err, errHandedOff)
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -40,7 +40,7 @@
 	m.set.NewGauge("gradetiller_reads_store", func() float64 { return boolValue(n.readsStore.Load()) })
 	m.set.NewGauge("gradetiller_configurations_refused_total", func() float64 { return float64(n.configsRefused.Load()) })
 	m.set.NewGauge("gradetiller_members_live", func() float64 { return float64(n.liveNodes.Load()) })
-	m.set.NewGauge("gradetiller_store_lost", func() float64 { return boolValue(n.storeLost[callConfig].Load() || n.storeLost[callList].Load()) })
+	m.set.NewGauge("gradetiller_store_lost", func() float64 { return boolValue(n.storeLost[callConfig].Load() || n.storeLost[callEndpoints].Load()) })
 	m.set.NewGauge("gradetiller_draining", func() float64 { return boolValue(n.stopping()) })
 	m.set.NewGauge("gradetiller_cells_led", func() float64 { return float64(n.cellsLed()) })
 	m.set.NewGauge("gradetiller_poison_suspects", func() float64 { suspects, _ := n.poisonGuard.sizes(); return float64(suspects) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,10 +29,10 @@
 
 const (
 	// maxLookupTTL is how long a look-up answer may be held.
-	maxLookupTTL  = 2 * time.Second
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 40 * time.Second
-	maxHeader     = 64 << 10
+	maxLookupTTL   = 2 * time.Second
+	headerTimeout  = 3 * time.Second
+	idleTimeout    = 40 * time.Second
+	maxHeaderBytes = 64 << 10
 	// retrySlackShare is the part of the fixed allowance of repeats that the
 	// nodes together use.
 	retrySlackShare = 0.5
@@ -118,7 +118,7 @@
 
 	// storeLost tells whether the last call of each kind to the store failed,
 	// readsStore whether this node read the store when it last looked.
-	storeLost      [storeCalls]atomic.Bool
+	storeLost      [storeCallCount]atomic.Bool
 	readsStore     atomic.Bool
 	configsRefused atomic.Int64
 	// keptEndpoints counts the endpoints that are used although the store does not
@@ -166,7 +166,7 @@
 	n := &Node{
 		settings: s, incarnation: settings.Incarnation(), started: time.Now(), log: zap.NewNop(),
 		submissions: newJobs(), times: newTimes(), sizes: &sizes{usual: make(map[string]float64)},
-		verdictTimeouts: verdictTimeouts{first: verdictTimeout, second: reconnectVerdictTimeout},
+		verdictTimeouts: verdictTimeouts{first: verdictTimeout, afterReconnect: reconnectVerdictTimeout},
 		peerAddress:     s.PeerAddress,
 	}
 	for _, o := range options {
@@ -276,7 +276,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	s := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		BaseContext: func(net.Listener) context.Context { return n.requestContext },
 	}
 	go func() { _ = s.Serve(listener) }()
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -25,11 +25,11 @@
 	maxSuspectPeriod = 4 * time.Second
 )
 
-// system names the system towards peers.
-const system = "gradetiller"
+// systemName names the systemName towards peers.
+const systemName = "gradetiller"
 
 func (n *Node) hello() wire.Hello {
-	return wire.Hello{Version: wire.Version, System: system, Role: wire.RoleNode, Node: n.settings.Node, Incarnation: n.incarnation}
+	return wire.Hello{Version: wire.Version, System: systemName, Role: wire.RoleNode, Node: n.settings.Node, Incarnation: n.incarnation}
 }
 
 // runMembers beats until ctx ends.
@@ -68,7 +68,7 @@
 		n.applyEntries(entries)
 	}
 	n.requestView(now, ahead)
-	n.watchCells()
+	n.updateCells()
 }
 
 // peerAhead returns the address of a node that is known to have a newer configuration than
@@ -271,9 +271,9 @@
 		known := n.leaders.knows(taskKey{from.Node, from.Incarnation, m.ID})
 		_ = answer(wire.StagesVerdict{ID: m.ID, Accepted: known})
 	case *wire.StagesVerdict:
-		n.submissions.verdict(m)
+		n.submissions.deliverVerdict(m)
 	case *wire.StagesDone:
-		n.submissions.done(m)
+		n.submissions.deliverResults(m)
 	default:
 		n.log.Warn(eventUnexpectedMessage, zap.String("node", from.Node))
 	}
@@ -290,7 +290,7 @@
 		return
 	}
 	n.claim(m.Cell)
-	n.leaders.submit(owner{key: taskKey{from.Node, from.Incarnation, m.ID}, answer: answer}, m)
+	n.leaders.submit(taskOwner{key: taskKey{from.Node, from.Incarnation, m.ID}, answer: answer}, m)
 }
 
 // selfGossip tells a node what this one tells of itself. A node of an earlier version
@@ -314,8 +314,8 @@
 const (
 	// maxJoinWait is how long a node that was just started waits for others
 	// before it takes itself for the only one.
-	maxJoinWait = 2 * time.Second
-	joinPoll    = 20 * time.Millisecond
+	maxJoinWait      = 2 * time.Second
+	joinPollInterval = 20 * time.Millisecond
 	// settlePeriod is how long the known nodes that may lead must have stayed the
 	// same before a node that was just started takes them for all there are.
 	settlePeriod = 250 * time.Millisecond
@@ -371,6 +371,6 @@
 // awaitJoined waits until the node has joined.
 func (n *Node) awaitJoined(ctx context.Context) {
 	for !n.joined() && ctx.Err() == nil {
-		sleep(ctx, joinPoll)
+		sleep(ctx, joinPollInterval)
 	}
 }
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -36,7 +36,7 @@
 	l.mu.Lock()
 	var engines []catalog.Endpoint
 	if l.view != nil {
-		engines = l.models.cachingEndpoints(time.Now(), l.view)
+		engines = l.modelPools.cachingEndpoints(time.Now(), l.view)
 	}
 	// Work may come before the first list of endpoints, and the configuration too.
 	l.learnOnUpdate = len(engines) == 0
@@ -63,7 +63,7 @@
 	for i, part := range held {
 		parts[i] = place.Part(part)
 	}
-	l.models.hold(e, parts)
+	l.modelPools.hold(e, parts)
 	l.log.Info(eventCacheLearned, zap.String("endpoint", e.ID), zap.Int("parts", len(parts)))
 }
 
@@ -83,6 +83,6 @@
 		PrefillTokens: read, OK: how == wire.PlacementServed, Neutral: how == wire.PlacementUnused || how == wire.PlacementRejected, Unreachable: how == wire.PlacementUnreachable,
 	})
 	if how == wire.PlacementRejected {
-		c.group.models.backoff(at.endpoint.ID, now.Add(rejectedHold))
+		c.group.modelPools.backoff(at.endpoint.ID, now.Add(rejectedHold))
 	}
 }
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, id := range out.Refused {
-		n.log.Warn(eventPoison, zap.Stringer("content", id), zap.Strings("ended", p.crashes(id)))
+		n.log.Warn(eventPoisonRefused, zap.Stringer("content", id), zap.Strings("ended", p.crashes(id)))
 		n.failRefused(id)
 	}
 	for _, id := range out.RefusedByPeers {
@@ -161,7 +161,7 @@
 func (n *Node) probe(e catalog.Endpoint) {
 	refuses := n.refusesConnections(e)
 	n.meters.probed(refuses)
-	n.log.Info(eventRunBroke, zap.String("endpoint", e.ID), zap.Bool("refuses", refuses))
+	n.log.Info(eventRunBroken, zap.String("endpoint", e.ID), zap.Bool("refuses", refuses))
 }
 
 // refusesConnections asks whether an endpoint refuses connections.
--- a/internal/node/silent_test.go
+++ b/internal/node/silent_test.go
@@ -33,7 +33,7 @@
 	// The connection has been there for a while.
 	n.links.Send(first.PeerAddress, wire.StagesPing{ID: 1})
 	eventually(t, "the connection is open", func() bool { return connections.Load() == 1 })
-	n.verdictTimeouts.second = time.Minute
+	n.verdictTimeouts.afterReconnect = time.Minute
 	for range 5 {
 		got, err := n.runStages(context.Background(), shortWork())
 		if err != nil {
@@ -55,5 +55,5 @@
 // shortWork is some work with time enough.
 func shortWork() stageWork {
 	now := time.Now()
-	return stageWork{aim: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
+	return stageWork{softDeadline: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
 }
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -154,7 +154,7 @@
 		RequestID: q.in.RequestID, Key: q.in.PieceKey, Priority: q.priority,
 		Model: q.service, Prefix: q.prefix, Tokens: q.in.PromptTokens, Parts: q.promptParts(), Content: bytesOf(q.content),
 	}}
-	work.aim = q.arrived.Add(q.route.Objective)
+	work.softDeadline = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
 	if !n.disabled.Has(mechanism.Sizes) {
 		work.submit.Extra = n.sizes.extra(q.route.Name, q.in.PromptTokens)
@@ -268,7 +268,7 @@
 	now := time.Now()
 	c.end(now, place.Result{OK: err == nil, Neutral: parent.Err() != nil, Load: load(a, now)})
 	if err != nil {
-		n.log.Info(eventStreamBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
+		n.log.Info(eventStreamBroken, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
 		if !errors.Is(err, errClientGone) {
 			n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), q.content)
 		}
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -20,22 +20,22 @@
 	// reconnectVerdictTimeout is how long it may take on a connection that was just opened
 	// because the one before had fallen silent.
 	reconnectVerdictTimeout = 150 * time.Millisecond
-	// pingGap is how often a leader is asked whether it is still at work. A
+	// pingInterval is how often a leader is asked whether it is still at work. A
 	// leader that is slow is left to its work: a second one would compete with
 	// it for the same endpoints and make both slower.
-	pingGap           = 400 * time.Millisecond
+	pingInterval      = 400 * time.Millisecond
 	maxLeaderAttempts = 3
 )
 
 // verdictTimeouts is how long a leader has for its verdict, at first and on a renewed
 // connection.
-type verdictTimeouts struct{ first, second time.Duration }
+type verdictTimeouts struct{ first, afterReconnect time.Duration }
 
 // stageWork is a request's stages, in absolute times.
 type stageWork struct {
-	submit   wire.StagesSubmit
-	aim      time.Time
-	deadline time.Time
+	submit       wire.StagesSubmit
+	softDeadline time.Time
+	deadline     time.Time
 }
 
 // stageResults are the results of a request's last stages.
@@ -69,7 +69,7 @@
 		}
 		limit := n.verdictTimeouts.first
 		if silent == leader.Node {
-			limit = n.verdictTimeouts.second
+			limit = n.verdictTimeouts.afterReconnect
 		}
 		asked := time.Now()
 		results, err := n.tryLeader(ctx, leader, w, limit)
@@ -83,7 +83,7 @@
 			// if a new one reaches it: a second leader that was asked instead would
 			// claim the cell, and all nodes would change to it and back.
 			silent = leader.Node
-			n.renewLink(leader, asked)
+			n.reconnect(leader, asked)
 			continue
 		case errors.Is(err, errLeaderLost):
 			n.suspectLeader(leader, w)
@@ -96,10 +96,10 @@
 	return stageResults{}, &refusal{reason: last.Error(), retryAfter: time.Second}
 }
 
-// renewLink gives the connection to a node up on which the answer to what was asked at
+// reconnect gives the connection to a node up on which the answer to what was asked at
 // a moment did not come, and tells all jobs that were sent on it. One that was opened
 // later stays.
-func (n *Node) renewLink(to wire.Entry, asked time.Time) {
+func (n *Node) reconnect(to wire.Entry, asked time.Time) {
 	if n.links.Renew(to.PeerAddress, asked) {
 		n.submissions.connectionLost(to.PeerAddress)
 	}
@@ -117,7 +117,7 @@
 	b := n.submissions.add(to.PeerAddress)
 	now := time.Now()
 	w.submit.ID = b.id
-	w.submit.Aim = w.aim.Sub(now).Milliseconds()
+	w.submit.Aim = w.softDeadline.Sub(now).Milliseconds()
 	w.submit.Deadline = w.deadline.Sub(now).Milliseconds()
 	n.sendToLeader(to, &w.submit)
 	var once sync.Once
@@ -129,7 +129,7 @@
 	}
 	done, predicted, err := b.awaitVerdict(ctx, limit)
 	if err == nil && done == nil {
-		done, err = b.awaitDone(ctx, func() { n.sendToLeader(to, &wire.StagesPing{ID: b.id}) })
+		done, err = b.awaitResults(ctx, func() { n.sendToLeader(to, &wire.StagesPing{ID: b.id}) })
 	}
 	if err != nil {
 		release(wire.PlacementUnused)
@@ -167,10 +167,10 @@
 	return nil, 0, errLeaderLost
 }
 
-// awaitDone waits for the results as long as the leader answers that it works
+// awaitResults waits for the results as long as the leader answers that it works
 // on them.
-func (b *submission) awaitDone(ctx context.Context, ping func()) (*wire.StagesDone, error) {
-	timer := time.NewTimer(pingGap)
+func (b *submission) awaitResults(ctx context.Context, ping func()) (*wire.StagesDone, error) {
+	timer := time.NewTimer(pingInterval)
 	defer timer.Stop()
 	asked := false
 	for {
@@ -182,7 +182,7 @@
 				return nil, errLeaderLost
 			}
 			asked = false
-			timer.Reset(pingGap)
+			timer.Reset(pingInterval)
 		case <-timer.C:
 			if asked {
 				return nil, errLeaderLost
@@ -207,9 +207,9 @@
 	n.handleMessage(n.hello(), m, func(m wire.Message) error {
 		switch m := m.(type) {
 		case wire.StagesVerdict:
-			n.submissions.verdict(&m)
+			n.submissions.deliverVerdict(&m)
 		case wire.StagesDone:
-			n.submissions.done(&m)
+			n.submissions.deliverResults(&m)
 		}
 		return nil
 	})
--- a/internal/node/turns.go
+++ b/internal/node/turns.go
@@ -152,11 +152,11 @@
 // giveUpTurn ends a request for which no turn came; the lock is held.
 func (c *leader) giveUpTurn(now time.Time, w turnWait) {
 	again := againSoon
-	if wait, ok := c.group.models.nextTurn(now, c.modelRequests[w.done.Task].service); ok {
+	if wait, ok := c.group.modelPools.nextTurn(now, c.modelRequests[w.done.Task].service); ok {
 		again = clampAgain(wait)
 	}
 	c.sendDone(w.done.Task, wire.StagesDone{Failed: noTurnReason, Again: again.Milliseconds()})
-	c.forget(w.done.Task)
+	c.removeTask(w.done.Task)
 	c.execute(c.pool.Release(now, w.done.Task))
 }
 
@@ -171,9 +171,9 @@
 	wants := a.at(now)
 	wants.prompt.InputDomain = done.Domain
 	wants.prompt.InputBytes = done.Bytes
-	at, ok := c.group.models.choose(now, wants)
+	at, ok := c.group.modelPools.choose(now, wants)
 	if !ok {
-		wait, turns := c.group.models.nextTurn(now, wants.service)
+		wait, turns := c.group.modelPools.nextTurn(now, wants.service)
 		return m, turns && wait > 0
 	}
 	c.settle(done.Task)
@@ -189,7 +189,7 @@
 	if a, ok := c.modelRequests[id]; ok && a.promised {
 		a.promised = false
 		c.modelRequests[id] = a
-		c.group.models.settle(a.service)
+		c.group.modelPools.settle(a.service)
 	}
 }
 
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -185,7 +185,7 @@
 		}
 	}
 	for id, e := range known {
-		n.log.Info(eventEndpointGone, zap.String("endpoint", id), zap.String("service", e.Service), zap.String("source", source), zap.Int64("list_age_ms", listAge))
+		n.log.Info(eventEndpointRemoved, zap.String("endpoint", id), zap.String("service", e.Service), zap.String("source", source), zap.Int64("list_age_ms", listAge))
 	}
 }
 
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -92,7 +92,7 @@
 		asked := time.Now()
 		if n.shouldReadStore(asked) {
 			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.hasCompleteView(), inVain))
-			n.recordStoreResult(callList, err)
+			n.recordStoreResult(callEndpoints, err)
 			if err != nil {
 				inVain++
 				sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), inVain))
@@ -142,14 +142,14 @@
 		zap.Int64("readers_age_ms", age(now, v.fresh.Primaries)), zap.Uint64("config", v.version()),
 	}
 	if reads {
-		n.log.Info(eventReadsStore, fields...)
+		n.log.Info(eventStoreReadsStarted, fields...)
 		return true
 	}
 	// It asks nothing any more that could fail.
 	for call := range n.storeLost {
 		n.storeLost[call].Store(false)
 	}
-	n.log.Info(eventReadsStoreNoMore, fields...)
+	n.log.Info(eventStoreReadsEnded, fields...)
 	return false
 }
 
@@ -209,8 +209,8 @@
 
 const (
 	callConfig storeCall = iota
-	callList
-	storeCalls
+	callEndpoints
+	storeCallCount
 )
 
 // String returns the name in log lines.
@@ -226,7 +226,7 @@
 		n.log.Warn(eventStoreLost, zap.Stringer("call", call), zap.Error(err))
 		return
 	}
-	n.log.Info(eventStoreReached, zap.Stringer("call", call))
+	n.log.Info(eventStoreRecovered, zap.Stringer("call", call))
 }
 
 func sleep(ctx context.Context, d time.Duration) {
