--- a/internal/node/cells.go
+++ b/internal/node/cells.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// endpointsPerCell is how many stage endpoints one leader serves. More of
-	// them are split into cells with a leader each.
+	// endpointsPerCell is the maximum number of stage endpoints per leader. If there are
+	// more, they are divided into cells with one leader each.
 	endpointsPerCell = 160
 )
 
-// cellCount is the number of cells for the endpoints of a view.
+// cellCount returns the number of cells for the endpoints of the view.
 func (v *view) cellCount() int {
 	n := 0
 	for _, e := range v.endpoints {
@@ -30,7 +30,8 @@
 	return max(1, (n+endpointsPerCell-1)/endpointsPerCell)
 }
 
-// cellEndpoints deals the endpoints of each stage service to the cells.
+// cellEndpoints returns the stage endpoints of a cell. The endpoints of each stage service
+// are distributed over the cells in turn.
 func (v *view) cellEndpoints(cell int) []catalog.Endpoint {
 	cells := v.cellCount()
 	sorted := slices.Clone(v.endpoints)
@@ -38,28 +39,28 @@
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.ID, b.ID))
 	})
 	var list []catalog.Endpoint
-	at := make(map[string]int)
+	position := make(map[string]int)
 	for _, e := range sorted {
 		if s, ok := v.config.Services[e.Service]; !ok || s.Batching == nil {
 			continue
 		}
-		if at[e.Service]%cells == cell {
-			// A stage pool knows no reason why an endpoint gets no more calls.
+		if position[e.Service]%cells == cell {
+			// A stage pool does not distinguish the reasons why an endpoint gets no more
+			// calls.
 			e.Draining = !v.evacuations.AcceptsWork(e)
 			list = append(list, e)
 		}
-		at[e.Service]++
+		position[e.Service]++
 	}
 	return list
 }
 
-// cellsLed is the number of cells that this node claims.
+// cellsLed returns the number of cells that this node claims.
 func (n *Node) cellsLed() int { return bits.OnesCount64(n.claimedCells.Load()) }
 
-// claim tells all nodes that this one leads a cell. A node that comes back
-// does not take its cell from the one that leads it by then: each change
-// leaves two leaders at the same endpoints for a while. A claim is no lease:
-// two leaders cost time only.
+// claim announces to all nodes that this one leads a cell. A node that returns does not
+// reclaim its cell from the present leader, since with each change two leaders use the same
+// endpoints for a while. A claim is not a lease: two leaders only cost time.
 func (n *Node) claim(cell int) {
 	if n.claimedCells.Or(lead.CellBit(cell))&lead.CellBit(cell) == 0 {
 		n.log.Info(eventCellClaimed, zap.Int("cell", cell))
@@ -71,15 +72,15 @@
 	}
 }
 
-// updateCells tells the pools of this node's cells whether another leader is at
-// work there. When this node leaves and another stays, or one of higher rank claims
-// a cell too, it gives back what has not begun, and its claim when all tasks have
-// ended.
+// updateCells informs the pools of this node's cells whether another leader claims them too.
+// If this node is leaving and another one stays, or if one of higher rank claims a cell too,
+// this node hands off the tasks that have not started, and releases its claim once all tasks
+// have ended.
 func (n *Node) updateCells() {
-	own := n.claimedCells.Load()
-	leaves := n.stopping() && n.hasSuccessor(time.Now())
-	for cell := 0; own>>cell != 0; cell++ {
-		if own&lead.CellBit(cell) == 0 {
+	claimed := n.claimedCells.Load()
+	leaving := n.stopping() && n.hasSuccessor(time.Now())
+	for cell := 0; claimed>>cell != 0; cell++ {
+		if claimed&lead.CellBit(cell) == 0 {
 			continue
 		}
 		shared := n.isCellShared(cell)
@@ -87,7 +88,7 @@
 			n.leaders.expectContention(cell, time.Now())
 			n.crowd()
 		}
-		if !leaves && (!shared || n.ranksFirst(cell)) {
+		if !leaving && (!shared || n.ranksFirst(cell)) {
 			continue
 		}
 		n.leaders.handOff(cell, time.Now())
@@ -105,8 +106,8 @@
 	return ok && first.Node == n.settings.Node
 }
 
-// isCellShared reports whether another node leads a cell too, or is about to
-// end its work there.
+// isCellShared reports whether another node also claims a cell, possibly only to finish its
+// work there.
 func (n *Node) isCellShared(cell int) bool {
 	for _, e := range *n.entries.Load() {
 		if e.Node != n.settings.Node && e.Leads&lead.CellBit(cell) != 0 {
@@ -116,7 +117,7 @@
 	return false
 }
 
-// publishEntry spreads this node's entry.
+// publishEntry gossips this node's entry.
 func (n *Node) publishEntry() {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
@@ -124,40 +125,40 @@
 	n.setEntries(n.members.Entries())
 }
 
-// leaderOf returns the node that should lead a cell, and false if none may. Nodes
-// that leave may only if none stays: work that ends within their grace period is
-// done by them or not at all.
+// leaderOf returns the node that should lead a cell, and false if there is none. Leaving
+// nodes qualify only if no node stays: work that ends within their grace period is done by
+// them or not at all.
 func (n *Node) leaderOf(now time.Time, cell int) (wire.Entry, bool) {
 	return lead.Leader(cell, n.leaderCandidates(now))
 }
 
-// leaderCandidates lists the nodes that may lead.
+// leaderCandidates returns the nodes that may lead.
 func (n *Node) leaderCandidates(now time.Time) []wire.Entry {
-	stay, leave := n.responsiveNodes(now)
-	if len(stay) == 0 {
-		return leave
+	staying, leaving := n.responsiveNodes(now)
+	if len(staying) == 0 {
+		return leaving
 	}
-	return stay
+	return staying
 }
 
-// responsiveNodes lists the nodes that answer: those that stay, as far as this one knows,
-// and those that leave but did not say that they take no work.
-func (n *Node) responsiveNodes(now time.Time) (stay, leave []wire.Entry) {
+// responsiveNodes returns the nodes that respond: those that stay, as far as this one knows,
+// and those that are leaving but have not declined work.
+func (n *Node) responsiveNodes(now time.Time) (staying, leaving []wire.Entry) {
 	for _, e := range *n.entries.Load() {
 		switch {
 		case n.submissions.isLeaving(e) || n.submissions.suspected(now, e.PeerAddress):
 		case e.Leaving || e.Node == n.settings.Node && n.stopping():
-			// This node's entry tells of the stop a moment after it has begun.
-			leave = append(leave, e)
+			// This node's entry shows the stop only some time after its start.
+			leaving = append(leaving, e)
 		default:
-			stay = append(stay, e)
+			staying = append(staying, e)
 		}
 	}
-	return stay, leave
+	return staying, leaving
 }
 
-// hasSuccessor reports whether another node can take this one's work.
+// hasSuccessor reports whether another node can take over this one's work.
 func (n *Node) hasSuccessor(now time.Time) bool {
-	stay, _ := n.responsiveNodes(now)
-	return slices.ContainsFunc(stay, func(e wire.Entry) bool { return e.Node != n.settings.Node })
+	staying, _ := n.responsiveNodes(now)
+	return slices.ContainsFunc(staying, func(e wire.Entry) bool { return e.Node != n.settings.Node })
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,10 +1,10 @@
-// Package node is a process that carries an instance's whole part of the
-// system: it takes clients' requests, keeps the view of the configuration and
-// the endpoints, meets the other nodes, and leads stage pools.
+// Package node implements the server process of an instance. It serves client requests,
+// maintains the view of the configuration and the endpoints, gossips with the other nodes and
+// leads stage pools.
 //
-// Decisions are made in internal/core; this package feeds them events and
-// carries their actions out. What the outside looks like is known to package
-// platform only.
+// The decisions are made in internal/core: this package passes events to it and executes the
+// actions that it returns. The protocols and formats of the surrounding platform are known
+// only to package platform.
 //
 // # Usage
 //
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -10,7 +10,7 @@
 	"gradetiller.example/platform"
 )
 
-// applyStoreEvacuations takes in what the store tells of evacuated failure domains.
+// applyStoreEvacuations applies the evacuations that were read from the store.
 func (n *Node) applyStoreEvacuations(r platform.ConfigUpdate) {
 	n.logEvacuationFaults(r)
 	n.updateEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
@@ -25,21 +25,21 @@
 	})
 }
 
-// logEvacuationFaults logs each row that is not as it should be once, as long as it is there.
+// logEvacuationFaults logs each malformed evacuation row once while it is present.
 func (n *Node) logEvacuationFaults(r platform.ConfigUpdate) {
-	now := make(map[string]bool, len(r.Refused))
+	present := make(map[string]bool, len(r.Refused))
 	for _, refused := range r.Refused {
-		now[refused.Error()] = true
+		present[refused.Error()] = true
 		if !n.loggedEvacuationFaults[refused.Error()] {
 			n.log.Warn(eventEvacuationRefused, zap.Bool("holds", refused.Effective), zap.Error(refused))
 		}
 	}
-	if r.Complete || len(now) > 0 {
-		n.loggedEvacuationFaults = now
+	if r.Complete || len(present) > 0 {
+		n.loggedEvacuationFaults = present
 	}
 }
 
-// updateEvacuations puts evacuations in force that change makes of the present ones.
+// updateEvacuations applies a change to the evacuations and publishes the resulting view.
 func (n *Node) updateEvacuations(source string, change func(now time.Time, present discovery.Evacuations) discovery.Evacuations) {
 	n.viewMu.Lock()
 	old := n.view.Load()
@@ -59,7 +59,7 @@
 	n.updatePools()
 }
 
-// logEvacuations logs what changed from one view to the next.
+// logEvacuations logs the evacuations that started or ended between two views.
 func (n *Node) logEvacuations(source string, old, next *view) {
 	for _, domain := range next.evacuations.Domains() {
 		if !old.evacuations.Contains(domain) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// endpointsIn counts the endpoints of a failure domain. None for an evacuated one may be a
-// mistake in its name.
+// endpointsIn returns the number of endpoints in a failure domain. If an evacuated one has
+// none, its name may be mistyped.
 func (v *view) endpointsIn(domain string) int {
 	count := 0
 	for _, e := range v.endpoints {
@@ -85,8 +85,9 @@
 	return count
 }
 
-// coldPeriod is when an endpoint of a service is taken to be cold: as the list tells, and for
-// the time of a start after an evacuation, of which the list may tell too late.
+// coldPeriod returns the period during which an endpoint of a service is considered cold: as
+// listed, or for the cold time of the service after an evacuation ended, because the list may
+// show that too late.
 func (v *view) coldPeriod(service catalog.Service, e catalog.Endpoint) discovery.ColdPeriod {
 	cold := v.cold[e.ID]
 	ended := v.evacuations.EndedAt(e.Domain)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -1,110 +1,114 @@
 package node
 
-// The names of all events in this process's log. Each event is one line; its
-// fields are the inputs of the decision and its outcome (docs/OPERATIONS.md).
+// Event names of this process's log. Each event is one line whose fields are the inputs of a
+// decision and its outcome (docs/OPERATIONS.md).
 const (
-	// The end of a client's request.
+	// A client request ended.
 	eventRequest = "request"
-	// An attempt at an endpoint without a usable answer.
+	// An attempt at an endpoint gave no usable response.
 	eventAttemptFailed = "attempt failed"
-	// An answer that broke off.
+	// A response was truncated.
 	eventAnswerBroken = "answer broke"
-	// An endpoint said that it has not run a request.
+	// An endpoint declined a request without executing it.
 	eventEndpointDeclined = "endpoint declined"
 	// The rate limit that an endpoint advertises changed.
 	eventLimitChanged = "endpoint rate limit changed"
-	// A signal in an answer of an endpoint can't be parsed.
+	// A signal in an endpoint's response cannot be parsed.
 	eventSignalInvalid = "endpoint signal invalid"
-	// An answer carries a signal that this version doesn't know.
+	// A response carries a signal that is unknown to this version.
 	eventSignalUnknown = "endpoint signal unknown"
-	// An endpoint announced in an answer that it drains.
+	// An endpoint announced in a response that it is draining.
 	eventEndpointDraining = "endpoint draining"
-	// An endpoint announced in an answer that it is cold, or for longer than known.
+	// An endpoint announced in a response that it is cold, or for longer than known before.
 	eventEndpointCold = "endpoint cold"
-	// An endpoint rejected a request and asked this node to send nothing for a while.
+	// An endpoint rejected a request and asked for a backoff.
 	eventEndpointBackoff = "endpoint backoff"
-	// A stream that broke off.
+	// A stream was interrupted.
 	eventStreamBroken = "stream broke"
-	// A leader did not answer and is passed over for a while.
+	// A leader did not respond and is not used for a while.
 	eventLeaderLost = "leader lost"
-	// A call of a stage service that made all its pieces.
+	// A call to a stage service returned all its results.
 	eventStageCall = "stage call"
-	// A call of a stage service without an answer.
+	// A call to a stage service got no response.
 	eventStageCallLost = "stage call lost"
-	// A call of a stage service that left pieces unmade, by reason.
+	// A call to a stage service left pieces without a result. The line counts them by reason.
 	eventStageCallIncomplete = "stage call with unmade pieces"
-	// The state of a stage service at its leader, once a second while it is in use.
+	// The state of a stage service as seen by its leader, logged once a second while it is in
+	// use.
 	eventStageService = "stage service"
-	// Results that could not be freed at their maker.
+	// Stage results could not be released at the endpoint that holds them.
 	eventResultsNotFreed = "results not freed"
-	// A model engine told which parts of prompts it holds.
+	// A model engine reported which prompt prefixes its cache holds.
 	eventCacheLearned = "cache learned"
-	// A model engine did not tell which parts of prompts it holds.
+	// A model engine did not report the contents of its prompt cache.
 	eventCacheUnknown = "cache unknown"
-	// This node claims a cell of stage endpoints.
+	// This node claims the leadership of a cell of stage endpoints.
 	eventCellClaimed = "leads a cell"
-	// This node gives its claim back.
+	// This node releases its claim to a cell.
 	eventCellReleased = "leads a cell no more"
-	// A configuration takes the place of the one before.
+	// A newer configuration replaces the present one.
 	eventConfigurationInForce = "configuration in force"
-	// A configuration that can't be read.
+	// A configuration cannot be parsed.
 	eventConfigurationRefused = "configuration refused"
-	// An endpoint is new in the list, or began or ended to leave.
+	// An endpoint was added to the list, or its draining state changed, or it became cold.
 	eventEndpointListed = "endpoint listed"
-	// An endpoint left the list.
+	// An endpoint was removed from the list.
 	eventEndpointRemoved = "endpoint gone"
-	// An entry of the list of endpoints names none to use.
+	// An entry of the endpoint list is invalid and names no endpoint to use.
 	eventEntryRefused = "entry refused"
-	// The number of endpoints that are used although the store does not list them
-	// changed.
+	// The number of endpoints changed whose entries lapsed in the store but that remain in
+	// use.
 	eventEndpointsKept = "endpoints kept"
-	// Nothing further is sent to the endpoints of a failure domain, or again.
+	// The evacuation of a failure domain started or ended. While it lasts, no work is sent to
+	// its endpoints.
 	eventEvacuationInForce = "evacuation in force"
 	eventEvacuationEnded   = "evacuation over"
-	// A row that evacuates a failure domain is not as it should be.
+	// The row of an evacuation is invalid. The line says whether the evacuation applies
+	// anyway.
 	eventEvacuationRefused = "evacuation not as expected"
-	// The number of known nodes changed.
+	// The number of live nodes changed.
 	eventMembersChanged = "members changed"
-	// The store came back from an older copy of itself.
+	// The store was restored from an older copy.
 	eventStoreRestored = "store restored"
-	// The store's answers do not tell its era as they should.
+	// The era in the store's responses is missing or invalid.
 	eventStoreEra = "store era not as expected"
-	// The platform's store does not answer this node.
+	// The platform's store does not respond to this node.
 	eventStoreLost = "store lost"
-	// The store answers again.
+	// The store responds again.
 	eventStoreRecovered = "store reached"
-	// This node reads the store itself, as a reader or in the readers' place.
+	// This node starts to read the store, as a primary reader or in place of the readers.
 	eventStoreReadsStarted = "reads the store"
-	// This node leaves the store to its readers.
+	// This node stops reading the store and leaves that to the readers.
 	eventStoreReadsEnded = "reads the store no more"
-	// Runs of requests broke off at an endpoint without a whole answer, and whether it
-	// refuses connections now.
+	// Runs of requests at an endpoint broke without a complete response. The line says
+	// whether the endpoint refuses connections.
 	eventRunBroken = "run broke"
-	// An endpoint ended under the requests that ran there, or did not although it was
-	// taken to have.
+	// An endpoint crashed while requests ran there, or was found not to have crashed.
 	eventEndpointCrashed = "endpoint ended under requests"
-	// A request is refused from now on, since endpoints ended under it.
+	// A request is refused from now on, because endpoints crashed while it ran.
 	eventPoisonRefused = "request crashes endpoints"
-	// Another node told that a request crashes endpoints.
+	// Another node reported that a request crashes endpoints.
 	eventPoisonReceived = "heard of a request that crashes endpoints"
-	// A request is refused no more, since it was served or the ends were none.
+	// A request is no longer refused, because it was served successfully or its crashes were
+	// retracted.
 	eventPoisonPardoned = "request refused no more"
-	// A connection to a node broke or could not be opened.
+	// A connection to another node was lost or could not be opened.
 	eventPeerLost = "peer lost"
-	// A connection from a process that is no node of this system.
+	// A connection from a process that is not a node of this system was refused.
 	eventPeerRefused = "peer refused"
-	// A message that nodes don't send each other.
+	// A node sent a message of a type that nodes do not exchange, or with an invalid request
+	// ID.
 	eventUnexpectedMessage = "message not expected"
-	// The metrics address can't be opened.
+	// The metrics listener cannot be opened.
 	eventNoMetrics = "no metrics"
-	// The process serves from here on.
+	// The process has started to serve requests.
 	eventStarted = "started"
 	// A planned stop begins.
 	eventStopping = "stopping"
-	// A planned stop has ended with nothing in flight.
+	// A planned stop finished with no request in flight.
 	eventStopped = "stopped"
-	// A planned stop ran out of time.
+	// A planned stop timed out with requests in flight.
 	eventStoppedWithRequestsInFlight = "stopped with requests in flight"
-	// A planned stop cut connections on which the last answers did not get out.
+	// A planned stop closed connections whose last responses were not fully sent.
 	eventConnectionsCut = "connections cut"
 )
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -18,27 +18,27 @@
 
 const (
 	leaderTickInterval = 20 * time.Millisecond
-	// statsLogInterval is how often the state of a pool is logged.
+	// statsLogInterval is how often the state of a stage pool is logged.
 	statsLogInterval = time.Second
-	// contentionPeriod is how long the calls of another leader may still wait at
-	// endpoints after the last sign of it.
+	// contentionPeriod is how long calls of another leader may still be queued at endpoints
+	// after that leader was last seen.
 	contentionPeriod = 2500 * time.Millisecond
 )
 
-// taskKey names a task by the node that submitted it.
+// taskKey identifies a task by the node that submitted it and the ID that this node gave it.
 type taskKey struct {
 	node        string
 	incarnation uint64
 	id          uint64
 }
 
-// taskOwner is where the news of a task go.
+// taskOwner is the node that submitted a task, and where its results are sent.
 type taskOwner struct {
 	key    taskKey
 	answer func(wire.Message) error
 }
 
-// leaders holds the stage pools that this node leads.
+// leaders holds the stage pools that this node leads or led.
 type leaders struct {
 	log        *zap.Logger
 	workers    *platform.WorkerClient
@@ -50,14 +50,15 @@
 	mu         sync.Mutex
 	view       *view
 	cells      map[int]*leader
-	// learnOnUpdate tells that the engines are to be asked what they hold as soon as
-	// there is a view.
+	// learnOnUpdate reports whether the engines must be asked for the contents of their
+	// prompt caches as soon as there is a view.
 	learnOnUpdate bool
-	// onBrokenCall is told of calls that onBrokenCall off at an endpoint, and of their requests.
+	// onBrokenCall is called when a call to an endpoint breaks, with the requests that it
+	// carried.
 	onBrokenCall func(ctx context.Context, e catalog.Endpoint, took time.Duration, requests []poison.ID)
 }
 
-// leader runs one cell's stage pool.
+// leader runs the stage pool of one cell.
 type leader struct {
 	group  *leaders
 	cell   int
@@ -65,13 +66,14 @@
 	pool   *stagepool.Pool
 	owners map[stagepool.TaskID]taskOwner
 	tasks  map[taskKey]stagepool.TaskID
-	// modelRequests are what the requests ask of their models, placed where they were
-	// sent until their answers begin, turnWaits those that can't be sent yet.
+	// modelRequests holds what the tasks' requests need from their models, placed their
+	// placements from the time they are sent until their responses start, and turnWaits the
+	// tasks whose requests cannot be placed yet.
 	modelRequests map[stagepool.TaskID]ask
 	placed        map[stagepool.TaskID]*placed
 	turnWaits     []turnWait
 	lastLogged    time.Time
-	// ticking tells whether the ticker runs; it does while there are tasks.
+	// ticking reports whether a tick is scheduled. It is while there are tasks.
 	ticking bool
 }
 
@@ -82,19 +84,20 @@
 func (l *leaders) update(now time.Time, v *view) {
 	l.mu.Lock()
 	l.view = v
-	asks := l.learnOnUpdate
+	learn := l.learnOnUpdate
 	l.learnOnUpdate = false
 	l.mu.Unlock()
 	l.modelPools.update(v)
 	for _, c := range l.all() {
 		c.configure(now, v)
 	}
-	if asks {
+	if learn {
 		go l.learnCaches()
 	}
 }
 
-// evacuated reports whether nothing is to be sent to the endpoints of a failure domain.
+// evacuated reports whether a failure domain is evacuated, so that nothing may be sent to its
+// endpoints.
 func (l *leaders) evacuated(domain string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +127,7 @@
 	c.execute(c.pool.Configure(now, v.config.Services, v.cellEndpoints(c.cell)))
 }
 
-// expectContention tells a cell's pool that another leader may be at work.
+// expectContention informs the pool of a cell that another leader may use the same endpoints.
 func (l *leaders) expectContention(cell int, now time.Time) {
 	c := l.get(cell)
 	if c == nil {
@@ -135,7 +138,7 @@
 	c.pool.ExpectContention(now.Add(contentionPeriod))
 }
 
-// backoff has nothing go to a stage endpoint until a moment.
+// backoff stops calls to a stage endpoint until the given time.
 func (l *leaders) backoff(now time.Time, endpoint string, until time.Time) {
 	for _, c := range l.all() {
 		c.mu.Lock()
@@ -144,7 +147,7 @@
 	}
 }
 
-// handOff gives the tasks of a cell that have not begun back to their owners.
+// handOff returns the tasks of a cell that have not started to their owners.
 func (l *leaders) handOff(cell int, now time.Time) {
 	c := l.get(cell)
 	if c == nil {
@@ -155,14 +158,14 @@
 	c.execute(c.pool.HandOff(now))
 }
 
-// failContent gives the work of a request up that is refused from now on.
+// failContent fails the tasks of a request that is refused from now on.
 func (c *leader) failContent(content poison.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.execute(c.pool.FailContent(time.Now(), content))
 }
 
-// idle reports whether a cell has no task here.
+// idle reports whether the pool of a cell has no tasks.
 func (l *leaders) idle(cell int) bool {
 	c := l.get(cell)
 	if c == nil {
@@ -173,7 +176,8 @@
 	return c.pool.Tasks() == 0
 }
 
-// submit takes a request's stages.
+// submit submits the stages of a request to the pool of their cell and replies with the
+// verdict.
 func (l *leaders) submit(o taskOwner, m *wire.StagesSubmit) {
 	c := l.get(m.Cell)
 	if c == nil {
@@ -181,44 +185,44 @@
 		return
 	}
 	now := time.Now()
-	wants := askOf(now, m)
-	f := l.modelPools.predict(now, wants.at(now), m.Extra)
+	request := askOf(now, m)
+	f := l.modelPools.predict(now, request.at(now), m.Extra)
 	t := stagepool.Task{
 		RequestID: m.RequestID, Key: m.Key, Priority: m.Priority, Domain: f.domain,
 		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.read),
 		Allowance:    f.rest,
 		Deadline:     now.Add(time.Duration(m.Deadline) * time.Millisecond),
 	}
-	// Nodes of an earlier version do not tell the content.
+	// Nodes of an earlier version do not send the content ID.
 	t.Content, _ = poison.ParseID(m.Content)
 	for _, s := range m.Stages {
 		t.Stages = append(t.Stages, stagepool.Stage(s))
 	}
-	wants.aim = t.SoftDeadline
+	request.aim = t.SoftDeadline
 	by := now.Add(leastTurnWait)
 	if latest := t.SoftDeadline.Add(t.Allowance); latest.After(by) {
 		by = latest
 	}
-	if again, ok := l.modelPools.admits(now, m.Model, by); !ok && l.places() {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: again.Milliseconds(), Reason: noTurnReason})
+	if retryAfter, ok := l.modelPools.admits(now, m.Model, by); !ok && l.places() {
+		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: retryAfter.Milliseconds(), Reason: noTurnReason})
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	verdict, actions := c.pool.Submit(now, t)
 	if verdict.Accepted {
-		wants.promised = true
+		request.promised = true
 		l.modelPools.promise(m.Model)
 		c.owners[verdict.ID] = o
 		c.tasks[o.key] = verdict.ID
-		c.modelRequests[verdict.ID] = wants
+		c.modelRequests[verdict.ID] = request
 		c.scheduleTick()
 	}
 	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), Again: verdict.RetryAfter.Milliseconds()})
 	c.execute(actions)
 }
 
-// all lists the cells that this node leads or led.
+// all returns the leaders of all cells that this node leads or led.
 func (l *leaders) all() []*leader {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,7 +233,7 @@
 	return cells
 }
 
-// knows reports whether a task of an owner is at work here.
+// knows reports whether a task is known to one of the pools.
 func (l *leaders) knows(key taskKey) bool {
 	for _, c := range l.all() {
 		c.mu.Lock()
@@ -242,7 +246,7 @@
 	return false
 }
 
-// release ends a task for its owner.
+// release ends a task at the request of its owner.
 func (l *leaders) release(key taskKey, how wire.Placement) {
 	for _, c := range l.all() {
 		c.mu.Lock()
@@ -263,7 +267,8 @@
 	delete(c.owners, id)
 }
 
-// scheduleTick runs the ticker while there are tasks; the lock is held.
+// scheduleTick schedules the next tick unless one is scheduled. Ticks repeat while there are
+// tasks. The caller must hold mu.
 func (c *leader) scheduleTick() {
 	if c.ticking {
 		return
@@ -282,7 +287,8 @@
 	})
 }
 
-// logState writes the state of the pool now and then; the lock is held.
+// logState logs the state of the pool and exports it as metrics, at most once per
+// statsLogInterval. The caller must hold mu.
 func (c *leader) logState(now time.Time) {
 	if now.Sub(c.lastLogged) < statsLogInterval {
 		return
@@ -296,8 +302,8 @@
 	}
 }
 
-// execute does what the pool asks for; the lock is held, and nothing here
-// blocks.
+// execute executes the actions that the pool returned. It does not block. The caller must
+// hold mu.
 func (c *leader) execute(actions []stagepool.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -15,11 +15,12 @@
 
 const (
 	metricsPath = "/metrics"
-	// maxSeries bounds the series of one name; further labels share "other".
+	// maxSeries bounds the number of distinct label values. All further ones are exported as
+	// "other".
 	maxSeries = 400
 )
 
-// meters are the node's counters and histograms.
+// meters holds the node's metrics.
 type meters struct {
 	set    *metrics.Set
 	mu     sync.Mutex
@@ -55,7 +56,7 @@
 	return m
 }
 
-// droppedLines tells how many log lines of a kind were dropped.
+// droppedLines exports the number of dropped log lines of a kind.
 func (m *meters) droppedLines(kind string, count func() uint64) {
 	m.set.NewGauge(fmt.Sprintf(`gradetiller_log_lines_dropped_total{kind=%q}`, kind), func() float64 { return float64(count()) })
 }
@@ -67,7 +68,7 @@
 	return 0
 }
 
-// label returns a label's value, or "other" when the name has too many.
+// label returns the value, or "other" if there are too many distinct values already.
 func (m *meters) label(value string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +81,7 @@
 	return value
 }
 
-// request counts one ended request.
+// request counts a request that has ended.
 func (m *meters) request(q *request, status int) {
 	route, account := "none", "none"
 	if q.route != nil {
@@ -98,23 +99,23 @@
 	}
 }
 
-// givenUp counts a request that the end of the process breaks off.
+// givenUp counts a request that was cut off by the end of the process.
 func (m *meters) givenUp(route string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_given_up_at_stop_total{route=%q}`, m.label(route))).Inc()
 }
 
-// probed counts an endpoint at which runs broke off and that refuses connections now, or
-// does not.
+// probed counts a probe of an endpoint at which runs broke, by whether the endpoint refused
+// the connection.
 func (m *meters) probed(refuses bool) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_runs_broken_total{endpoint_refuses="%t"}`, refuses)).Inc()
 }
 
-// endpointCrashed counts an endpoint that ended under runs of this node.
+// endpointCrashed counts an endpoint that crashed under runs of this node.
 func (m *meters) endpointCrashed() {
 	m.set.GetOrCreateCounter("gradetiller_endpoints_ended_total").Inc()
 }
 
-// observedLimit counts an answer that advertises a rate limit.
+// observedLimit counts a response that advertises a rate limit.
 func (m *meters) observedLimit() {
 	m.set.GetOrCreateCounter("gradetiller_answers_of_limited_endpoints_total").Inc()
 }
@@ -122,17 +123,17 @@
 // observedBackoff counts a rejection that asks for a backoff.
 func (m *meters) observedBackoff() { m.set.GetOrCreateCounter("gradetiller_backoffs_total").Inc() }
 
-// poisonRefused counts a request that is refused since it crashes endpoints.
+// poisonRefused counts a request that is refused because it crashes endpoints.
 func (m *meters) poisonRefused(route string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_poison_refused_total{route=%q}`, m.label(route))).Inc()
 }
 
-// turnedAway counts a request that a stopping node could not end.
+// turnedAway counts a request that a stopping node had no time to finish.
 func (m *meters) turnedAway(route string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_turned_away_at_stop_total{route=%q}`, m.label(route))).Inc()
 }
 
-// stageCall counts one call of a stage pool that this node leads.
+// stageCall counts a call of a stage pool that this node leads.
 func (m *meters) stageCall(service string, pieces, unmade int, took time.Duration) {
 	service = m.label(service)
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_stage_calls_total{service=%q}`, service)).Inc()
@@ -141,7 +142,7 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`gradetiller_stage_call_seconds{service=%q}`, service)).Update(took.Seconds())
 }
 
-// stageState sets the state of a stage service that this node leads.
+// stageState exports the state of a stage service that this node leads.
 func (m *meters) stageState(service string, queued, backlog, busy int, room float64) {
 	service = m.label(service)
 	for _, g := range []struct {
@@ -157,8 +158,8 @@
 	}
 }
 
-// serveMetrics serves the metrics until the process ends. A port that is taken
-// costs the metrics only.
+// serveMetrics serves metrics until the process ends. If the address is in use, the node runs
+// without metrics.
 func (n *Node) serveMetrics() {
 	if n.metricsAddress == "" {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,20 +28,18 @@
 )
 
 const (
-	// maxLookupTTL is how long a look-up answer may be held.
+	// maxLookupTTL bounds how long clients may cache a look-up answer.
 	maxLookupTTL   = 2 * time.Second
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 40 * time.Second
 	maxHeaderBytes = 64 << 10
-	// retrySlackShare is the part of the fixed allowance of repeats that the
-	// nodes together use.
+	// retrySlackShare is the part of the fixed retry allowance that all nodes together use.
 	retrySlackShare = 0.5
-	// retryRatioShare is the part of the allowed ratio of repeats that a node
-	// uses.
+	// retryRatioShare is the part of the allowed retry ratio that each node uses.
 	retryRatioShare = 0.75
 )
 
-// Node is the state of the process.
+// Node is the server process of an instance.
 type Node struct {
 	settings        platform.Settings
 	incarnation     uint64
@@ -57,99 +55,105 @@
 	sizes           *sizes
 	times           *times
 	meters          *meters
-	// metricsAddress serves the metrics; it may be empty.
+	// metricsAddress is the address at which metrics are served. If empty, they are not
+	// served.
 	metricsAddress string
-	// droppedLines returns how many lines of a kind the log dropped; it may be
+	// droppedLines returns the number of log lines of a kind that were dropped. It may be
 	// nil.
 	droppedLines func(logging.Kind) uint64
-	// peerAddress is where other nodes reach this one.
+	// peerAddress is the address at which other nodes reach this one.
 	peerAddress string
-	// disabled are the mechanisms that are switched disabled.
+	// disabled holds the mechanisms that are switched off.
 	disabled    mechanism.Disabled
 	budget      *lockedBudget
 	stageBudget *lockedBudget
 
-	// viewMu is held by changes of the view, the list and what this node read
-	// itself.
+	// viewMu serializes changes of view, list and directReads.
 	viewMu      sync.Mutex
 	view        atomic.Pointer[view]
 	list        *discovery.List
 	directReads discovery.DirectReads
-	// refused belongs to the goroutine that reads the list of endpoints.
+	// refused is used only by the goroutine that reads the endpoint list.
 	refused refusedEntries
-	// loggedEvacuationFaults are the faults of rows that evacuate failure domains, as logged; it
-	// belongs to the goroutine that reads the configuration.
+	// loggedEvacuationFaults holds the faults of evacuation rows that were logged already. It
+	// is used only by the goroutine that reads the configuration.
 	loggedEvacuationFaults map[string]bool
 
-	// poolsMu is held while a view is handed to the pools.
+	// poolsMu is held while the pools are updated from a view.
 	poolsMu sync.Mutex
 
 	membersMu sync.Mutex
 	members   *member.Node
-	// entriesBuiltAt is when the list of live nodes was last made from the members.
+	// entriesBuiltAt is when entries was last built from members.
 	entriesBuiltAt time.Time
 	entries        atomic.Pointer[[]wire.Entry]
-	// ranking tells which nodes read the store, by the entries.
+	// ranking determines from entries which nodes read the store.
 	ranking   atomic.Pointer[discovery.Ranking]
 	liveNodes atomic.Int64
-	// share is this node's part of all nodes.
+	// share is the rank of this node among all nodes, which determines its share of the
+	// endpoints' rates.
 	share  atomic.Pointer[share]
 	peakMu sync.Mutex
 	peak   intake.Peak
-	// contendedUntil is the time from the start until which another leader may be at work, and
-	// ratesChanged tells that what this node may send to some endpoint has changed.
+	// contendedUntil is the time since the start until which another leader may send calls to
+	// the same endpoints. ratesChanged reports whether the rate at which this node may send
+	// to some endpoint has changed.
 	contendedUntil atomic.Int64
 	ratesChanged   atomic.Bool
-	// claimedCells has a bit for each cell that this node claims.
+	// claimedCells has a bit set for each cell that this node claims to lead.
 	claimedCells atomic.Uint64
-	// viewRequestedAt, greeted and asked belong to the goroutine that beats.
+	// viewRequestedAt, joinSentAt and viewRequests are used only by the goroutine that runs
+	// tick.
 	viewRequestedAt time.Time
 	joinSentAt      time.Time
 	viewRequests    int
 
-	// candidatesChangedAt is the time from the start to the last change of the set of nodes
-	// that may lead; hasJoined stays true once these are known.
+	// candidatesChangedAt is the time from the start to the last change of the set of leader
+	// candidates, and candidatesHash the hash of that set. hasJoined stays true once the set
+	// is considered complete.
 	candidatesChangedAt atomic.Int64
 	candidatesHash      atomic.Uint64
 	hasJoined           atomic.Bool
-	// hasCaughtUp stays true once this node has had the newest configuration that others
-	// told of.
+	// hasCaughtUp stays true once this node has received the newest configuration that other
+	// nodes announced.
 	hasCaughtUp atomic.Bool
 
-	// storeLost tells whether the last call of each kind to the store failed,
-	// readsStore whether this node read the store when it last looked.
+	// storeLost reports for each kind of store call whether the last one failed. readsStore
+	// reports whether this node read the store when it last checked.
 	storeLost      [storeCallCount]atomic.Bool
 	readsStore     atomic.Bool
 	configsRefused atomic.Int64
-	// keptEndpoints counts the endpoints that are used although the store does not
-	// list them, since their entries lapsed.
+	// keptEndpoints is the number of endpoints whose entries lapsed in the store but that
+	// remain in use.
 	keptEndpoints atomic.Int64
 	poisonGuard   *lockedGuard
 	signals       *signals
 	inFlight      atomic.Int64
-	// stop is the planned stop under way, or nil.
+	// stop is the planned stop in progress, or nil.
 	stop atomic.Pointer[stop]
-	// requestContext is the context of all requests; giveUp ends it with a cause.
+	// requestContext is the base context of all requests. cancelRequests cancels it with a
+	// cause.
 	requestContext context.Context
 	cancelRequests context.CancelCauseFunc
 }
 
-// Option changes a new node.
+// Option configures a node.
 type Option func(*Node)
 
-// WithLog sets the log.
+// WithLog sets the logger.
 func WithLog(log *zap.Logger) Option { return func(n *Node) { n.log = log } }
 
-// WithDroppedLines has the metrics tell how many lines of a kind the log dropped.
+// WithDroppedLines exports the number of dropped log lines of each kind as metrics.
 func WithDroppedLines(of func(logging.Kind) uint64) Option {
 	return func(n *Node) { n.droppedLines = of }
 }
 
-// WithMetrics serves the metrics at an IP address and port.
+// WithMetrics serves metrics at the given address, an IP address and a port.
 func WithMetrics(address string) Option { return func(n *Node) { n.metricsAddress = address } }
 
-// WithPeerAddress tells other nodes an address other than the one that this
-// node listens on, where ports are mapped; "" changes nothing.
+// WithPeerAddress sets the address that is advertised to other nodes, for environments where
+// ports are mapped. By default, or if the address is empty, this is the address that the node
+// listens on.
 func WithPeerAddress(address string) Option {
 	return func(n *Node) {
 		if address != "" {
@@ -158,10 +162,10 @@
 	}
 }
 
-// Without switches mechanisms off, to measure what they are worth.
+// Without disables mechanisms, to measure their effect.
 func Without(off mechanism.Disabled) Option { return func(n *Node) { n.disabled = off } }
 
-// New returns a node that serves nothing until Run.
+// New returns a node. It serves nothing until Run is called.
 func New(s platform.Settings, options ...Option) *Node {
 	n := &Node{
 		settings: s, incarnation: settings.Incarnation(), started: time.Now(), log: zap.NewNop(),
@@ -202,7 +206,7 @@
 	return &lockedBudget{budget: attempt.NewWindowBudget(retryRatioShare*n.settings.RetryRatio, 1, n.settings.RetryWindow)}
 }
 
-// shareBudgets divides the fixed allowance of repeats by the live nodes.
+// shareBudgets divides the fixed retry allowance by the number of live nodes.
 func (n *Node) shareBudgets(live int) {
 	allowance := max(1, retrySlackShare*n.settings.RetrySlack/float64(max(live, 2)))
 	for _, b := range []*lockedBudget{n.budget, n.stageBudget} {
@@ -220,7 +224,7 @@
 	}
 }
 
-// Run serves until ctx ends, then stops as planned.
+// Run serves requests until ctx is done, then drains and stops.
 func (n *Node) Run(ctx context.Context) error {
 	f, err := n.listen()
 	if err != nil {
@@ -239,7 +243,7 @@
 	return nil
 }
 
-// listen opens all listeners and serves them.
+// listen opens all listeners and starts serving them. It returns the front.
 func (n *Node) listen() (*front, error) {
 	if err := n.listenForPeers(); err != nil {
 		return nil, err
@@ -269,7 +273,7 @@
 	return nil
 }
 
-// serve serves HTTP at an address until the process ends.
+// serve starts an HTTP server at an address. It runs until the process ends.
 func (n *Node) serve(address string, handler http.Handler) (*front, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -283,8 +287,8 @@
 	return &front{server: s, listener: listener}, nil
 }
 
-// isReady reports whether the node can serve: it knows a configuration and
-// the endpoints, and is not leaving.
+// isReady reports whether the node can serve requests: it has a complete view and is not
+// stopping.
 func (n *Node) isReady() bool {
 	return n.hasCompleteView() && n.joined() && n.caughtUp() && n.liveNodes.Load() > 0 && !n.stopping()
 }
@@ -297,9 +301,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveLookup tells a client which nodes to use. A node that does not know the others
-// yet tells nothing: its clients ask another one, or go on with the answer they have,
-// while with its own address alone they would all come to it at once.
+// serveLookup returns the addresses of the nodes that a client should use. Until this node
+// knows the others it answers 503, so that clients ask another node or keep their present
+// answer: with this node's address alone, they would all connect to it at once.
 func (n *Node) serveLookup(w http.ResponseWriter, r *http.Request) {
 	if !n.joined() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,22 +17,23 @@
 )
 
 const (
-	// peerIdleTimeout closes an incoming connection from which nothing comes.
+	// peerIdleTimeout closes incoming connections that deliver no message for this time.
 	peerIdleTimeout        = 40 * time.Second
 	minViewRequestInterval = 300 * time.Millisecond
-	// minSuspectPeriod is how long a node that did not answer leads nothing.
+	// minSuspectPeriod is how long a node that did not respond is excluded from leading at
+	// first. Each further time in a row doubles the period, up to maxSuspectPeriod.
 	minSuspectPeriod = 2 * time.Second
 	maxSuspectPeriod = 4 * time.Second
 )
 
-// systemName names the systemName towards peers.
+// systemName identifies the system in the handshake between nodes.
 const systemName = "gradetiller"
 
 func (n *Node) hello() wire.Hello {
 	return wire.Hello{Version: wire.Version, System: systemName, Role: wire.RoleNode, Node: n.settings.Node, Incarnation: n.incarnation}
 }
 
-// runMembers beats until ctx ends.
+// runMembers drives gossip and membership until ctx is done.
 func (n *Node) runMembers(ctx context.Context) {
 	n.tick(time.Now())
 	ticker := time.NewTicker(member.FlushInterval)
@@ -48,10 +49,10 @@
 }
 
 func (n *Node) tick(now time.Time) {
-	spread := n.expireSignals(now)
+	signalsChanged := n.expireSignals(now)
 	n.recomputeRates()
 	n.membersMu.Lock()
-	if spread {
+	if signalsChanged {
 		n.members.RequestHeartbeat()
 	}
 	n.members.SetSeeds(n.missingSeeds())
@@ -71,9 +72,9 @@
 	n.updateCells()
 }
 
-// peerAhead returns the address of a node that is known to have a newer configuration than
-// a view, or, when the view is old, a newer list of endpoints; the lock of the members is
-// held. While the readers answer, each node asks them for the list anyway.
+// peerAhead returns the address of a node that announced a newer configuration than the
+// view's, or, if the view is stale, a newer endpoint list. Otherwise it returns "". While the
+// readers respond, every node polls them for the list anyway. The caller must hold membersMu.
 func (n *Node) peerAhead(now time.Time, v *view) string {
 	if node, version := n.members.NewerConfig(); version > v.version() {
 		return n.members.Address(node)
@@ -84,14 +85,14 @@
 	return ""
 }
 
-// minEntriesInterval is how often messages have the list of live nodes made anew at most; the
-// next beat has it made in any case. Making it for 295 nodes takes 0.23 ms of a whole
-// core, four times as long as taking in 32 records, and in a start of all nodes
-// hundreds of messages change it.
+// minEntriesInterval is the minimum time between rebuilds of the list of live nodes on
+// received messages; each tick rebuilds it in any case. A rebuild for 295 nodes takes 0.23 ms
+// of a whole core, four times as long as merging 32 records, and when all nodes start,
+// hundreds of messages change the list.
 const minEntriesInterval = 50 * time.Millisecond
 
-// changedEntries returns the entries of the live nodes if they may have changed,
-// or if none were taken yet; the lock is held.
+// changedEntries returns the entries of the live nodes if they may have changed, or if none
+// were applied yet. The caller must hold membersMu.
 func (n *Node) changedEntries(now time.Time) ([]wire.Entry, bool) {
 	first := n.liveNodes.Load() == 0 && n.joined()
 	if !n.members.PollChanged() && !first {
@@ -101,7 +102,8 @@
 	return n.members.Entries(), true
 }
 
-// missingSeeds lists the seeds that are no known live member; the lock is held.
+// missingSeeds returns the seeds that are not known as live members. The caller must hold
+// membersMu.
 func (n *Node) missingSeeds() []member.Seed {
 	var list []member.Seed
 	for _, address := range n.settings.Seeds {
@@ -112,8 +114,8 @@
 	return list
 }
 
-// sendReplies sends the messages without an address back the way the message
-// that they answer came, and returns the others.
+// sendReplies sends the messages without an address as replies on the connection of the
+// message that they answer, and returns the others.
 func (n *Node) sendReplies(sends []member.Message, answer peer.Answer) []member.Message {
 	var others []member.Message
 	for _, s := range sends {
@@ -126,7 +128,7 @@
 	return others
 }
 
-// notIn returns what reports whether a node is none of some.
+// notIn returns a function that reports whether a node has no entry in the list.
 func notIn(entries []wire.Entry) func(node string) bool {
 	names := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -135,7 +137,7 @@
 	return func(node string) bool { return !names[node] }
 }
 
-// withUpdates adds to a message what its receiver may not know of what heartbeats spread.
+// withUpdates adds the refusals and endpoint signals to a message that its receiver may lack.
 func (n *Node) withUpdates(to string, m wire.Gossip) wire.Gossip {
 	return n.appendSignals(to, n.withRefusals(to, m))
 }
@@ -146,7 +148,7 @@
 	}
 }
 
-// applyEntries keeps the list of live nodes for look-ups and leaders.
+// applyEntries puts a new list of live nodes into effect.
 func (n *Node) applyEntries(entries []wire.Entry) {
 	n.setEntries(entries)
 	n.poisonGuard.membersChanged(entries)
@@ -158,7 +160,7 @@
 		}
 	}
 	before := n.liveNodes.Swap(int64(live))
-	if leading := lead.CandidatesHash(entries); n.candidatesHash.Swap(leading) != leading {
+	if candidates := lead.CandidatesHash(entries); n.candidatesHash.Swap(candidates) != candidates {
 		n.candidatesChangedAt.Store(int64(time.Since(n.started)))
 	}
 	if before != int64(live) {
@@ -167,13 +169,13 @@
 	}
 }
 
-// requestView asks a peer that is ahead for what is new, or any peer when neither the
-// store nor the readers tell.
+// requestView requests updates from a peer that is ahead, or from any peer if neither the
+// store nor the readers deliver them.
 func (n *Node) requestView(now time.Time, ahead string) {
 	v := n.view.Load()
-	own := v.version()
-	old := n.ranking.Load().Overdue(now, v.fresh)
-	if ahead == "" && !old && own > 0 || now.Sub(n.viewRequestedAt) < minViewRequestInterval {
+	version := v.version()
+	overdue := n.ranking.Load().Overdue(now, v.fresh)
+	if ahead == "" && !overdue && version > 0 || now.Sub(n.viewRequestedAt) < minViewRequestInterval {
 		return
 	}
 	if ahead == "" {
@@ -183,13 +185,14 @@
 		return
 	}
 	n.viewRequestedAt = now
-	n.links.Send(ahead, wire.ViewRequest{ConfigAbove: own, EndpointsAbove: uint64(v.revision), TakesPacked: true})
+	n.links.Send(ahead, wire.ViewRequest{ConfigAbove: version, EndpointsAbove: uint64(v.revision), TakesPacked: true})
 }
 
-// viewSource returns the peer address of a node that may know more than a view: a
-// reader while this node knows nothing, then any live node, or a seed. No two nodes
-// ask the others in the same order: when all of 295 that had started together did,
-// one small node after the other was asked for some hundred whole views at once.
+// viewSource returns the peer address of a node that may have newer data than the view: a
+// reader if the view is empty, otherwise any live node, or a seed if none is known. Each node
+// tries the others in a different order: with the same order, when 295 nodes started
+// together, one small node after another received a few hundred requests for the whole view
+// at once.
 func (n *Node) viewSource(v *view) string {
 	others := *n.entries.Load()
 	if v.fresh.List.IsZero() {
@@ -210,7 +213,7 @@
 	return discovery.ReaderFor(list, n.settings.Node, n.viewRequests)
 }
 
-// entriesOf returns the entries of some nodes.
+// entriesOf returns the entries of the named nodes.
 func entriesOf(entries []wire.Entry, names []string) []wire.Entry {
 	var list []wire.Entry
 	for _, e := range entries {
@@ -221,7 +224,7 @@
 	return list
 }
 
-// servePeer takes the messages of one connection.
+// servePeer handles the messages of an incoming connection until it is closed.
 func (n *Node) servePeer(c *peer.Conn) {
 	answer, stop := peer.Answers(c)
 	defer stop()
@@ -235,12 +238,12 @@
 	}
 }
 
-// handleMessage takes a message from another node.
+// handleMessage handles a message from another node, or from this one if it leads a cell.
 func (n *Node) handleMessage(from wire.Hello, m wire.Message, answer peer.Answer) {
 	switch m := m.(type) {
 	case *wire.Gossip:
-		lacks := n.mergeRefusals(m)
-		if n.mergeSignals(m) || lacks {
+		needsReply := n.mergeRefusals(m)
+		if n.mergeSignals(m) || needsReply {
 			_ = answer(n.withUpdates(m.Node, n.selfGossip()))
 		}
 		n.membersMu.Lock()
@@ -279,10 +282,10 @@
 	}
 }
 
-// handleStagesSubmit takes work for this node's stage pool. A node that stops takes none
-// that another can do: it would give it back at the next beat, and the submitting
-// node, which has not heard of the stop, would send it again. Just before its end it
-// takes none at all.
+// handleStagesSubmit submits work to a stage pool of this node. A stopping node declines work
+// that another node can do: it would hand the work off at the next tick, and the submitting
+// node, unaware of the stop, would send it again. Just before the process ends, the node
+// declines all work.
 func (n *Node) handleStagesSubmit(from wire.Hello, m *wire.StagesSubmit, answer peer.Answer) {
 	if s := n.stop.Load(); s != nil && (s.closing.Load() || n.hasSuccessor(time.Now())) {
 		_ = answer(n.selfGossip())
@@ -293,8 +296,9 @@
 	n.leaders.submit(taskOwner{key: taskKey{from.Node, from.Incarnation, m.ID}, answer: answer}, m)
 }
 
-// selfGossip tells a node what this one tells of itself. A node of an earlier version
-// does not understand leavingAnswer and ranks the leaders anew at once.
+// selfGossip returns a message that announces this node's present state. A node of an earlier
+// version does not understand leavingAnswer, but it ranks the leaders again when it receives
+// this message.
 func (n *Node) selfGossip() wire.Gossip {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
@@ -305,31 +309,31 @@
 	}
 }
 
-// peerLost tells that a connection to a node broke or could not be opened.
+// peerLost records that a connection to a node broke or could not be opened.
 func (n *Node) peerLost(address string, err error) {
 	n.log.Info(eventPeerLost, zap.String("address", address), zap.Error(err))
 	n.submissions.connectionLost(address)
 }
 
 const (
-	// maxJoinWait is how long a node that was just started waits for others
-	// before it takes itself for the only one.
+	// maxJoinWait is how long a node that has just started waits for other nodes before it
+	// assumes that it is the only one.
 	maxJoinWait      = 2 * time.Second
 	joinPollInterval = 20 * time.Millisecond
-	// settlePeriod is how long the known nodes that may lead must have stayed the
-	// same before a node that was just started takes them for all there are.
+	// settlePeriod is how long the set of leader candidates must stay unchanged before a node
+	// that has just started considers it complete.
 	settlePeriod = 250 * time.Millisecond
-	// joinInterval is how often a node that is alone greets its seeds: after a
-	// loss of power they may start later than it does.
+	// joinInterval is how often a node that knows no other sends join messages to its seeds.
+	// After a power failure they may start later than this node.
 	joinInterval = 200 * time.Millisecond
 )
 
-// alone reports whether this node knows no other.
+// alone reports whether this node knows no other node.
 func (n *Node) alone() bool { return len(*n.entries.Load()) < 2 }
 
-// joined reports whether this node knows the others that may lead. Before, it would take
-// itself, or any of the few it knows, for the leader of a cell, and after a loss
-// of all power many leaders would work at the same endpoints.
+// joined reports whether this node knows the other leader candidates. Until then, it would
+// consider itself, or one of the few nodes that it knows, the leader of a cell, and after a
+// complete power failure many leaders would use the same endpoints.
 func (n *Node) joined() bool {
 	if n.hasJoined.Load() || n.disabled.Has(mechanism.Join) {
 		return true
@@ -344,13 +348,13 @@
 	return true
 }
 
-// maxCatchUpWait bounds how long a node that has just begun waits for a configuration that
-// others told of: who told may be lost since.
+// maxCatchUpWait is how long a node that has just started waits for a configuration that
+// other nodes announced. The announcing nodes may have been lost since.
 const maxCatchUpWait = 5 * time.Second
 
-// caughtUp reports whether this node, since its start, has had the newest configuration that
-// others told of. A store that came back from an older copy gives an older one to a node
-// that begins then, which must not take it for the newest.
+// caughtUp reports whether this node has received the newest configuration that other nodes
+// announced since its start. A store that was restored from an older copy returns an older
+// configuration, which a starting node must not mistake for the newest.
 func (n *Node) caughtUp() bool {
 	if n.hasCaughtUp.Load() {
 		return true
@@ -368,7 +372,7 @@
 	return true
 }
 
-// awaitJoined waits until the node has joined.
+// awaitJoined waits until joined returns true or ctx is done.
 func (n *Node) awaitJoined(ctx context.Context) {
 	for !n.joined() && ctx.Err() == nil {
 		sleep(ctx, joinPollInterval)
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// probeTimeout is how long an endpoint has to take or refuse a connection. One whose
-	// process has ended refuses within the time of a packet there and back; one that has
-	// gone dark never answers.
+	// probeTimeout is how long an endpoint may take to accept or refuse a connection. If its
+	// process has ended, the refusal arrives within a round trip; an unreachable host never
+	// answers.
 	probeTimeout = 300 * time.Millisecond
-	// maxRefusalsPerMessage bounds the refused requests of one message: 4 kB.
+	// maxRefusalsPerMessage bounds the number of refusals in a message. That many take 4 kB.
 	maxRefusalsPerMessage = 128
-	// poisonReason is the outcome of requests that are refused since they crash endpoints.
+	// poisonReason is the outcome of requests that are refused because they crash endpoints.
 	poisonReason = "crashes endpoints"
 )
 
-// lockedGuard is this node's part in finding and refusing the requests that crash endpoints.
+// lockedGuard is a poison.Guard for concurrent use. It detects and refuses the requests that
+// crash endpoints.
 type lockedGuard struct {
 	mu    sync.Mutex
 	guard *poison.Guard
 }
 
-// refused reports whether a request is refused since it crashes endpoints, and for how
-// long still.
+// refused reports whether a request is refused because it crashes endpoints, and for how much
+// longer.
 func (p *lockedGuard) refused(id poison.ID) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.guard.Refused(time.Now(), id)
 }
 
-// suspected reports whether a request is to be kept apart from others.
+// suspected reports whether a request must run apart from other requests.
 func (p *lockedGuard) suspected(id poison.ID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,14 +54,14 @@
 	return p.guard.Crashes(time.Now(), id)
 }
 
-// sizes returns how many requests are suspects, and how many refusals are known.
+// sizes returns the numbers of suspect requests and of known refusals.
 func (p *lockedGuard) sizes() (suspects, refusals int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.guard.Sizes()
 }
 
-// membersChanged takes in which nodes are live.
+// membersChanged updates the guard with the live nodes.
 func (p *lockedGuard) membersChanged(live []wire.Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,8 +69,8 @@
 	p.guard.ForgetPeers(notIn(live))
 }
 
-// applyPoisonEvent gives the guard an event and does what follows from it. It reports whether the
-// node whose word the event was is to be told something.
+// applyPoisonEvent passes an event to the guard and executes the resulting outcome. It
+// reports whether the node that caused the event must be sent a reply.
 func (n *Node) applyPoisonEvent(event func(g *poison.Guard, now time.Time) poison.Outcome) bool {
 	p := n.poisonGuard
 	p.mu.Lock()
@@ -107,12 +108,13 @@
 	return out.Reply
 }
 
-// refusePoison answers a request that is refused since it crashes endpoints, and reports
-// whether it is. The answer promises that this try has not run, which is true, and tells
-// how long it is of no use to come back; a final status would also end a request for good
-// that was a suspect by chance. A try that may have run is promised nothing.
+// refusePoison answers a request that is refused because it crashes endpoints, and reports
+// whether it did. The response states that this attempt has not been executed, which is true,
+// and after which time a retry makes sense; a final status would end the request for good
+// even if it is a suspect by chance. If the attempt may have run, the response makes no such
+// statement.
 func (n *Node) refusePoison(w http.ResponseWriter, q *request) bool {
-	left, refused := n.poisonGuard.refused(q.content)
+	remaining, refused := n.poisonGuard.refused(q.content)
 	if !refused {
 		return false
 	}
@@ -121,14 +123,13 @@
 		n.refuse(w, q, http.StatusBadGateway, poisonReason, 0)
 		return true
 	}
-	n.refuse(w, q, http.StatusServiceUnavailable, poisonReason, left)
+	n.refuse(w, q, http.StatusServiceUnavailable, poisonReason, remaining)
 	return true
 }
 
-// recordBrokenRuns takes in that runs of requests broke off at an endpoint without a whole answer,
-// after some time.
-// What was broken off from this side, by its context, tells nothing, nor does an endpoint
-// that is leaving.
+// recordBrokenRuns records that runs of requests broke at an endpoint, without a complete
+// response, after the given time. Runs that this side canceled through their context say
+// nothing about the endpoint, nor do those at an endpoint that is draining.
 func (n *Node) recordBrokenRuns(ctx context.Context, e catalog.Endpoint, took time.Duration, requests ...poison.ID) {
 	if ctx.Err() != nil || n.isEndpointLeaving(e.ID) {
 		return
@@ -138,8 +139,9 @@
 	})
 }
 
-// recordBrokenStageCall takes in that a call of a stage pool broke off: each of its requests is
-// a suspect. Those of nodes of an earlier version are not known.
+// recordBrokenStageCall records that a call of a stage pool broke: each of its requests
+// becomes a suspect. The content IDs are unknown for requests from nodes of an earlier
+// version.
 func (n *Node) recordBrokenStageCall(ctx context.Context, e catalog.Endpoint, took time.Duration, requests []poison.ID) {
 	requests = slices.DeleteFunc(requests, poison.ID.IsZero)
 	if len(requests) > 0 {
@@ -147,7 +149,7 @@
 	}
 }
 
-// isEndpointLeaving reports whether an endpoint is leaving or has left the list.
+// isEndpointLeaving reports whether an endpoint is draining or no longer listed.
 func (n *Node) isEndpointLeaving(id string) bool {
 	for _, e := range n.view.Load().endpoints {
 		if e.ID == id {
@@ -157,14 +159,16 @@
 	return true
 }
 
-// probe asks whether an endpoint takes connections at which runs of this node broke off.
+// probe checks whether an endpoint at which runs of this node broke accepts connections, and
+// logs the result.
 func (n *Node) probe(e catalog.Endpoint) {
 	refuses := n.refusesConnections(e)
 	n.meters.probed(refuses)
 	n.log.Info(eventRunBroken, zap.String("endpoint", e.ID), zap.Bool("refuses", refuses))
 }
 
-// refusesConnections asks whether an endpoint refuses connections.
+// refusesConnections checks whether an endpoint refuses connections and passes the result to
+// the guard.
 func (n *Node) refusesConnections(e catalog.Endpoint) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -173,26 +177,26 @@
 	return refuses
 }
 
-// updateGuardEndpoints holds the list of endpoints, current as of a moment, against the runs
-// that broke off.
+// updateGuardEndpoints compares the endpoint list, current as of the given time, with the
+// runs that broke.
 func (n *Node) updateGuardEndpoints(current time.Time, list []catalog.Endpoint) {
 	n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome { return g.UpdateEndpoints(now, current, list) })
 }
 
-// recordServed takes in that a request was recordServed well.
+// recordServed records that a request was served successfully.
 func (n *Node) recordServed(q *request) {
 	n.times.served(q, time.Now())
 	n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome { return g.RecordSuccess(now, q.content) })
 }
 
-// failRefused has the stage pools led here give the work of a request up.
+// failRefused fails the tasks of a refused request in all stage pools of this node.
 func (n *Node) failRefused(id poison.ID) {
 	for _, c := range n.leaders.all() {
 		c.failContent(id)
 	}
 }
 
-// sendReports sends reports to the nodes that count the ends of their requests.
+// sendReports sends reports to the nodes that count the crashes under the reported requests.
 func (n *Node) sendReports(reports []poison.Report) {
 	if len(reports) == 0 {
 		return
@@ -201,12 +205,12 @@
 	names := nodeNames(entries)
 	byOwner := make(map[string][]wire.RequestEnds)
 	for _, r := range reports {
-		told := wire.RequestEnds{Request: bytesOf(r.Request), Served: r.Served}
+		ends := wire.RequestEnds{Request: bytesOf(r.Request), Served: r.Served}
 		for _, e := range r.Crashes {
-			told.Ends = append(told.Ends, wire.EndpointEnd(e))
+			ends.Ends = append(ends.Ends, wire.EndpointEnd(e))
 		}
 		for _, owner := range poison.Owners(r.Request, names) {
-			byOwner[owner] = append(byOwner[owner], told)
+			byOwner[owner] = append(byOwner[owner], ends)
 		}
 	}
 	for _, e := range entries {
@@ -218,7 +222,7 @@
 
 func bytesOf(id poison.ID) []byte { return id[:] }
 
-// handleEnds takes in the reports of another node.
+// handleEnds handles the crash reports of another node.
 func (n *Node) handleEnds(from wire.Hello, m *wire.Ends) {
 	reports := make([]poison.Report, 0, len(m.Requests))
 	for _, r := range m.Requests {
@@ -236,32 +240,32 @@
 	n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome { return g.HandleReports(now, reports) })
 }
 
-// withRefusals adds to a message what its receiver may not know of refused requests.
+// withRefusals adds the refusals to a message that its receiver may lack.
 func (n *Node) withRefusals(to string, m wire.Gossip) wire.Gossip {
 	p := n.poisonGuard
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sum, news := p.guard.NextUpdates(time.Now(), to, maxRefusalsPerMessage)
-	m.RefusedSum = sum
-	for _, r := range news {
+	checksum, updates := p.guard.NextUpdates(time.Now(), to, maxRefusalsPerMessage)
+	m.RefusedSum = checksum
+	for _, r := range updates {
 		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Left: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Count, Pardoned: r.Pardoned})
 	}
 	return m
 }
 
-// mergeRefusals takes in what another node tells of refused requests, and reports whether
-// that node is to be told something.
+// mergeRefusals applies the refusals in another node's message, and reports whether that node
+// must be sent a reply.
 func (n *Node) mergeRefusals(m *wire.Gossip) bool {
-	told := make([]poison.Refusal, 0, len(m.Refused))
+	received := make([]poison.Refusal, 0, len(m.Refused))
 	for _, r := range m.Refused {
 		id, err := poison.ParseID(r.Request)
 		if err != nil {
 			n.log.Warn(eventUnexpectedMessage, zap.String("node", m.Node), zap.Error(err))
 			continue
 		}
-		told = append(told, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Times, Pardoned: r.Pardoned})
+		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Times, Pardoned: r.Pardoned})
 	}
 	return n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome {
-		return g.HandleGossip(now, m.Node, m.RefusedSum, told)
+		return g.HandleGossip(now, m.Node, m.RefusedSum, received)
 	})
 }
--- a/internal/node/stagecalls.go
+++ b/internal/node/stagecalls.go
@@ -17,7 +17,7 @@
 
 const freeTimeout = 2 * time.Second
 
-// call sends a call to a stage endpoint and hands its end to the pool.
+// call sends a call to a stage endpoint and passes its outcome to the pool.
 func (c *leader) call(a stagepool.StartCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 	c.execute(c.pool.Done(time.Now(), a.Call, outcome))
 }
 
-// contents lists the requests of a call, each once.
+// contents returns the content IDs of the requests in a call, without duplicates.
 func contents(items []stagepool.Item) []poison.ID {
 	var list []poison.ID
 	for _, it := range items {
@@ -60,7 +60,8 @@
 	return list
 }
 
-// unmadePieces counts the pieces without a result, and those of each reason.
+// unmadePieces returns the number of pieces without a result, and log fields with the number
+// for each reason.
 func unmadePieces(o stagepool.Outcome) (int, []zap.Field) {
 	counts := make(map[stagepool.ItemStatus]int)
 	for _, r := range o.Items {
@@ -76,8 +77,8 @@
 	return total, fields
 }
 
-// free gives results up at their maker. Those of an evacuated one end by themselves: their
-// room is of no use to anyone.
+// free releases results at the endpoint that holds them. Results in an evacuated failure
+// domain are left to expire, since no work needs their room.
 func (c *leader) free(a stagepool.Free) {
 	if c.group.evacuated(a.Domain) {
 		return
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -14,98 +14,100 @@
 )
 
 const (
-	// verdictTimeout is how long a leader may take to answer a submission. It
-	// covers the loss of a packet, after which TCP sends it again.
+	// verdictTimeout is how long a leader may take to answer a submission. It allows for a
+	// lost packet and its retransmission by TCP.
 	verdictTimeout = 400 * time.Millisecond
-	// reconnectVerdictTimeout is how long it may take on a connection that was just opened
-	// because the one before had fallen silent.
+	// reconnectVerdictTimeout is how long the answer may take on a connection that was just
+	// opened because the previous one stopped responding.
 	reconnectVerdictTimeout = 150 * time.Millisecond
-	// pingInterval is how often a leader is asked whether it is still at work. A
-	// leader that is slow is left to its work: a second one would compete with
-	// it for the same endpoints and make both slower.
+	// pingInterval is how often a leader is asked whether it still works on a task. A slow
+	// leader keeps its work: a second one would compete with it for the same endpoints and
+	// slow both down.
 	pingInterval      = 400 * time.Millisecond
 	maxLeaderAttempts = 3
 )
 
-// verdictTimeouts is how long a leader has for its verdict, at first and on a renewed
-// connection.
+// verdictTimeouts holds the time limits for a leader's verdict: for the first attempt, and
+// for one after a reconnect.
 type verdictTimeouts struct{ first, afterReconnect time.Duration }
 
-// stageWork is a request's stages, in absolute times.
+// stageWork is the submission of a request's stages, with absolute times.
 type stageWork struct {
 	submit       wire.StagesSubmit
 	softDeadline time.Time
 	deadline     time.Time
 }
 
-// stageResults are the results of a request's last stages.
+// stageResults holds the results of a request's last stages.
 type stageResults struct {
 	handles []string
-	// endpoint is where the leader wants the request to run, or "", and bounded whether it
-	// knows that the endpoint bounds what it takes.
+	// endpoint is the endpoint that the leader chose for the request, or "". bounded reports
+	// whether the leader knows that this endpoint limits the work it accepts.
 	endpoint string
 	bounded  bool
-	// copyFrom is the address of an endpoint that holds more of the prompt.
+	// copyFrom is the address of an endpoint whose cache holds a longer prefix of the prompt.
 	copyFrom string
-	// leader ran the stages and predicted how long they would take.
+	// leader is the node that ran the stages. predicted is the duration that it predicted for
+	// them.
 	leader    string
 	predicted time.Duration
-	// release gives them up and tells how the endpoint did; it may be called
-	// more than once.
+	// release releases the results and reports the outcome of the placement to the leader.
+	// Only the first call has an effect.
 	release func(wire.Placement)
 }
 
-// runStages has a request's stages run by a leader. An error is a *refusal
-// when the request was not taken, or the context's.
+// runStages runs the stages of a request through the leader of their cell. The error is a
+// *refusal if the request was not accepted, or the error of the context.
 func (n *Node) runStages(ctx context.Context, w stageWork) (stageResults, error) {
 	w.submit.Cell = int(hash.Of(w.submit.RequestID) % uint64(n.view.Load().cellCount()))
 	n.awaitJoined(ctx)
-	var last error
-	silent := ""
-	for tries := 0; tries < maxLeaderAttempts; {
+	var lastErr error
+	reconnected := ""
+	for attempts := 0; attempts < maxLeaderAttempts; {
 		leader, ok := n.leaderOf(time.Now(), w.submit.Cell)
 		if !ok {
 			return stageResults{}, &refusal{reason: "no node leads the stage pool", retryAfter: time.Second}
 		}
 		limit := n.verdictTimeouts.first
-		if silent == leader.Node {
+		if reconnected == leader.Node {
 			limit = n.verdictTimeouts.afterReconnect
 		}
-		asked := time.Now()
+		sent := time.Now()
 		results, err := n.tryLeader(ctx, leader, w, limit)
 		switch {
 		case errors.Is(err, errLeaderLeaving) && leader.Node != n.settings.Node:
-			// It is no try, and can't go on for ever: the node is not ranked again.
+			// This does not count as an attempt. The loop terminates, because the node is not
+			// ranked again.
 			n.submissions.markLeaving(leader)
 			continue
-		case errors.Is(err, errLeaderLost) && leader.Node != n.settings.Node && silent != leader.Node:
-			// Perhaps only the connection is lost. The work stays with its leader
-			// if a new one reaches it: a second leader that was asked instead would
-			// claim the cell, and all nodes would change to it and back.
-			silent = leader.Node
-			n.reconnect(leader, asked)
+		case errors.Is(err, errLeaderLost) && leader.Node != n.settings.Node && reconnected != leader.Node:
+			// Possibly only the connection was lost. If a new connection reaches the leader,
+			// the work stays there: another node that was asked instead would claim the cell,
+			// and all nodes would switch to it and back.
+			reconnected = leader.Node
+			n.reconnect(leader, sent)
 			continue
 		case errors.Is(err, errLeaderLost):
 			n.suspectLeader(leader, w)
 		case !errors.Is(err, errLeaderLeaving) && !errors.Is(err, errHandedOff):
 			return results, err
 		}
-		last = err
-		tries++
+		lastErr = err
+		attempts++
 	}
-	return stageResults{}, &refusal{reason: last.Error(), retryAfter: time.Second}
+	return stageResults{}, &refusal{reason: lastErr.Error(), retryAfter: time.Second}
 }
 
-// reconnect gives the connection to a node up on which the answer to what was asked at
-// a moment did not come, and tells all jobs that were sent on it. One that was opened
-// later stays.
-func (n *Node) reconnect(to wire.Entry, asked time.Time) {
-	if n.links.Renew(to.PeerAddress, asked) {
+// reconnect closes the connection to a node if it was opened before the given time, at which
+// a message was sent that got no answer. Submissions sent on that connection are told that it
+// was lost.
+func (n *Node) reconnect(to wire.Entry, sent time.Time) {
+	if n.links.Renew(to.PeerAddress, sent) {
 		n.submissions.connectionLost(to.PeerAddress)
 	}
 }
 
-// suspectLeader keeps a node that did not answer from leading for a while.
+// suspectLeader excludes a node that did not respond from leading for a while.
 func (n *Node) suspectLeader(e wire.Entry, w stageWork) {
 	n.log.Warn(eventLeaderLost, zap.String("request", w.submit.RequestID), zap.String("leader", e.Node))
 	if e.Node != n.settings.Node {
@@ -114,22 +116,22 @@
 }
 
 func (n *Node) tryLeader(ctx context.Context, to wire.Entry, w stageWork, limit time.Duration) (stageResults, error) {
-	b := n.submissions.add(to.PeerAddress)
+	sub := n.submissions.add(to.PeerAddress)
 	now := time.Now()
-	w.submit.ID = b.id
+	w.submit.ID = sub.id
 	w.submit.Aim = w.softDeadline.Sub(now).Milliseconds()
 	w.submit.Deadline = w.deadline.Sub(now).Milliseconds()
 	n.sendToLeader(to, &w.submit)
 	var once sync.Once
-	release := func(how wire.Placement) {
+	release := func(placement wire.Placement) {
 		once.Do(func() {
-			n.submissions.remove(b)
-			n.sendToLeader(to, &wire.StagesRelease{ID: b.id, Placement: how})
+			n.submissions.remove(sub)
+			n.sendToLeader(to, &wire.StagesRelease{ID: sub.id, Placement: placement})
 		})
 	}
-	done, predicted, err := b.awaitVerdict(ctx, limit)
+	done, predicted, err := sub.awaitVerdict(ctx, limit)
 	if err == nil && done == nil {
-		done, err = b.awaitResults(ctx, func() { n.sendToLeader(to, &wire.StagesPing{ID: b.id}) })
+		done, err = sub.awaitResults(ctx, func() { n.sendToLeader(to, &wire.StagesPing{ID: sub.id}) })
 	}
 	if err != nil {
 		release(wire.PlacementUnused)
@@ -146,20 +148,20 @@
 	return stageResults{handles: done.Handles, endpoint: done.Endpoint, bounded: done.Bounded, copyFrom: done.CopyFrom, leader: to.Node, predicted: predicted, release: release}, nil
 }
 
-// awaitVerdict waits for the leader's verdict until a limit; a result that comes first
-// counts too. It returns the leader's prediction too.
-func (b *submission) awaitVerdict(ctx context.Context, limit time.Duration) (*wire.StagesDone, time.Duration, error) {
+// awaitVerdict waits for the leader's verdict up to a time limit, and returns the predicted
+// duration. A result that arrives first is returned in its place.
+func (s *submission) awaitVerdict(ctx context.Context, limit time.Duration) (*wire.StagesDone, time.Duration, error) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case v := <-b.verdicts:
+	case v := <-s.verdicts:
 		if !v.Accepted {
 			return nil, 0, &refusal{reason: cmp.Or(v.Reason, "stages would be late"), retryAfter: time.Duration(v.Again) * time.Millisecond, predicted: time.Duration(v.Finish) * time.Millisecond}
 		}
 		return nil, time.Duration(v.Finish) * time.Millisecond, nil
-	case d := <-b.dones:
+	case d := <-s.dones:
 		return d, 0, nil
-	case <-b.broken:
+	case <-s.broken:
 	case <-timer.C:
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
@@ -167,30 +169,29 @@
 	return nil, 0, errLeaderLost
 }
 
-// awaitResults waits for the results as long as the leader answers that it works
-// on them.
-func (b *submission) awaitResults(ctx context.Context, ping func()) (*wire.StagesDone, error) {
+// awaitResults waits for the results as long as the leader confirms that it works on them.
+func (s *submission) awaitResults(ctx context.Context, ping func()) (*wire.StagesDone, error) {
 	timer := time.NewTimer(pingInterval)
 	defer timer.Stop()
-	asked := false
+	pinged := false
 	for {
 		select {
-		case d := <-b.dones:
+		case d := <-s.dones:
 			return d, nil
-		case v := <-b.verdicts:
+		case v := <-s.verdicts:
 			if !v.Accepted {
 				return nil, errLeaderLost
 			}
-			asked = false
+			pinged = false
 			timer.Reset(pingInterval)
 		case <-timer.C:
-			if asked {
+			if pinged {
 				return nil, errLeaderLost
 			}
-			asked = true
+			pinged = true
 			ping()
 			timer.Reset(verdictTimeout)
-		case <-b.broken:
+		case <-s.broken:
 			return nil, errLeaderLost
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -198,7 +199,7 @@
 	}
 }
 
-// sendToLeader hands a message to a leader, which may be this node.
+// sendToLeader sends a message to a leader, which may be this node.
 func (n *Node) sendToLeader(to wire.Entry, m wire.Message) {
 	if to.Node != n.settings.Node {
 		n.links.Send(to.PeerAddress, m)
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -16,30 +16,30 @@
 	"gradetiller.example/platform"
 )
 
-// view is what a node believes of the configuration and the endpoints. It is
-// never changed after it was put in force.
+// view is what a node knows of the configuration and the endpoints. A view is immutable once
+// it is stored in Node.view.
 type view struct {
 	config *catalog.Config
 	file   *configFile
-	// endpoints is the list as of a revision.
+	// endpoints is the endpoint list as of revision.
 	endpoints []catalog.Endpoint
-	// cold are those of them that are taken to be cold, by id.
+	// cold holds the cold periods of endpoints, by endpoint ID.
 	cold map[string]discovery.ColdPeriod
-	// revision orders such lists.
+	// revision is the store revision of the list.
 	revision catalog.Revision
-	// evacuations are the failure domains to which nothing further is sent.
+	// evacuations holds the failure domains to which no work is sent.
 	evacuations discovery.Evacuations
-	// fresh is as of when all this is known to be the store's.
+	// fresh holds the times as of which the data is known to match the store.
 	fresh discovery.Freshness
 }
 
-// complete reports whether a node can serve by the view: it has a configuration and a list
-// of endpoints, and it is known which failure domains are evacuated.
+// complete reports whether a node can serve requests with the view: it has a configuration, a
+// list of endpoints and the set of evacuated failure domains.
 func (v *view) complete() bool {
 	return v.config != nil && !v.fresh.List.IsZero() && v.evacuations.Known()
 }
 
-// version is the version of the configuration in force, or 0.
+// version returns the version of the configuration, or 0 if there is none.
 func (v *view) version() uint64 {
 	if v.config == nil {
 		return 0
@@ -47,22 +47,22 @@
 	return v.config.Version
 }
 
-// configFile is a configuration as it goes to peers. It is compressed when the
-// first of them asks: with 1,400 routes it has 288 kB, which take a link of 20 Mbit/s
-// 115 ms, and 15 kB compressed (TestConfigurationsGoCompressed).
+// configFile is a configuration file as sent to peers. It is compressed when the first peer
+// requests it: with 1,400 routes the file has 288 kB, which take 115 ms on a link of 20
+// Mbit/s, and 15 kB compressed (TestConfigurationsGoCompressed).
 type configFile struct {
 	data   []byte
 	once   sync.Once
 	packed []byte
 }
 
-// pack returns the compressed file, or nil if it can't be compressed.
+// pack returns the compressed file, or nil if compression failed.
 func (f *configFile) pack() []byte {
 	f.once.Do(func() { f.packed, _ = packed.Pack(f.data) })
 	return f.packed
 }
 
-// applyConfig puts a configuration in force if it is above the present one.
+// applyConfig puts a configuration into effect if its version is higher than the present one.
 func (n *Node) applyConfig(data []byte, source string) {
 	if inForce := n.view.Load().file; inForce != nil && bytes.Equal(inForce.data, data) {
 		return
@@ -91,21 +91,22 @@
 	n.updatePools()
 }
 
-// applyStoreEndpoints takes a list in that was read from the store at a moment.
+// applyStoreEndpoints applies an endpoint list that was read from the store at the given
+// time.
 func (n *Node) applyStoreEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
 	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordList(at) })
 	n.updateEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
 }
 
-// recordConfigRead notes that the store told this node its newest configuration as of a
-// moment, whether it could be put in force or not.
+// recordConfigRead records that the configuration known here was the store's newest at the
+// given time, even if it was rejected as invalid.
 func (n *Node) recordConfigRead(at time.Time) {
 	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordConfig(at) })
 	n.updateEndpoints(sourceStore, fresh, func() bool { return false })
 }
 
-// recordRead notes a read of the store and returns what this node knows by its own
-// reads.
+// recordRead records a read of the store, and returns the resulting freshness of this node's
+// own data.
 func (n *Node) recordRead(note func(*discovery.DirectReads)) discovery.Freshness {
 	n.viewMu.Lock()
 	defer n.viewMu.Unlock()
@@ -113,14 +114,14 @@
 	return n.directReads.Freshness(*n.ranking.Load(), n.settings.Node)
 }
 
-// Where news of the view come from, in log lines.
+// Sources of view updates, as logged.
 const (
 	sourceStore = "store"
 	sourcePeer  = "peer"
 )
 
-// updateEndpoints changes the list and puts it in force if anything changed, and
-// notes as of when the view is the store's.
+// updateEndpoints applies a change to the endpoint list and publishes the resulting view and
+// its freshness.
 func (n *Node) updateEndpoints(source string, fresh discovery.Freshness, change func() bool) {
 	now := time.Now()
 	n.viewMu.Lock()
@@ -130,12 +131,12 @@
 		n.log.Info(eventEndpointsKept, zap.Int64("count", kept), zap.String("source", source), zap.Int64("list_age_ms", listAge))
 	}
 	old := n.view.Load()
-	doubted := n.list.Outdated()
+	outdated := n.list.Outdated()
 	next := *old
 	next.revision = n.list.Revision()
 	next.fresh = old.fresh.Merge(fresh)
 	if next.fresh.Primaries.IsZero() {
-		// The readers are given their time before others stand in for them.
+		// Gives the readers time to respond before other nodes replace them.
 		next.fresh.Primaries = next.fresh.List
 	}
 	if next.fresh.Candidates.IsZero() {
@@ -150,7 +151,7 @@
 	n.viewMu.Unlock()
 	n.updateGuardEndpoints(next.fresh.List, next.endpoints)
 	if next.revision.Era() > old.revision.Era() && old.revision != 0 {
-		n.log.Warn(eventStoreRestored, zap.Stringer("before", old.revision), zap.Stringer("after", next.revision), zap.Int("doubted", doubted), zap.String("source", source))
+		n.log.Warn(eventStoreRestored, zap.Stringer("before", old.revision), zap.Stringer("after", next.revision), zap.Int("doubted", outdated), zap.String("source", source))
 	}
 	if next.revision != old.revision {
 		n.advertiseRevision(next.revision, old.fresh.Stale(now))
@@ -160,18 +161,19 @@
 	}
 }
 
-// advertiseRevision has the heartbeats tell the revision of the list, at once when it is the
-// first news in a while: then the readers are lost, and the nodes that would ask for
-// them may go on asking lost ones. With the readers and all that stand in for them first
-// lost, 61 nodes have dropped an endpoint 2.3 s after it left, and 4.2 s without this
-// (simulated time, TestLeaving, stand-ins-lost).
+// advertiseRevision sets the list revision that heartbeats announce. If the view was stale
+// until now, it requests a heartbeat at once: the readers are then lost, and the nodes that
+// lack the list may otherwise keep polling lost ones. With the primary and the backup readers
+// lost first, 61 nodes dropped an endpoint 2.3 s after it left, against 4.2 s without the
+// early heartbeat (simulated time, TestLeaving, stand-ins-lost).
 func (n *Node) advertiseRevision(revision catalog.Revision, late bool) {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
 	n.members.SetListRevision(uint64(revision), late)
 }
 
-// logEndpoints logs what a list that was not renewed for some milliseconds became.
+// logEndpoints logs the endpoints that were added, changed or removed. The age of the list
+// before the update is in milliseconds.
 func (n *Node) logEndpoints(source string, listAge int64, before, after []catalog.Endpoint) {
 	known := make(map[string]catalog.Endpoint, len(before))
 	for _, e := range before {
@@ -189,12 +191,12 @@
 	}
 }
 
-// updatePools hands the view in force to the pools, once it is complete. Other nodes may
-// submit work before.
+// updatePools updates the pools from the present view, once that is complete. Other nodes may
+// submit work earlier.
 func (n *Node) updatePools() {
 	n.poolsMu.Lock()
 	defer n.poolsMu.Unlock()
-	// The view is looked at under the lock, so that no older one is put in force after it.
+	// The view is loaded under the lock, so that the pools never return to an older one.
 	v := n.view.Load()
 	if !v.complete() {
 		return
@@ -204,7 +206,7 @@
 	n.leaders.update(time.Now(), v)
 }
 
-// handleViewRequest sends a peer what it lacks.
+// handleViewRequest sends a peer the parts of the view that it lacks.
 func (n *Node) handleViewRequest(m *wire.ViewRequest, answer func(wire.Message) error) {
 	n.viewMu.Lock()
 	v := n.view.Load()
@@ -223,17 +225,17 @@
 	if v.config != nil && v.config.Version > m.ConfigAbove {
 		out.ConfigVersion = v.config.Version
 		out.Config = v.file.data
-		if small := v.file.pack(); m.TakesPacked && small != nil {
-			out.Config, out.Packed = small, true
+		if compressed := v.file.pack(); m.TakesPacked && compressed != nil {
+			out.Config, out.Packed = compressed, true
 		}
 	}
 	_ = answer(out)
 }
 
-// unknownAge is the age, in milliseconds, of what was never known.
+// unknownAge is the age, in milliseconds, that stands for an unknown time.
 const unknownAge = int64(24 * time.Hour / time.Millisecond)
 
-// age is how long ago a moment was, in milliseconds.
+// age returns the time that has passed since at, in milliseconds.
 func age(now, at time.Time) int64 {
 	if at.IsZero() {
 		return unknownAge
@@ -241,7 +243,7 @@
 	return now.Sub(at).Milliseconds()
 }
 
-// timeOfAge is the one that has an age, or zero.
+// timeOfAge is the inverse of age. It returns the zero time for an unknown age.
 func timeOfAge(now time.Time, age int64) time.Time {
 	if age >= unknownAge {
 		return time.Time{}
@@ -249,7 +251,7 @@
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// applyView takes a peer's answer in.
+// applyView applies the response of a peer to a view request.
 func (n *Node) applyView(m *wire.View) {
 	if len(m.Config) > 0 && m.ConfigVersion > n.view.Load().version() {
 		n.applyPeerConfig(m)
@@ -269,14 +271,14 @@
 	now := time.Now()
 	fresh := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.ReadersAge), Candidates: timeOfAge(now, m.StandInsAge)}
 	if m.ConfigVersion <= n.view.Load().version() && m.EvacuatedRevision > 0 {
-		// What the peer holds is in force here too. Of evacuations one of an earlier
-		// version knows nothing.
+		// The peer's configuration is in effect here too. A peer of an earlier version does
+		// not know evacuations, so that its response does not confirm them.
 		fresh.Config = timeOfAge(now, m.ConfigAge)
 	}
 	n.updateEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
 }
 
-// applyPeerConfig takes a configuration that a peer sent.
+// applyPeerConfig applies a configuration that a peer sent.
 func (n *Node) applyPeerConfig(m *wire.View) {
 	data := m.Config
 	if m.Packed {
@@ -290,7 +292,7 @@
 	n.applyConfig(data, sourcePeer)
 }
 
-// specs returns the endpoints of a service that take new work.
+// specs returns the placement specs of a service's endpoints that accept new work.
 func (v *view) specs(service catalog.Service, pace pacing, off mechanism.Disabled) []place.Spec {
 	cache := service.PromptCache
 	if off.Has(mechanism.Holdings) {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// minConfigInterval is how often the store is asked for configurations at most: in a
-	// storm of changes each is replaced before it matters.
+	// minConfigInterval is the minimum time between requests for the configuration. When
+	// configurations change faster, most are replaced before they matter.
 	minConfigInterval = 400 * time.Millisecond
-	// startPollInterval is how often a node that knows nothing yet looks whether it
-	// reads the store, and standInPoll how often one that serves looks whether it
-	// stands in for the readers: a change has few seconds to be in force.
+	// startPollInterval is how often a node without a configuration checks whether it reads
+	// the store, and backupPollInterval how often a serving node checks whether it must
+	// replace the readers: a change must be in effect within a few seconds.
 	startPollInterval  = 50 * time.Millisecond
 	backupPollInterval = 100 * time.Millisecond
 )
 
-// watchConfig keeps the configuration current until ctx ends. A node that is
-// no reader gets it from one with the list of endpoints.
+// watchConfig keeps the configuration up to date until ctx is done. A node that does not read
+// the store receives it from a reader with the endpoint list.
 func (n *Node) watchConfig(ctx context.Context) {
 	revision := catalog.Revision(0)
 	failed := 0
 	for ctx.Err() == nil {
-		asked := time.Now()
-		if !n.updateReadsStore(asked, n.shouldReadStore(asked)) {
+		start := time.Now()
+		if !n.updateReadsStore(start, n.shouldReadStore(start)) {
 			revision, failed = 0, 0
 			sleep(ctx, n.readerCheckInterval())
 			continue
@@ -41,8 +41,8 @@
 		r, err := n.nextConfig(ctx, revision, failed, wait)
 		n.recordStoreResult(callConfig, err)
 		if err != nil {
-			// The next call reads the whole configuration, which confirms it at once
-			// and has a shorter limit than a question for changes.
+			// The next call reads the whole configuration: that confirms it immediately and
+			// has a shorter timeout than a request for changes.
 			revision = 0
 			if errors.Is(err, platform.ErrHistoryGone) && failed == 0 {
 				failed++
@@ -57,16 +57,17 @@
 			n.applyConfig(r.Data, sourceStore)
 		}
 		n.applyStoreEvacuations(r)
-		// A whole read is no wait, and tells the configuration as of its question.
-		n.recordConfigRead(discovery.AnswerAsOf(asked, time.Now(), wait, r.Data != nil || revision == 0))
+		// A read of the whole configuration does not wait for changes, and is valid as of its
+		// request.
+		n.recordConfigRead(discovery.AnswerAsOf(start, time.Now(), wait, r.Data != nil || revision == 0))
 		revision = r.Revision
-		// Other rows of the table also end the store's wait.
-		sleep(ctx, minConfigInterval-time.Since(asked))
+		// Changes of other rows of the table end the store's wait as well.
+		sleep(ctx, minConfigInterval-time.Since(start))
 	}
 }
 
-// readerCheckInterval is how long a node that is no reader waits before it looks again
-// whether it is one.
+// readerCheckInterval returns how long a node that does not read the store waits before it
+// checks again whether it must.
 func (n *Node) readerCheckInterval() time.Duration {
 	if n.view.Load().config == nil {
 		return startPollInterval
@@ -74,7 +75,7 @@
 	return backupPollInterval
 }
 
-// hasCompleteView reports whether this node knows all that it hasCompleteView by.
+// hasCompleteView reports whether this node has everything it needs to serve requests.
 func (n *Node) hasCompleteView() bool { return n.view.Load().complete() }
 
 func (n *Node) nextConfig(ctx context.Context, after catalog.Revision, failed int, wait time.Duration) (platform.ConfigUpdate, error) {
@@ -84,44 +85,44 @@
 	return n.store.AwaitConfig(ctx, after, wait)
 }
 
-// watchEndpoints keeps the list of endpoints current until ctx ends: readers
-// read the store, the others ask a reader.
+// watchEndpoints keeps the endpoint list up to date until ctx is done: readers read the
+// store, the others poll a reader.
 func (n *Node) watchEndpoints(ctx context.Context) {
-	inVain, silent := 0, 0
+	failed, attempt := 0, 0
 	for ctx.Err() == nil {
-		asked := time.Now()
-		if n.shouldReadStore(asked) {
-			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.hasCompleteView(), inVain))
+		start := time.Now()
+		if n.shouldReadStore(start) {
+			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.hasCompleteView(), failed))
 			n.recordStoreResult(callEndpoints, err)
 			if err != nil {
-				inVain++
-				sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), inVain))
+				failed++
+				sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), failed))
 				continue
 			}
-			inVain = 0
+			failed = 0
 			n.noteRefused(list.Refused)
-			n.applyStoreEndpoints(list.Endpoints, list.Revision, asked)
-			silent++
-			n.pollOwnReaders(silent)
-			sleep(ctx, discovery.ReadInterval-time.Since(asked))
+			n.applyStoreEndpoints(list.Endpoints, list.Revision, start)
+			attempt++
+			n.pollOwnReaders(attempt)
+			sleep(ctx, discovery.ReadInterval-time.Since(start))
 			continue
 		}
-		inVain = 0
+		failed = 0
 		v := n.view.Load()
 		if v.fresh.List.IsZero() {
-			// The first list is also asked for with each beat, of any node.
+			// Until the first list arrives, each tick also requests it from any node.
 			sleep(ctx, startPollInterval)
 			continue
 		}
-		if v.fresh.Stale(asked) {
-			silent++
+		if v.fresh.Stale(start) {
+			attempt++
 		}
-		n.pollReader(n.ranking.Load().Readers(asked.Sub(v.fresh.Primaries)), silent)
+		n.pollReader(n.ranking.Load().Readers(start.Sub(v.fresh.Primaries)), attempt)
 		sleep(ctx, discovery.PollInterval)
 	}
 }
 
-// shouldReadStore reports whether this node shouldReadStore the store itself.
+// shouldReadStore reports whether this node has to read the store.
 func (n *Node) shouldReadStore(now time.Time) bool {
 	fresh := n.view.Load().fresh
 	if fresh.List.IsZero() || !n.view.Load().evacuations.Known() {
@@ -130,8 +131,8 @@
 	return n.ranking.Load().Reads(n.settings.Node, now, fresh)
 }
 
-// updateReadsStore logs when this node begins or ceases to read the store, and returns
-// whether it does.
+// updateReadsStore records and logs whether this node reads the store, and returns the same
+// value.
 func (n *Node) updateReadsStore(now time.Time, reads bool) bool {
 	if n.readsStore.Swap(reads) == reads {
 		return reads
@@ -145,7 +146,7 @@
 		n.log.Info(eventStoreReadsStarted, fields...)
 		return true
 	}
-	// It asks nothing any more that could fail.
+	// The node makes no more calls that could fail.
 	for call := range n.storeLost {
 		n.storeLost[call].Store(false)
 	}
@@ -153,8 +154,8 @@
 	return false
 }
 
-// setEntries puts a list of live nodes in force, and with it who reads the
-// store.
+// setEntries stores the list of live nodes, and derives the load share and the ranking of
+// readers from it.
 func (n *Node) setEntries(entries []wire.Entry) {
 	n.entries.Store(&entries)
 	n.shareOut(time.Now(), entries)
@@ -163,14 +164,14 @@
 }
 
 func (n *Node) rankReaders(entries []wire.Entry) discovery.Ranking {
-	var able []wire.Entry
+	var eligible []wire.Entry
 	for _, e := range entries {
 		if !e.Leaving || e.Node == n.settings.Node {
-			able = append(able, e)
+			eligible = append(eligible, e)
 		}
 	}
-	strong, weak := lead.SplitBySize(able)
-	return discovery.Rank(nodeNames(strong), nodeNames(weak))
+	large, small := lead.SplitBySize(eligible)
+	return discovery.Rank(nodeNames(large), nodeNames(small))
 }
 
 func nodeNames(entries []wire.Entry) []string {
@@ -181,21 +182,21 @@
 	return names
 }
 
-// pollOwnReaders has a node that reads in the place of others ask one of these, so that it
-// leaves it to them once they are back.
-func (n *Node) pollOwnReaders(turn int) {
+// pollOwnReaders lets a node that replaces readers poll one of them, so that it stops reading
+// the store once they are back.
+func (n *Node) pollOwnReaders(attempt int) {
 	readers := n.ranking.Load()
 	switch {
 	case readers.IsPrimary(n.settings.Node):
 	case readers.IsCandidate(n.settings.Node):
-		n.pollReader(readers.Readers(0), turn)
+		n.pollReader(readers.Readers(0), attempt)
 	default:
-		n.pollReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), turn)
+		n.pollReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), attempt)
 	}
 }
 
-// pollReader asks one of the readers for what is new, the next one after each try that
-// failed.
+// pollReader requests updates from one of the readers, a different one after each failed
+// attempt.
 func (n *Node) pollReader(readers []string, failed int) {
 	v := n.view.Load()
 	name := discovery.ReaderFor(readers, n.settings.Node, failed)
@@ -204,7 +205,7 @@
 	}
 }
 
-// storeCall is a kind of call to the store.
+// storeCall is a kind of store call.
 type storeCall int
 
 const (
@@ -213,10 +214,11 @@
 	storeCallCount
 )
 
-// String returns the name in log lines.
+// String returns the name that is written to log lines.
 func (c storeCall) String() string { return [...]string{"configuration", "endpoints"}[c] }
 
-// recordStoreResult logs when the store is lost or regained for a kind of call.
+// recordStoreResult records the result of a store call, and logs when calls of its kind start
+// to fail or to succeed.
 func (n *Node) recordStoreResult(call storeCall, err error) {
 	lost := err != nil
 	if n.storeLost[call].Swap(lost) == lost {
