--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -38,7 +38,7 @@
 	eventStageService = "stage service"
 	// Stage results could not be released at the endpoint that holds them.
 	eventResultsNotFreed = "results not freed"
-	// A model engine reported which prompt prefixes its cache holds.
+	// A model engine reported which parts of prompts its cache holds.
 	eventCacheLearned = "cache learned"
 	// A model engine did not report the contents of its prompt cache.
 	eventCacheUnknown = "cache unknown"
@@ -47,9 +47,9 @@
 	// This node releases its claim to a cell.
 	eventCellReleased = "leads a cell no more"
 	// A newer configuration replaces the present one.
-	eventConfigurationInForce = "configuration in force"
+	eventConfigurationApplied = "configuration in force"
 	// A configuration cannot be parsed.
-	eventConfigurationRefused = "configuration refused"
+	eventConfigurationRejected = "configuration refused"
 	// An endpoint was added to the list, or its draining state changed, or it became cold.
 	eventEndpointListed = "endpoint listed"
 	// An endpoint was removed from the list.
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -16,7 +16,7 @@
 // leaders at the same endpoints.
 func TestSlowLeaderKeepsItsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		b := j.add("leader")
 		time.AfterFunc(9*time.Second, func() { j.deliverResults(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
 		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
@@ -28,7 +28,7 @@
 
 func TestSilentLeaderIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newJobs().add("leader")
+		b := newSubmissions().add("leader")
 		started := time.Now()
 		_, err := b.awaitResults(context.Background(), func() {})
 		if !errors.Is(err, errLeaderLost) {
@@ -44,7 +44,7 @@
 // not know the work, is given up at once.
 func TestLeaderThatForgot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		b := j.add("leader")
 		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id}) })
 		if !errors.Is(err, errLeaderLost) {
@@ -58,7 +58,7 @@
 // and that a sign of life ends it.
 func TestFrozenLeaderIsLeftByAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		waiting := j.add("leader")
 		go func() {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -46,7 +46,7 @@
 	modelPools *pools
 	budget     func() stagepool.RetryBudget
 	pace       func(catalog.Endpoint) intake.Pace
-	off        mechanism.Disabled
+	disabled   mechanism.Disabled
 	mu         sync.Mutex
 	view       *view
 	cells      map[int]*leader
@@ -78,7 +78,7 @@
 }
 
 func newLeaders(log *zap.Logger, workers *platform.WorkerClient, models *pools, budget func() stagepool.RetryBudget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Disabled) *leaders {
-	return &leaders{log: log, workers: workers, modelPools: models, budget: budget, pace: pace, off: off, cells: make(map[int]*leader)}
+	return &leaders{log: log, workers: workers, modelPools: models, budget: budget, pace: pace, disabled: off, cells: make(map[int]*leader)}
 }
 
 func (l *leaders) update(now time.Time, v *view) {
@@ -112,7 +112,7 @@
 		return c
 	}
 	c = &leader{
-		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
+		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.disabled)),
 		owners: make(map[stagepool.TaskID]taskOwner), tasks: make(map[taskKey]stagepool.TaskID),
 		modelRequests: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
 	}
@@ -247,11 +247,11 @@
 }
 
 // release ends a task at the request of its owner.
-func (l *leaders) release(key taskKey, how wire.Placement) {
+func (l *leaders) release(key taskKey, placement wire.Placement) {
 	for _, c := range l.all() {
 		c.mu.Lock()
 		if id, ok := c.tasks[key]; ok {
-			c.endPlaced(id, how)
+			c.endPlaced(id, placement)
 			c.removeTask(id)
 			c.execute(c.pool.Release(time.Now(), id))
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -144,8 +144,8 @@
 func WithLog(log *zap.Logger) Option { return func(n *Node) { n.log = log } }
 
 // WithDroppedLines exports the number of dropped log lines of each kind as metrics.
-func WithDroppedLines(of func(logging.Kind) uint64) Option {
-	return func(n *Node) { n.droppedLines = of }
+func WithDroppedLines(count func(logging.Kind) uint64) Option {
+	return func(n *Node) { n.droppedLines = count }
 }
 
 // WithMetrics serves metrics at the given address, an IP address and a port.
@@ -169,7 +169,7 @@
 func New(s platform.Settings, options ...Option) *Node {
 	n := &Node{
 		settings: s, incarnation: settings.Incarnation(), started: time.Now(), log: zap.NewNop(),
-		submissions: newJobs(), times: newTimes(), sizes: &sizes{usual: make(map[string]float64)},
+		submissions: newSubmissions(), times: newTimes(), sizes: &sizes{usual: make(map[string]float64)},
 		verdictTimeouts: verdictTimeouts{first: verdictTimeout, afterReconnect: reconnectVerdictTimeout},
 		peerAddress:     s.PeerAddress,
 	}
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -14,7 +14,7 @@
 )
 
 // places reports whether leaders choose the endpoints of the requests whose stages they run.
-func (l *leaders) places() bool { return !l.off.Has(mechanism.Placement) }
+func (l *leaders) places() bool { return !l.disabled.Has(mechanism.Placement) }
 
 const (
 	// listLimit is how long an engine may take to tell what it holds.
@@ -30,7 +30,7 @@
 // begins to lead knows nothing of what was sent there before, and would have
 // shared parts read again elsewhere.
 func (l *leaders) learnCaches() {
-	if l.off.Has(mechanism.Lists) || l.off.Has(mechanism.Holdings) {
+	if l.disabled.Has(mechanism.Lists) || l.disabled.Has(mechanism.Holdings) {
 		return
 	}
 	l.mu.Lock()
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -79,7 +79,7 @@
 	broken   chan struct{}
 }
 
-func newJobs() *submissions {
+func newSubmissions() *submissions {
 	return &submissions{open: make(map[uint64]*submission), suspects: make(map[string]suspicion), leaving: make(map[string]uint64)}
 }
 
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -64,13 +64,13 @@
 
 // applyConfig puts a configuration into effect if its version is higher than the present one.
 func (n *Node) applyConfig(data []byte, source string) {
-	if inForce := n.view.Load().file; inForce != nil && bytes.Equal(inForce.data, data) {
+	if present := n.view.Load().file; present != nil && bytes.Equal(present.data, data) {
 		return
 	}
 	cfg, err := platform.ParseConfig(data)
 	if err != nil {
 		n.configsRefused.Add(1)
-		n.log.Error(eventConfigurationRefused, zap.String("source", source), zap.Uint64("in_force", n.view.Load().version()), zap.Error(err))
+		n.log.Error(eventConfigurationRejected, zap.String("source", source), zap.Uint64("in_force", n.view.Load().version()), zap.Error(err))
 		return
 	}
 	n.viewMu.Lock()
@@ -84,7 +84,7 @@
 	next.file = &configFile{data: data}
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.log.Info(eventConfigurationInForce, zap.Uint64("version", cfg.Version), zap.String("source", source), zap.Int("routes", len(cfg.Routes)))
+	n.log.Info(eventConfigurationApplied, zap.Uint64("version", cfg.Version), zap.String("source", source), zap.Int("routes", len(cfg.Routes)))
 	n.membersMu.Lock()
 	n.members.SetConfigVersion(cfg.Version)
 	n.membersMu.Unlock()
@@ -98,19 +98,19 @@
 	n.updateEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
 }
 
-// recordConfigRead records that the configuration known here was the store's newest at the
-// given time, even if it was rejected as invalid.
+// recordConfigRead records that this node received the store's newest configuration as of the
+// given time, whether or not the configuration is valid.
 func (n *Node) recordConfigRead(at time.Time) {
 	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordConfig(at) })
 	n.updateEndpoints(sourceStore, fresh, func() bool { return false })
 }
 
-// recordRead records a read of the store, and returns the resulting freshness of this node's
-// own data.
-func (n *Node) recordRead(note func(*discovery.DirectReads)) discovery.Freshness {
+// recordRead records a read of the store, and returns the freshness that results from this
+// node's own reads.
+func (n *Node) recordRead(record func(*discovery.DirectReads)) discovery.Freshness {
 	n.viewMu.Lock()
 	defer n.viewMu.Unlock()
-	note(&n.directReads)
+	record(&n.directReads)
 	return n.directReads.Freshness(*n.ranking.Load(), n.settings.Node)
 }
 
@@ -166,10 +166,10 @@
 // lack the list may otherwise keep polling lost ones. With the primary and the backup readers
 // lost first, 61 nodes dropped an endpoint 2.3 s after it left, against 4.2 s without the
 // early heartbeat (simulated time, TestLeaving, stand-ins-lost).
-func (n *Node) advertiseRevision(revision catalog.Revision, late bool) {
+func (n *Node) advertiseRevision(revision catalog.Revision, urgent bool) {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
-	n.members.SetListRevision(uint64(revision), late)
+	n.members.SetListRevision(uint64(revision), urgent)
 }
 
 // logEndpoints logs the endpoints that were added, changed or removed. The age of the list
@@ -284,7 +284,7 @@
 	if m.Packed {
 		unpacked, err := packed.Unpack(data)
 		if err != nil {
-			n.log.Error(eventConfigurationRefused, zap.String("source", sourcePeer), zap.Error(err))
+			n.log.Error(eventConfigurationRejected, zap.String("source", sourcePeer), zap.Error(err))
 			return
 		}
 		data = unpacked
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -18,9 +18,9 @@
 	// minConfigInterval is the minimum time between requests for the configuration. When
 	// configurations change faster, most are replaced before they matter.
 	minConfigInterval = 400 * time.Millisecond
-	// startPollInterval is how often a node without a configuration checks whether it reads
-	// the store, and backupPollInterval how often a serving node checks whether it must
-	// replace the readers: a change must be in effect within a few seconds.
+	// startPollInterval is how often a node without any data checks whether it reads the
+	// store, and backupPollInterval how often a serving node checks whether it must replace
+	// the readers: a change must be in effect within a few seconds.
 	startPollInterval  = 50 * time.Millisecond
 	backupPollInterval = 100 * time.Millisecond
 )
@@ -154,7 +154,7 @@
 	return false
 }
 
-// setEntries stores the list of live nodes, and derives the load share and the ranking of
+// setEntries stores the list of live nodes, and derives this node's rank and the ranking of
 // readers from it.
 func (n *Node) setEntries(entries []wire.Entry) {
 	n.entries.Store(&entries)
