--- a/internal/node/asking_test.go
+++ b/internal/node/asking_test.go
@@ -24,11 +24,11 @@
 		entries = append(entries, wire.Entry{Node: name, PeerAddress: name, Capacity: 192})
 	}
 	n.setEntries(entries)
-	readers := n.readers.Load().Readers(0)
+	readers := n.ranking.Load().Readers(0)
 	askCounts := make(map[string]int)
 	for _, e := range entries {
-		n.settings.Node, n.asked = e.Node, 0
-		address := n.knowing(&view{})
+		n.settings.Node, n.viewRequests = e.Node, 0
+		address := n.viewSource(&view{})
 		if !slices.Contains(readers, address) {
 			t.Errorf("%s asks %s, which is not a reader of the store", e.Node, address)
 		}
@@ -41,8 +41,8 @@
 	}
 	clear(askCounts)
 	for _, e := range entries {
-		n.settings.Node, n.asked = e.Node, 0
-		askCounts[n.knowing(&view{fresh: discovery.Freshness{List: time.Now()}})]++
+		n.settings.Node, n.viewRequests = e.Node, 0
+		askCounts[n.viewSource(&view{fresh: discovery.Freshness{List: time.Now()}})]++
 	}
 	if len(askCounts) < nodes/3 {
 		t.Errorf("only %d different nodes are asked by %d nodes that have a view", len(askCounts), nodes)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	source.takeConfig(r.Data, "store")
+	source.applyConfig(r.Data, "store")
 	for _, packed := range []bool{false, true} {
 		requester := newNode(t, site)
 		var got *wire.View
-		source.answerView(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
+		source.handleViewRequest(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
 			v := m.(wire.View)
 			got = &v
 			return nil
@@ -56,13 +56,13 @@
 		if packed && 5*len(got.Config) > len(r.Data) {
 			t.Errorf("compressed to %d of %d bytes, want at most a fifth", len(got.Config), len(r.Data))
 		}
-		requester.takeView(got)
+		requester.applyView(got)
 		if v := requester.view.Load(); v.version() != 7 || !bytes.Equal(v.file.data, r.Data) {
 			t.Errorf("compressed %v: version %d is in force, or its data differs", packed, v.version())
 		}
 	}
 	requester := newNode(t, site)
-	requester.takeView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
+	requester.applyView(&wire.View{ConfigVersion: 8, Config: []byte("no archive"), Packed: true})
 	if v := requester.view.Load().version(); v != 0 {
 		t.Errorf("version %d is in force after an unreadable archive, want 0", v)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -16,7 +16,7 @@
 	// answer, plus half a second for the gossip that it is leaving to reach the nodes that give
 	// those answers. Clients that use an answer for longer are better served by a refused
 	// connection, because they try another address at once.
-	acceptTime = answerLife + 500*time.Millisecond
+	acceptTime = maxLookupTTL + 500*time.Millisecond
 	// shutdownMargin is the part of the grace period that remains when the node aborts the
 	// requests still in flight.
 	shutdownMargin = 400 * time.Millisecond
@@ -97,7 +97,7 @@
 // abortRequests aborts the requests still in flight. Each of them writes its own log line and
 // response. A request whose client doesn't read is ended by closing its connection.
 func (n *Node) abortRequests(f *front) {
-	n.giveUp(errTerminated)
+	n.cancelRequests(errTerminated)
 	ctx, cancel := context.WithTimeout(context.Background(), finalAnswersTimeout)
 	defer cancel()
 	if f.server.Shutdown(ctx) == nil {
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -21,7 +21,7 @@
 	for _, e := range endpoints {
 		n.log.Info(eventEndpointDraining, zap.String("endpoint", e), zap.String("source", source))
 		n.pools.markDraining(e)
-		n.leaders.models.markDraining(e)
+		n.leaders.modelPools.markDraining(e)
 	}
 	n.signals.mu.Lock()
 	n.signals.pending, n.signals.viewStale = true, true
@@ -56,7 +56,7 @@
 	n.signals.markDraining(next.endpoints)
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.viewChanged()
+	n.updatePools()
 }
 
 // sweepDraining removes draining endpoints that have terminated from the set.
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -168,8 +168,8 @@
 		t.Fatal(err)
 	}
 	n := New(s)
-	n.takeConfig([]byte(`{"version":1,"services":[{"name":"desk"},{"name":"model","engine":{"slots":8}}]}`), sourceStore)
-	n.readEndpoints([]catalog.Endpoint{
+	n.applyConfig([]byte(`{"version":1,"services":[{"name":"desk"},{"name":"model","engine":{"slots":8}}]}`), sourceStore)
+	n.applyStoreEndpoints([]catalog.Endpoint{
 		{ID: "a", Service: "model", Address: "127.0.0.1:1", Domain: platformtest.DefaultZone, Slots: 8},
 		{ID: "b", Service: "model", Address: "127.0.0.1:2", Domain: otherZone, Slots: 8},
 	}, 5, time.Now())
@@ -180,13 +180,13 @@
 		}
 		return c.endpoint.ID
 	}
-	if got := chosen(n.pools) + chosen(n.leaders.models); got != "" {
+	if got := chosen(n.pools) + chosen(n.leaders.modelPools); got != "" {
 		t.Errorf("endpoint %s is used before evacuations are known", got)
 	}
-	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
+	n.updateEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		return present.Replace(now, 5, []string{platformtest.DefaultZone})
 	})
-	if own, placed := chosen(n.pools), chosen(n.leaders.models); own != "b" || placed != "b" {
+	if own, placed := chosen(n.pools), chosen(n.leaders.modelPools); own != "b" || placed != "b" {
 		t.Errorf("endpoints %q and %q are used, want b only", own, placed)
 	}
 }
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -10,10 +10,10 @@
 	"gradetiller.example/platform"
 )
 
-// readEvacuations takes in what the store tells of evacuated failure domains.
-func (n *Node) readEvacuations(r platform.ConfigUpdate) {
-	n.noteEvacuationRows(r)
-	n.takeEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
+// applyStoreEvacuations applies the evacuations that were read from the store.
+func (n *Node) applyStoreEvacuations(r platform.ConfigUpdate) {
+	n.logEvacuationFaults(r)
+	n.updateEvacuations(sourceStore, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 		if !r.Complete {
 			return present.ApplyChanges(now, r.Revision, r.Evacuations)
 		}
@@ -25,22 +25,22 @@
 	})
 }
 
-// noteEvacuationRows logs each row that is not as it should be once, as long as it is there.
-func (n *Node) noteEvacuationRows(r platform.ConfigUpdate) {
-	now := make(map[string]bool, len(r.Refused))
+// logEvacuationFaults logs each malformed evacuation row once while it is present.
+func (n *Node) logEvacuationFaults(r platform.ConfigUpdate) {
+	present := make(map[string]bool, len(r.Refused))
 	for _, refused := range r.Refused {
-		now[refused.Error()] = true
-		if !n.badEvacuations[refused.Error()] {
+		present[refused.Error()] = true
+		if !n.loggedEvacuationFaults[refused.Error()] {
 			n.log.Warn(eventEvacuationRefused, zap.Bool("holds", refused.Effective), zap.Error(refused))
 		}
 	}
-	if r.Complete || len(now) > 0 {
-		n.badEvacuations = now
+	if r.Complete || len(present) > 0 {
+		n.loggedEvacuationFaults = present
 	}
 }
 
-// takeEvacuations puts evacuations in force that change makes of the present ones.
-func (n *Node) takeEvacuations(source string, change func(now time.Time, present discovery.Evacuations) discovery.Evacuations) {
+// updateEvacuations applies a change to the evacuations and publishes the resulting view.
+func (n *Node) updateEvacuations(source string, change func(now time.Time, present discovery.Evacuations) discovery.Evacuations) {
 	n.viewMu.Lock()
 	old := n.view.Load()
 	next := *old
@@ -56,10 +56,10 @@
 		return
 	}
 	n.logEvacuations(source, old, &next)
-	n.viewChanged()
+	n.updatePools()
 }
 
-// logEvacuations logs what changed from one view to the next.
+// logEvacuations logs the evacuations that started or ended between two views.
 func (n *Node) logEvacuations(source string, old, next *view) {
 	for _, domain := range next.evacuations.Domains() {
 		if !old.evacuations.Contains(domain) {
@@ -68,13 +68,13 @@
 	}
 	for _, domain := range old.evacuations.Domains() {
 		if !next.evacuations.Contains(domain) {
-			n.log.Info(eventEvacuationOver, zap.String("failure_domain", domain), zap.Int("endpoints", next.endpointsIn(domain)), zap.Stringer("revision", next.evacuations.Revision()), zap.String("source", source))
+			n.log.Info(eventEvacuationEnded, zap.String("failure_domain", domain), zap.Int("endpoints", next.endpointsIn(domain)), zap.Stringer("revision", next.evacuations.Revision()), zap.String("source", source))
 		}
 	}
 }
 
-// endpointsIn counts the endpoints of a failure domain. None for an evacuated one may be a
-// mistake in its name.
+// endpointsIn returns the number of endpoints in a failure domain. If an evacuated one has
+// none, its name may be mistyped.
 func (v *view) endpointsIn(domain string) int {
 	count := 0
 	for _, e := range v.endpoints {
@@ -85,9 +85,10 @@
 	return count
 }
 
-// coldness is when an endpoint of a service is taken to be cold: as the list tells, and for
-// the time of a start after an evacuation, of which the list may tell too late.
-func (v *view) coldness(service catalog.Service, e catalog.Endpoint) discovery.ColdPeriod {
+// coldPeriod returns the period during which an endpoint of a service is considered cold: as
+// listed, or for the cold time of the service after an evacuation ended, because the list may
+// show that too late.
+func (v *view) coldPeriod(service catalog.Service, e catalog.Endpoint) discovery.ColdPeriod {
 	cold := v.cold[e.ID]
 	ended := v.evacuations.EndedAt(e.Domain)
 	if ended.IsZero() || cold.Until.After(ended) {
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -15,10 +15,10 @@
 // node waits for its results.
 func TestSlowLeaderKeepsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		b := j.add("leader")
-		time.AfterFunc(9*time.Second, func() { j.done(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
-		d, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
+		time.AfterFunc(9*time.Second, func() { j.deliverResults(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
+		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
 		if err != nil || len(d.Handles) != 1 {
 			t.Fatalf("slow leader: %v, %v", d, err)
 		}
@@ -29,9 +29,9 @@
 // counts as lost within a second.
 func TestSilentLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newJobs().add("leader")
+		b := newSubmissions().add("leader")
 		started := time.Now()
-		_, err := b.awaitDone(context.Background(), func() {})
+		_, err := b.awaitResults(context.Background(), func() {})
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want errLeaderLost", err)
 		}
@@ -45,9 +45,9 @@
 // knows the work: it counts as lost at once.
 func TestRestartedLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		b := j.add("leader")
-		_, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id}) })
+		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id}) })
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want errLeaderLost", err)
 		}
@@ -59,29 +59,29 @@
 // until the leader is heard from.
 func TestSuspectedLeaderLosesAllWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		waiting := j.add("leader")
 		go func() {
 			time.Sleep(50 * time.Millisecond)
 			j.suspect(time.Now(), "leader")
 		}()
 		started := time.Now()
-		if _, err := waiting.awaitDone(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
+		if _, err := waiting.awaitResults(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 		if took := time.Since(started); took > 60*time.Millisecond {
 			t.Errorf("work moved after %v, want at once", took)
 		}
-		time.Sleep(suspectFor + 50*time.Millisecond)
+		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
 		if j.suspected(time.Now(), "leader") {
 			t.Error("still suspected after the first suspicion ended")
 		}
 		j.suspect(time.Now(), "leader")
-		time.Sleep(suspectFor + 50*time.Millisecond)
+		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
 		if !j.suspected(time.Now(), "leader") {
 			t.Error("the second suspicion in a row does not last longer than the first")
 		}
-		j.heard("leader")
+		j.clearSuspicion("leader")
 		if j.suspected(time.Now(), "leader") {
 			t.Error("suspected after it was heard from")
 		}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -76,7 +76,7 @@
 	peer = startStageNode(t, site, leader.Peer)
 	eventually(t, "the nodes know each other", func() bool { return leader.knowsNodes(2) && peer.knowsNodes(2) })
 	leader.node.claim(0)
-	eventually(t, "the peer knows the leader", func() bool { return peer.node.otherLeads(0) })
+	eventually(t, "the peer knows the leader", func() bool { return peer.node.isCellShared(0) })
 	return leader, peer
 }
 
@@ -182,14 +182,14 @@
 				stopping, submitting = submitting, stopping
 			}
 			stopping.requestStop(t)
-			eventually(t, "the stopping node releases its claim", func() bool { return stopping.node.leads.Load() == 0 })
+			eventually(t, "the stopping node releases its claim", func() bool { return stopping.node.claimedCells.Load() == 0 })
 			var got messageRecorder
-			stopping.node.receive(submitting.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longTimeout.Milliseconds(), Deadline: longTimeout.Milliseconds()}, got.record)
+			stopping.node.handleMessage(submitting.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longTimeout.Milliseconds(), Deadline: longTimeout.Milliseconds()}, got.record)
 			list := got.all()
 			if len(list) != 2 || !announcesLeaving(list[0], stopping.node.settings.Node) || !movesTemporarily(list[1], 7) {
 				t.Errorf("answers %+v, want gossip that the node leaves, then work moved for a limited time", list)
 			}
-			if stopping.node.leads.Load() != 0 {
+			if stopping.node.claimedCells.Load() != 0 {
 				t.Error("the stopping node claims the cell")
 			}
 		})
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	s := &stubLeader{Entry: wire.Entry{Node: name, Incarnation: 1, PeerAddress: listener.Addr().String()}}
-	self := wire.Hello{Version: wire.Version, System: system, Role: wire.RoleNode, Node: name, Incarnation: 1}
+	self := wire.Hello{Version: wire.Version, System: systemName, Role: wire.RoleNode, Node: name, Incarnation: 1}
 	server := peer.NewServer(listener, self, &peer.Security{}, []wire.Role{wire.RoleNode}, func(c *peer.Conn) {
 		answer := onConnection()
 		for {
@@ -299,7 +299,7 @@
 // node is asked only once, also by later requests.
 func TestMoreLeavingNodesThanTries(t *testing.T) {
 	var stubs []*stubLeader
-	names := rankedNames(mostJobs + 3)
+	names := rankedNames(maxLeaderAttempts + 3)
 	for _, name := range names[1:] {
 		stubs = append(stubs, startStub(t, name, answerMoved))
 	}
@@ -310,7 +310,7 @@
 	}
 	n := newSubmitter(t, append(stubs, last)...)
 	for range 2 {
-		got, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), aim: time.Now().Add(longTimeout)})
+		got, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), softDeadline: time.Now().Add(longTimeout)})
 		if err != nil || got.leader != last.Node {
 			t.Errorf("leader %q, %v; want %q", got.leader, err, last.Node)
 		}
@@ -329,12 +329,12 @@
 	names := rankedNames(2)
 	outranked, third := startStub(t, names[0], answerHandedOff), startStub(t, names[1], answerDone)
 	n := newSubmitter(t, outranked, third)
-	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), aim: time.Now().Add(longTimeout)})
+	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), softDeadline: time.Now().Add(longTimeout)})
 	var refused *refusal
-	if !errors.As(err, &refused) || refused.reason != errLeaderMoved.Error() {
-		t.Errorf("got %v, want a rejection with reason %q", err, errLeaderMoved)
+	if !errors.As(err, &refused) || refused.reason != errHandedOff.Error() {
+		t.Errorf("got %v, want a rejection with reason %q", err, errHandedOff)
 	}
-	if outranked.submits.Load() != mostJobs || third.submits.Load() != 0 {
+	if outranked.submits.Load() != maxLeaderAttempts || third.submits.Load() != 0 {
 		t.Errorf("the outranked leader was asked %d times, the third node %d times, want 0", outranked.submits.Load(), third.submits.Load())
 	}
 }
@@ -391,9 +391,9 @@
 	} {
 		n := newSubmitter(t)
 		n.setEntries(c.entries)
-		n.jobs.suspect(time.Now().Add(time.Hour), "silent")
-		n.jobs.leave(stays("answered"))
-		got := nodeNames(n.mayLead(time.Now()))
+		n.submissions.suspect(time.Now().Add(time.Hour), "silent")
+		n.submissions.markLeaving(stays("answered"))
+		got := nodeNames(n.leaderCandidates(time.Now()))
 		slices.Sort(got)
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v may lead, want %v", c.name, got, c.want)
--- a/internal/node/pace.go
+++ b/internal/node/pace.go
@@ -39,7 +39,7 @@
 // leaderShare returns this node's share as a leader. A stage endpoint belongs to one cell, whose
 // leader has all of it. Other endpoints are shared among the leaders of all cells.
 func (n *Node) leaderShare(v *view, service catalog.Service) intake.Share {
-	contendedUntil := n.started.Add(time.Duration(n.crowded.Load()))
+	contendedUntil := n.started.Add(time.Duration(n.contendedUntil.Load()))
 	if service.Batching != nil {
 		return intake.LeaderShare(intake.ByLeaders, 1, 1, contendedUntil)
 	}
@@ -78,7 +78,7 @@
 		return intake.Pace{}
 	}
 	service := v.config.Services[e.Service]
-	return n.leaderPace(v, service)(e.ID, v.coldness(service, e))
+	return n.leaderPace(v, service)(e.ID, v.coldPeriod(service, e))
 }
 
 // recomputeRates applies changed paces to all pools, if any endpoint has a rate limit or is cold.
@@ -87,7 +87,7 @@
 		return
 	}
 	if v := n.view.Load(); len(v.cold) > 0 || n.signals.hasBounds() {
-		n.viewChanged()
+		n.updatePools()
 	}
 }
 
@@ -95,7 +95,7 @@
 // was observed, or may have been active until now.
 func (n *Node) recordOtherLeader() {
 	until := time.Since(n.started) + otherLeaderTTL
-	if before := n.crowded.Swap(int64(until)); until-time.Duration(before) > otherLeaderTTL/4 {
+	if before := n.contendedUntil.Swap(int64(until)); until-time.Duration(before) > otherLeaderTTL/4 {
 		n.ratesChanged.Store(true)
 	}
 }
--- a/internal/node/pendingplacement.go
+++ b/internal/node/pendingplacement.go
@@ -109,10 +109,10 @@
 func (c *leader) complete(now time.Time, done stagepool.Complete) {
 	m, waits := c.place(now, done)
 	if !waits {
-		c.tell(done.Task, m)
+		c.sendDone(done.Task, m)
 		return
 	}
-	a := c.asks[done.Task]
+	a := c.modelRequests[done.Task]
 	until := now.Add(minPlacementWait)
 	if a.softDeadline.After(until) {
 		until = a.softDeadline
@@ -138,7 +138,7 @@
 		m, waits := c.place(now, w.stages)
 		switch {
 		case !waits:
-			c.tell(w.stages.Task, m)
+			c.sendDone(w.stages.Task, m)
 		case now.Before(w.until):
 			kept = append(kept, w)
 		default:
@@ -155,28 +155,28 @@
 // failPending fails a request that no rate limit admitted in time. The caller must hold the lock.
 func (c *leader) failPending(now time.Time, w pendingPlacement) {
 	retryAfter := minRetryAfter
-	if wait, ok := c.group.models.timeToNextSend(now, c.asks[w.stages.Task].service); ok {
+	if wait, ok := c.group.modelPools.timeToNextSend(now, c.modelRequests[w.stages.Task].service); ok {
 		retryAfter = clampRetryAfter(wait)
 	}
-	c.tell(w.stages.Task, wire.StagesDone{Failed: noCapacityReason, Again: retryAfter.Milliseconds()})
-	c.forget(w.stages.Task)
-	c.carryOut(c.pool.Release(now, w.stages.Task))
+	c.sendDone(w.stages.Task, wire.StagesDone{Failed: noCapacityReason, Again: retryAfter.Milliseconds()})
+	c.removeTask(w.stages.Task)
+	c.execute(c.pool.Release(now, w.stages.Task))
 }
 
 // place chooses the endpoint of a request whose stages are done, or reports that the request has to
 // wait for a rate limit. The caller must hold the lock.
 func (c *leader) place(now time.Time, done stagepool.Complete) (m wire.StagesDone, waits bool) {
 	m = wire.StagesDone{Handles: done.Handles}
-	a, ok := c.asks[done.Task]
+	a, ok := c.modelRequests[done.Task]
 	if !ok || !c.group.placesCalls() {
 		return m, false
 	}
 	wants := a.needAt(now)
 	wants.prompt.InputDomain = done.Domain
 	wants.prompt.InputBytes = done.Bytes
-	at, ok := c.group.models.choose(now, wants)
+	at, ok := c.group.modelPools.choose(now, wants)
 	if !ok {
-		wait, available := c.group.models.timeToNextSend(now, wants.service)
+		wait, available := c.group.modelPools.timeToNextSend(now, wants.service)
 		return m, available && wait > 0
 	}
 	c.releaseReservation(done.Task)
@@ -190,10 +190,10 @@
 // releaseReservation removes the reservation of a request, if it has one. The caller must hold the
 // lock.
 func (c *leader) releaseReservation(id stagepool.TaskID) {
-	if a, ok := c.asks[id]; ok && a.reserved {
+	if a, ok := c.modelRequests[id]; ok && a.reserved {
 		a.reserved = false
-		c.asks[id] = a
-		c.group.models.releaseReservation(a.service)
+		c.modelRequests[id] = a
+		c.group.modelPools.releaseReservation(a.service)
 	}
 }
 
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -15,7 +15,7 @@
 
 // placesCalls reports whether leaders choose the model endpoints of the requests whose stages they
 // run.
-func (l *leaders) placesCalls() bool { return !l.off.Has(mechanism.Placement) }
+func (l *leaders) placesCalls() bool { return !l.disabled.Has(mechanism.Placement) }
 
 const (
 	// cacheListTimeout bounds the time of a request for an engine's cached prompts.
@@ -32,16 +32,16 @@
 // which prompts were sent to them before, and would place shared prefixes at engines that have to
 // prefill them again.
 func (l *leaders) learnCaches() {
-	if l.off.Has(mechanism.Lists) || l.off.Has(mechanism.Holdings) {
+	if l.disabled.Has(mechanism.Lists) || l.disabled.Has(mechanism.Holdings) {
 		return
 	}
 	l.mu.Lock()
 	var engines []catalog.Endpoint
 	if l.view != nil {
-		engines = l.models.cachingEndpoints(time.Now(), l.view)
+		engines = l.modelPools.cachingEndpoints(time.Now(), l.view)
 	}
 	// The node may lead before it has the first list of endpoints or the configuration.
-	l.asks = len(engines) == 0
+	l.learnOnUpdate = len(engines) == 0
 	l.mu.Unlock()
 	sem := make(chan struct{}, maxCacheLists)
 	for _, e := range engines {
@@ -65,7 +65,7 @@
 	for i, part := range held {
 		parts[i] = place.Part(part)
 	}
-	l.models.recordCached(e, parts)
+	l.modelPools.recordCached(e, parts)
 	l.log.Info(eventCacheLearned, zap.String("endpoint", e.ID), zap.Int("parts", len(parts)))
 }
 
@@ -85,6 +85,6 @@
 		PrefillTokens: read, OK: how == wire.PlacementServed, Neutral: how == wire.PlacementUnused || how == wire.PlacementRejected, Unreachable: how == wire.PlacementUnreachable,
 	})
 	if how == wire.PlacementRejected {
-		c.group.models.setBackoff(at.endpoint.ID, now.Add(rejectedBackoff))
+		c.group.modelPools.setBackoff(at.endpoint.ID, now.Add(rejectedBackoff))
 	}
 }
--- a/internal/node/readers_test.go
+++ b/internal/node/readers_test.go
@@ -50,9 +50,9 @@
 		}
 	})
 	eventually(t, "all nodes know each other", func() bool {
-		return !slices.ContainsFunc(all, func(r *testNode) bool { return r.node.liveNodes.Load() != nodes || !r.node.serves() })
+		return !slices.ContainsFunc(all, func(r *testNode) bool { return r.node.liveNodes.Load() != nodes || !r.node.hasCompleteView() })
 	})
-	for _, name := range all[0].node.readers.Load().Readers(0) {
+	for _, name := range all[0].node.ranking.Load().Readers(0) {
 		proxies[name].Disrupt(platformtest.ConfigCalls, platformtest.Hang)
 	}
 	c.Version = 2
@@ -82,13 +82,13 @@
 	n := New(s)
 	n.setEntries(append(entries, n.entry(false)))
 	start := time.Now()
-	n.readEndpoints(nil, 1, start)
+	n.applyStoreEndpoints(nil, 1, start)
 	at := start.Add(3 * time.Second)
-	if !n.reads(at) {
+	if !n.shouldReadStore(at) {
 		t.Fatal("the node does not stand in for readers that were silent for 3 s")
 	}
-	n.readEndpoints(nil, 2, at)
-	if !n.reads(at.Add(time.Millisecond)) {
+	n.applyStoreEndpoints(nil, 2, at)
+	if !n.shouldReadStore(at.Add(time.Millisecond)) {
 		t.Error("the node stops standing in once it has read a list itself")
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -79,14 +79,14 @@
 func (n *Node) rejectStopping(w http.ResponseWriter, q *request) {
 	n.meters.turnedAway(q.route.Name)
 	retryAfter := minRetryAfter
-	if n.othersStay(time.Now()) {
+	if n.hasSuccessor(time.Now()) {
 		retryAfter = retryElsewhereAfter
 	}
 	n.refuse(w, q, http.StatusServiceUnavailable, stoppingReason, retryAfter)
 }
 
 // terminated reports whether the grace period is over and requests are aborted.
-func (n *Node) terminated() bool { return n.serving.Err() != nil }
+func (n *Node) terminated() bool { return n.requestContext.Err() != nil }
 
 // failureReason returns reason, or errTerminated's text if the request is aborted by the shutdown,
 // which it also counts.
--- a/internal/node/signals.go
+++ b/internal/node/signals.go
@@ -89,7 +89,7 @@
 func (s *signals) forgetPeers(live []wire.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.registry.ForgetPeers(noneOf(live))
+	s.registry.ForgetPeers(notIn(live))
 }
 
 // observeSignals applies the signals in an endpoint's response.
--- a/internal/node/silent_test.go
+++ b/internal/node/silent_test.go
@@ -33,7 +33,7 @@
 	// Open the connection before the first submission.
 	n.links.Send(first.PeerAddress, wire.StagesPing{ID: 1})
 	eventually(t, "the connection is open", func() bool { return connections.Load() == 1 })
-	n.patience.second = time.Minute
+	n.verdictTimeouts.afterReconnect = time.Minute
 	for range 5 {
 		got, err := n.runStages(context.Background(), newStageWork())
 		if err != nil {
@@ -42,9 +42,9 @@
 		if got.leader != first.Node {
 			t.Errorf("work was done by %s, want %s", got.leader, first.Node)
 		}
-		n.patience.first = time.Minute
+		n.verdictTimeouts.first = time.Minute
 	}
-	if second.submits.Load() > 0 || n.jobs.suspected(time.Now(), first.PeerAddress) {
+	if second.submits.Load() > 0 || n.submissions.suspected(time.Now(), first.PeerAddress) {
 		t.Error("the leader is skipped or suspected")
 	}
 	if c := connections.Load(); c != 2 {
@@ -55,5 +55,5 @@
 // newStageWork returns work with a deadline that it easily meets.
 func newStageWork() stageWork {
 	now := time.Now()
-	return stageWork{aim: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
+	return stageWork{softDeadline: now.Add(time.Minute), deadline: now.Add(time.Minute), submit: wire.StagesSubmit{RequestID: "r"}}
 }
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -73,7 +73,7 @@
 		a, event := n.tryStream(ctx, s, c)
 		if event == attempt.Complete {
 			q.outcome = delivered
-			n.served(q)
+			n.recordServed(q)
 			n.logRequest(q, http.StatusOK)
 			return
 		}
@@ -103,7 +103,7 @@
 	if !s.started {
 		return n.refusePoison(s.w, s.q)
 	}
-	_, refused := n.poisons.refused(s.q.content)
+	_, refused := n.poisonGuard.refused(s.q.content)
 	if refused {
 		n.endStream(ctx, s, attempt.AnswerUnknown, poisonReason)
 	}
@@ -125,7 +125,7 @@
 		// request against it: it has just become leader, or runs an earlier version.
 		asks.preferred = ""
 	}
-	if s.node.poisons.suspected(q.content) {
+	if s.node.poisonGuard.suspected(q.content) {
 		asks.prefix, asks.preferred = q.content.Key(), ""
 	}
 	return asks
@@ -157,9 +157,9 @@
 		RequestID: q.in.RequestID, Key: q.in.PieceKey, Priority: q.priority,
 		Model: q.service, Prefix: q.prefix, Tokens: q.in.PromptTokens, Parts: q.promptParts(), Content: bytesOf(q.content),
 	}}
-	work.aim = q.arrived.Add(q.route.Objective)
+	work.softDeadline = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
-	if !n.off.Has(mechanism.Sizes) {
+	if !n.disabled.Has(mechanism.Sizes) {
 		work.submit.Extra = n.sizes.excess(q.route.Name, q.in.PromptTokens)
 	}
 	hasPieces := false
@@ -209,7 +209,7 @@
 		s.q.predicted = refused.predicted
 	}
 	if refused != nil && !s.started && !s.q.mayHaveRun {
-		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.again, minRetryAfter))
+		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.retryAfter, minRetryAfter))
 		return
 	}
 	n.endStream(ctx, s, attempt.AnswerUnknown, err.Error())
@@ -270,9 +270,9 @@
 	now := time.Now()
 	c.finish(now, place.Result{OK: err == nil, Neutral: parent.Err() != nil, Load: reportedLoad(a, now)})
 	if err != nil {
-		n.log.Info(eventStreamBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
+		n.log.Info(eventStreamBroken, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
 		if !errors.Is(err, errClientGone) {
-			n.runBroke(ctx, c.endpoint, time.Since(c.started), q.content)
+			n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), q.content)
 		}
 		return a, attempt.NoResponse
 	}
@@ -303,7 +303,7 @@
 	}
 	body, err := io.ReadAll(a.Body)
 	if err != nil {
-		n.runBroke(ctx, c.endpoint, time.Since(c.started), s.q.content)
+		n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), s.q.content)
 		return attempt.NoResponse
 	}
 	a.Body = io.NopCloser(bytes.NewReader(body))
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -302,7 +302,7 @@
 		})
 	}
 	eventually(t, "exactly one node leads the stage pool", func() bool {
-		return (a.node.leads.Load() != 0) != (b.node.leads.Load() != 0)
+		return (a.node.claimedCells.Load() != 0) != (b.node.claimedCells.Load() != 0)
 	})
 	b.stop()
 	eventually(t, "lookup no longer returns the stopping node", func() bool {
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -16,30 +16,30 @@
 	"gradetiller.example/platform"
 )
 
-// view is what a node believes of the configuration and the endpoints. It is
-// never changed after it was put in force.
+// view is what a node knows of the configuration and the endpoints. A view is immutable once
+// it is stored in Node.view.
 type view struct {
 	config *catalog.Config
 	file   *configFile
-	// endpoints is the list as of a revision.
+	// endpoints is the endpoint list as of revision.
 	endpoints []catalog.Endpoint
-	// cold are those of them that are taken to be cold, by id.
+	// cold holds the cold periods of endpoints, by endpoint ID.
 	cold map[string]discovery.ColdPeriod
-	// revision orders such lists.
+	// revision is the store revision of the list.
 	revision catalog.Revision
-	// evacuations are the failure domains to which nothing further is sent.
+	// evacuations holds the failure domains to which no work is sent.
 	evacuations discovery.Evacuations
-	// fresh is as of when all this is known to be the store's.
+	// fresh holds the times as of which the data is known to match the store.
 	fresh discovery.Freshness
 }
 
-// complete reports whether a node can serve by the view: it has a configuration and a list
-// of endpoints, and it is known which failure domains are evacuated.
+// complete reports whether a node can serve requests with the view: it has a configuration, a
+// list of endpoints and the set of evacuated failure domains.
 func (v *view) complete() bool {
 	return v.config != nil && !v.fresh.List.IsZero() && v.evacuations.Known()
 }
 
-// version is the version of the configuration in force, or 0.
+// version returns the version of the configuration, or 0 if there is none.
 func (v *view) version() uint64 {
 	if v.config == nil {
 		return 0
@@ -47,30 +47,30 @@
 	return v.config.Version
 }
 
-// configFile is a configuration as it goes to peers. It is compressed when the
-// first of them asks: with 1,400 routes it has 288 kB, which take a link of 20 Mbit/s
-// 115 ms, and 15 kB compressed (TestConfigurationsGoCompressed).
+// configFile is a configuration file as sent to peers. It is compressed when the first peer
+// requests it: with 1,400 routes the file has 288 kB, which take 115 ms on a link of 20
+// Mbit/s, and 15 kB compressed (TestConfigurationsGoCompressed).
 type configFile struct {
 	data   []byte
 	once   sync.Once
 	packed []byte
 }
 
-// pack returns the compressed file, or nil if it can't be compressed.
+// pack returns the compressed file, or nil if compression failed.
 func (f *configFile) pack() []byte {
 	f.once.Do(func() { f.packed, _ = packed.Pack(f.data) })
 	return f.packed
 }
 
-// takeConfig puts a configuration in force if it is above the present one.
-func (n *Node) takeConfig(data []byte, source string) {
-	if inForce := n.view.Load().file; inForce != nil && bytes.Equal(inForce.data, data) {
+// applyConfig puts a configuration into effect if its version is higher than the present one.
+func (n *Node) applyConfig(data []byte, source string) {
+	if present := n.view.Load().file; present != nil && bytes.Equal(present.data, data) {
 		return
 	}
 	cfg, err := platform.ParseConfig(data)
 	if err != nil {
 		n.configsRefused.Add(1)
-		n.log.Error(eventConfigurationRefused, zap.String("source", source), zap.Uint64("in_force", n.view.Load().version()), zap.Error(err))
+		n.log.Error(eventConfigurationRejected, zap.String("source", source), zap.Uint64("in_force", n.view.Load().version()), zap.Error(err))
 		return
 	}
 	n.viewMu.Lock()
@@ -84,44 +84,45 @@
 	next.file = &configFile{data: data}
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.log.Info(eventConfigurationInForce, zap.Uint64("version", cfg.Version), zap.String("source", source), zap.Int("routes", len(cfg.Routes)))
+	n.log.Info(eventConfigurationApplied, zap.Uint64("version", cfg.Version), zap.String("source", source), zap.Int("routes", len(cfg.Routes)))
 	n.membersMu.Lock()
 	n.members.SetConfigVersion(cfg.Version)
 	n.membersMu.Unlock()
-	n.viewChanged()
+	n.updatePools()
 }
 
-// readEndpoints takes a list in that was read from the store at a moment.
-func (n *Node) readEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
-	fresh := n.readItself(func(own *discovery.DirectReads) { own.RecordList(at) })
-	n.changeEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
+// applyStoreEndpoints applies an endpoint list that was read from the store at the given
+// time.
+func (n *Node) applyStoreEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
+	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordList(at) })
+	n.updateEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
 }
 
-// readConfig notes that the store told this node its newest configuration as of a
-// moment, whether it could be put in force or not.
-func (n *Node) readConfig(at time.Time) {
-	fresh := n.readItself(func(own *discovery.DirectReads) { own.RecordConfig(at) })
-	n.changeEndpoints(sourceStore, fresh, func() bool { return false })
+// recordConfigRead records that this node received the store's newest configuration as of the
+// given time, whether or not the configuration is valid.
+func (n *Node) recordConfigRead(at time.Time) {
+	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordConfig(at) })
+	n.updateEndpoints(sourceStore, fresh, func() bool { return false })
 }
 
-// readItself notes a read of the store and returns what this node knows by its own
-// reads.
-func (n *Node) readItself(note func(*discovery.DirectReads)) discovery.Freshness {
+// recordRead records a read of the store, and returns the freshness that results from this
+// node's own reads.
+func (n *Node) recordRead(record func(*discovery.DirectReads)) discovery.Freshness {
 	n.viewMu.Lock()
 	defer n.viewMu.Unlock()
-	note(&n.own)
-	return n.own.Freshness(*n.readers.Load(), n.settings.Node)
+	record(&n.directReads)
+	return n.directReads.Freshness(*n.ranking.Load(), n.settings.Node)
 }
 
-// Where news of the view come from, in log lines.
+// Sources of view updates, as logged.
 const (
 	sourceStore = "store"
 	sourcePeer  = "peer"
 )
 
-// changeEndpoints changes the list and puts it in force if anything changed, and
-// notes as of when the view is the store's.
-func (n *Node) changeEndpoints(source string, fresh discovery.Freshness, change func() bool) {
+// updateEndpoints applies a change to the endpoint list and publishes the resulting view and
+// its freshness.
+func (n *Node) updateEndpoints(source string, fresh discovery.Freshness, change func() bool) {
 	now := time.Now()
 	n.viewMu.Lock()
 	listAge := age(now, n.list.AsOf())
@@ -130,12 +131,12 @@
 		n.log.Info(eventEndpointsKept, zap.Int64("count", kept), zap.String("source", source), zap.Int64("list_age_ms", listAge))
 	}
 	old := n.view.Load()
-	doubted := n.list.Outdated()
+	outdated := n.list.Outdated()
 	next := *old
 	next.revision = n.list.Revision()
 	next.fresh = old.fresh.Merge(fresh)
 	if next.fresh.Primaries.IsZero() {
-		// The readers are given their time before others stand in for them.
+		// Gives the readers time to respond before other nodes replace them.
 		next.fresh.Primaries = next.fresh.List
 	}
 	if next.fresh.Candidates.IsZero() {
@@ -148,30 +149,31 @@
 	}
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.endpointsListed(next.fresh.List, next.endpoints)
+	n.updateGuardEndpoints(next.fresh.List, next.endpoints)
 	if next.revision.Era() > old.revision.Era() && old.revision != 0 {
-		n.log.Warn(eventStoreRestored, zap.Stringer("before", old.revision), zap.Stringer("after", next.revision), zap.Int("doubted", doubted), zap.String("source", source))
+		n.log.Warn(eventStoreRestored, zap.Stringer("before", old.revision), zap.Stringer("after", next.revision), zap.Int("doubted", outdated), zap.String("source", source))
 	}
 	if next.revision != old.revision {
-		n.tellRevision(next.revision, old.fresh.Stale(now))
+		n.advertiseRevision(next.revision, old.fresh.Stale(now))
 	}
 	if changed {
-		n.viewChanged()
+		n.updatePools()
 	}
 }
 
-// tellRevision has the heartbeats tell the revision of the list, at once when it is the
-// first news in a while: then the readers are lost, and the nodes that would ask for
-// them may go on asking lost ones. With the readers and all that stand in for them first
-// lost, 61 nodes have dropped an endpoint 2.3 s after it left, and 4.2 s without this
-// (simulated time, TestLeaving, stand-ins-lost).
-func (n *Node) tellRevision(revision catalog.Revision, late bool) {
+// advertiseRevision sets the list revision that heartbeats announce. If the view was stale
+// until now, it requests a heartbeat at once: the readers are then lost, and the nodes that
+// lack the list may otherwise keep polling lost ones. With the primary and the backup readers
+// lost first, 61 nodes dropped an endpoint 2.3 s after it left, against 4.2 s without the
+// early heartbeat (simulated time, TestLeaving, stand-ins-lost).
+func (n *Node) advertiseRevision(revision catalog.Revision, urgent bool) {
 	n.membersMu.Lock()
 	defer n.membersMu.Unlock()
-	n.members.SetListRevision(uint64(revision), late)
+	n.members.SetListRevision(uint64(revision), urgent)
 }
 
-// logEndpoints logs what a list that was not renewed for some milliseconds became.
+// logEndpoints logs the endpoints that were added, changed or removed. The age of the list
+// before the update is in milliseconds.
 func (n *Node) logEndpoints(source string, listAge int64, before, after []catalog.Endpoint) {
 	known := make(map[string]catalog.Endpoint, len(before))
 	for _, e := range before {
@@ -185,16 +187,16 @@
 		}
 	}
 	for id, e := range known {
-		n.log.Info(eventEndpointGone, zap.String("endpoint", id), zap.String("service", e.Service), zap.String("source", source), zap.Int64("list_age_ms", listAge))
+		n.log.Info(eventEndpointRemoved, zap.String("endpoint", id), zap.String("service", e.Service), zap.String("source", source), zap.Int64("list_age_ms", listAge))
 	}
 }
 
-// viewChanged hands the view in force to the pools, once it is complete. Other nodes may
-// submit work before.
-func (n *Node) viewChanged() {
+// updatePools updates the pools from the present view, once that is complete. Other nodes may
+// submit work earlier.
+func (n *Node) updatePools() {
 	n.poolsMu.Lock()
 	defer n.poolsMu.Unlock()
-	// The view is looked at under the lock, so that no older one is put in force after it.
+	// The view is loaded under the lock, so that the pools never return to an older one.
 	v := n.view.Load()
 	if !v.complete() {
 		return
@@ -204,8 +206,8 @@
 	n.leaders.update(time.Now(), v)
 }
 
-// answerView sends a peer what it lacks.
-func (n *Node) answerView(m *wire.ViewRequest, answer func(wire.Message) error) {
+// handleViewRequest sends a peer the parts of the view that it lacks.
+func (n *Node) handleViewRequest(m *wire.ViewRequest, answer func(wire.Message) error) {
 	n.viewMu.Lock()
 	v := n.view.Load()
 	delta := n.list.ChangesSince(catalog.Revision(m.EndpointsAbove))
@@ -223,39 +225,39 @@
 	if v.config != nil && v.config.Version > m.ConfigAbove {
 		out.ConfigVersion = v.config.Version
 		out.Config = v.file.data
-		if small := v.file.pack(); m.TakesPacked && small != nil {
-			out.Config, out.Packed = small, true
+		if compressed := v.file.pack(); m.TakesPacked && compressed != nil {
+			out.Config, out.Packed = compressed, true
 		}
 	}
 	_ = answer(out)
 }
 
-// longAgo is the age, in milliseconds, of what was never known.
-const longAgo = int64(24 * time.Hour / time.Millisecond)
+// unknownAge is the age, in milliseconds, that stands for an unknown time.
+const unknownAge = int64(24 * time.Hour / time.Millisecond)
 
-// age is how long ago a moment was, in milliseconds.
+// age returns the time that has passed since at, in milliseconds.
 func age(now, at time.Time) int64 {
 	if at.IsZero() {
-		return longAgo
+		return unknownAge
 	}
 	return now.Sub(at).Milliseconds()
 }
 
-// moment is the one that has an age, or zero.
-func moment(now time.Time, age int64) time.Time {
-	if age >= longAgo {
+// timeOfAge is the inverse of age. It returns the zero time for an unknown age.
+func timeOfAge(now time.Time, age int64) time.Time {
+	if age >= unknownAge {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// takeView takes a peer's answer in.
-func (n *Node) takeView(m *wire.View) {
+// applyView applies the response of a peer to a view request.
+func (n *Node) applyView(m *wire.View) {
 	if len(m.Config) > 0 && m.ConfigVersion > n.view.Load().version() {
-		n.takePeerConfig(m)
+		n.applyPeerConfig(m)
 	}
 	if m.EvacuatedRevision > 0 {
-		n.takeEvacuations(sourcePeer, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
+		n.updateEvacuations(sourcePeer, func(now time.Time, present discovery.Evacuations) discovery.Evacuations {
 			return present.Replace(now, catalog.Revision(m.EvacuatedRevision), m.Evacuated)
 		})
 	}
@@ -267,30 +269,30 @@
 		delta.Changed = append(delta.Changed, catalog.Endpoint(w))
 	}
 	now := time.Now()
-	fresh := discovery.Freshness{List: moment(now, m.Age), Primaries: moment(now, m.ReadersAge), Candidates: moment(now, m.StandInsAge)}
+	fresh := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.ReadersAge), Candidates: timeOfAge(now, m.StandInsAge)}
 	if m.ConfigVersion <= n.view.Load().version() && m.EvacuatedRevision > 0 {
-		// What the peer holds is in force here too. Of evacuations one of an earlier
-		// version knows nothing.
-		fresh.Config = moment(now, m.ConfigAge)
+		// The peer's configuration is in effect here too. A peer of an earlier version does
+		// not know evacuations, so that its response does not confirm them.
+		fresh.Config = timeOfAge(now, m.ConfigAge)
 	}
-	n.changeEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
+	n.updateEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
 }
 
-// takePeerConfig takes a configuration that a peer sent.
-func (n *Node) takePeerConfig(m *wire.View) {
+// applyPeerConfig applies a configuration that a peer sent.
+func (n *Node) applyPeerConfig(m *wire.View) {
 	data := m.Config
 	if m.Packed {
 		unpacked, err := packed.Unpack(data)
 		if err != nil {
-			n.log.Error(eventConfigurationRefused, zap.String("source", sourcePeer), zap.Error(err))
+			n.log.Error(eventConfigurationRejected, zap.String("source", sourcePeer), zap.Error(err))
 			return
 		}
 		data = unpacked
 	}
-	n.takeConfig(data, sourcePeer)
+	n.applyConfig(data, sourcePeer)
 }
 
-// specs returns the endpoints of a service that take new work.
+// specs returns the placement specs of a service's endpoints that accept new work.
 func (v *view) specs(service catalog.Service, pace paceSource, off mechanism.Disabled) []place.Spec {
 	cache := service.PromptCache
 	if off.Has(mechanism.Holdings) {
@@ -305,7 +307,7 @@
 		}
 		specs = append(specs, place.Spec{
 			Name: e.ID, Address: e.Address, Domain: e.Domain, Slots: max(e.Slots, 1),
-			CacheTokens: cache.Tokens, CanCopy: cache.SupportsCopy, Pace: paceOf(e.ID, v.coldness(service, e)),
+			CacheTokens: cache.Tokens, CanCopy: cache.SupportsCopy, Pace: paceOf(e.ID, v.coldPeriod(service, e)),
 		})
 	}
 	return specs
