--- a/internal/node/asking_test.go
+++ b/internal/node/asking_test.go
@@ -11,10 +11,11 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// TestStartersAskReaders has 120 nodes that know each other, and nothing else, choose
-// whom they ask for what they lack: a reader, and no reader by more than three times
-// its share of them. Once they know something they ask all kinds of nodes.
-func TestStartersAskReaders(t *testing.T) {
+// TestStartingNodesAskReaders guards against starting nodes that ask peers without the wanted data,
+// or all ask the same one. 120 nodes that know only the membership each choose a peer to ask:
+// always a reader of the store, and no reader is asked by more than three times its share. Nodes
+// that already have a view ask all kinds of nodes.
+func TestStartingNodesAskReaders(t *testing.T) {
 	const nodes = 120
 	n := newNode(t, platformtest.NewSite(t))
 	var entries []wire.Entry
@@ -23,27 +24,27 @@
 		entries = append(entries, wire.Entry{Node: name, PeerAddress: name, Capacity: 192})
 	}
 	n.setEntries(entries)
-	readers := n.readers.Load().Readers(0)
-	asked := make(map[string]int)
+	readers := n.ranking.Load().Readers(0)
+	askCounts := make(map[string]int)
 	for _, e := range entries {
-		n.settings.Node, n.asked = e.Node, 0
-		address := n.knowing(&view{})
+		n.settings.Node, n.viewRequests = e.Node, 0
+		address := n.viewSource(&view{})
 		if !slices.Contains(readers, address) {
-			t.Errorf("%s asks %s, which does not read", e.Node, address)
+			t.Errorf("%s asks %s, which is not a reader of the store", e.Node, address)
 		}
-		asked[address]++
+		askCounts[address]++
 	}
-	for address, count := range asked {
+	for address, count := range askCounts {
 		if count > 3*nodes/len(readers) {
-			t.Errorf("%s is asked by %d of %d nodes", address, count, nodes)
+			t.Errorf("reader %s is asked by %d of %d nodes", address, count, nodes)
 		}
 	}
-	clear(asked)
+	clear(askCounts)
 	for _, e := range entries {
-		n.settings.Node, n.asked = e.Node, 0
-		asked[n.knowing(&view{fresh: discovery.Freshness{List: time.Now()}})]++
+		n.settings.Node, n.viewRequests = e.Node, 0
+		askCounts[n.viewSource(&view{fresh: discovery.Freshness{List: time.Now()}})]++
 	}
-	if len(asked) < nodes/3 {
-		t.Errorf("%d nodes are asked by %d", len(asked), nodes)
+	if len(askCounts) < nodes/3 {
+		t.Errorf("only %d different nodes are asked by %d nodes that have a view", len(askCounts), nodes)
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	// acceptAfter is how long a node that stops takes new connections: the life
-	// of a look-up answer, and half a second for the news that it leaves to reach
-	// the nodes that give them. Clients that hold an answer longer are better off
-	// with a connection refused, since they take another address at once.
-	acceptAfter = answerLife + 500*time.Millisecond
-	// lastMoment is what is left of the grace period when the node gives up
-	// what is still in flight.
-	lastMoment = 400 * time.Millisecond
-	// flushTime is how long clients have to read the end of an answer, where the
-	// grace period leaves it; a link that is full takes that for some kilobytes.
-	flushTime = 500 * time.Millisecond
-	// lastAnswers is how long the last answers have to go out.
-	lastAnswers = 100 * time.Millisecond
-	drainPoll   = 10 * time.Millisecond
-	leadingPoll = 50 * time.Millisecond
-	// leaveTime is how long the news that this node is gone have to go out.
-	leaveTime = 50 * time.Millisecond
+	// acceptTime is how long a stopping node accepts new connections: the lifetime of a lookup
+	// answer, plus half a second for the gossip that it is leaving to reach the nodes that give
+	// those answers. Clients that use an answer for longer are better served by a refused
+	// connection, because they try another address at once.
+	acceptTime = maxLookupTTL + 500*time.Millisecond
+	// shutdownMargin is the part of the grace period that remains when the node aborts the
+	// requests still in flight.
+	shutdownMargin = 400 * time.Millisecond
+	// flushTimeout bounds the time for clients to read the end of a response, within the grace
+	// period. On a saturated link a few kilobytes take this long.
+	flushTimeout = 500 * time.Millisecond
+	// finalAnswersTimeout bounds the time for sending the responses of aborted requests.
+	finalAnswersTimeout = 100 * time.Millisecond
+	drainPollInterval   = 10 * time.Millisecond
+	leadingPollInterval = 50 * time.Millisecond
+	// leaveGossipTime is the time for the final gossip to be sent before the process exits.
+	leaveGossipTime = 50 * time.Millisecond
 )
 
-// front is where clients' requests come in.
+// front is the HTTP server for client requests.
 type front struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// drain stops as planned: the node leaves the look-up answers of all nodes at
-// once, serves on for a while, and ends when nothing is in flight.
+// drain shuts down gracefully. All nodes stop listing this node in lookup answers at once, while it
+// accepts connections for up to acceptTime. It then serves until no request is in flight or the
+// grace period is over.
 func (n *Node) drain(f *front) {
-	s := n.beginStop()
-	time.Sleep(s.accepts)
+	s := n.beginShutdown()
+	time.Sleep(s.acceptFor)
 	_ = f.listener.Close()
-	bounded, cancel := context.WithDeadline(context.Background(), s.ends)
+	ctx, cancel := context.WithDeadline(context.Background(), s.endsAt)
 	defer cancel()
-	n.awaitRequests(bounded)
-	for n.leading() && bounded.Err() == nil {
-		time.Sleep(leadingPoll)
+	n.awaitRequests(ctx)
+	for n.leadsTasks() && ctx.Err() == nil {
+		time.Sleep(leadingPollInterval)
 	}
 	s.closing.Store(true)
-	clean := n.awaitRequests(bounded)
+	clean := n.awaitRequests(ctx)
 	if clean {
-		f.flush(bounded)
+		f.flush(ctx)
 	}
-	n.endRequests(f)
+	n.abortRequests(f)
 	n.leave()
 	if clean {
 		n.log.Info(eventStopped)
@@ -63,64 +64,62 @@
 	n.log.Warn(eventStoppedWithRequestsInFlight)
 }
 
-// flush waits for the ends of answers, which leave the process after the requests
-// are no longer counted.
+// flush waits until the ends of responses are sent, which happens after their requests are no
+// longer counted as in flight.
 func (f *front) flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, flushTime)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	_ = f.server.Shutdown(ctx)
 }
 
-// beginStop has all nodes know that this one leaves.
-func (n *Node) beginStop() *stop {
+// beginShutdown starts a graceful shutdown and announces to all nodes that this one is leaving.
+func (n *Node) beginShutdown() *shutdown {
 	now := time.Now()
-	ends := now.Add(n.settings.GracePeriod - lastMoment)
-	s := &stop{asked: now, accepts: min(acceptAfter, n.settings.GracePeriod/2), ends: ends, window: drain.Until(ends)}
+	ends := now.Add(n.settings.GracePeriod - shutdownMargin)
+	s := &shutdown{requestedAt: now, acceptFor: min(acceptTime, n.settings.GracePeriod/2), endsAt: ends, window: drain.Until(ends)}
 	n.stop.Store(s)
 	n.publishEntry()
 	n.log.Info(eventStopping, zap.Int64("in_flight", n.inFlight.Load()))
 	return s
 }
 
-// awaitRequests waits until nothing is in flight, and reports false if ctx ends
-// first.
+// awaitRequests waits until no request is in flight, and reports false if ctx ends first.
 func (n *Node) awaitRequests(ctx context.Context) bool {
 	for n.inFlight.Load() > 0 {
 		if ctx.Err() != nil {
 			return false
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	return true
 }
 
-// endRequests gives up what is still in flight. Each request ends itself, so
-// that its line in the log tells what became of it; then its answer goes out. A
-// request whose client does not read ends with its connection.
-func (n *Node) endRequests(f *front) {
-	n.giveUp(errStopped)
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+// abortRequests aborts the requests still in flight. Each of them writes its own log line and
+// response. A request whose client doesn't read is ended by closing its connection.
+func (n *Node) abortRequests(f *front) {
+	n.cancelRequests(errTerminated)
+	ctx, cancel := context.WithTimeout(context.Background(), finalAnswersTimeout)
 	defer cancel()
 	if f.server.Shutdown(ctx) == nil {
 		return
 	}
 	n.log.Info(eventConnectionsCut, zap.Int64("in_flight", n.inFlight.Load()))
 	_ = f.server.Close()
-	time.Sleep(drainPoll)
+	time.Sleep(drainPollInterval)
 }
 
-// leave tells the other nodes that this one is gone.
+// leave announces to the other nodes that this one has left.
 func (n *Node) leave() {
 	n.membersMu.Lock()
 	n.members.Leave()
 	sends := n.members.Tick(time.Now())
 	n.membersMu.Unlock()
 	n.sendGossip(sends)
-	time.Sleep(leaveTime)
+	time.Sleep(leaveGossipTime)
 }
 
-// leading reports whether this node still runs stages for others.
-func (n *Node) leading() bool {
+// leadsTasks reports whether this node, as a leader, has stage tasks that are not finished.
+func (n *Node) leadsTasks() bool {
 	n.leaders.mu.Lock()
 	defer n.leaders.mu.Unlock()
 	for _, c := range n.leaders.cells {
--- a/internal/node/draining.go
+++ b/internal/node/draining.go
@@ -9,25 +9,27 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// sweepInterval is how often endpoints that drained and are gone are dropped.
+// sweepInterval is the minimum interval between sweeps of the set of draining endpoints.
 const sweepInterval = time.Second
 
-// drainingChanged takes endpoints out of use that are newly known to drain.
+// drainingChanged stops calls to endpoints that were found to be draining, and schedules them for
+// gossip.
 func (n *Node) drainingChanged(source string, endpoints ...string) {
 	if len(endpoints) == 0 {
 		return
 	}
 	for _, e := range endpoints {
 		n.log.Info(eventEndpointDraining, zap.String("endpoint", e), zap.String("source", source))
-		n.pools.drain(e)
-		n.leaders.models.drain(e)
+		n.pools.markDraining(e)
+		n.leaders.modelPools.markDraining(e)
 	}
 	n.signals.mu.Lock()
 	n.signals.pending, n.signals.viewStale = true, true
 	n.signals.mu.Unlock()
 }
 
-// markDraining marks the endpoints of a list that announced draining, whatever the store says.
+// markDraining marks the endpoints of a list that announced draining, regardless of their state in
+// the store.
 func (s *signals) markDraining(list []catalog.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +41,7 @@
 	}
 }
 
-// applyDraining marks endpoints in the view that are newly known to drain.
+// applyDraining marks endpoints in the view that were found to be draining since the last call.
 func (n *Node) applyDraining() {
 	n.signals.mu.Lock()
 	stale := n.signals.viewStale
@@ -54,10 +56,10 @@
 	n.signals.markDraining(next.endpoints)
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.viewChanged()
+	n.updatePools()
 }
 
-// sweepDraining drops endpoints that drained and are gone.
+// sweepDraining removes draining endpoints that have terminated from the set.
 func (n *Node) sweepDraining(now time.Time) {
 	s := n.signals
 	s.mu.Lock()
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -10,79 +10,80 @@
 	"gradetiller.example/internal/wire"
 )
 
-// TestSlowLeaderKeepsItsWork checks that a leader that answers pings is
-// waited for, however long its results take, and that a silent one is given
-// up soon. A leader that was given up because it was slow used to leave two
-// leaders at the same endpoints.
-func TestSlowLeaderKeepsItsWork(t *testing.T) {
+// TestSlowLeaderKeepsWork guards against work that is moved away from a leader that is slow but
+// alive, which left two leaders at the same endpoints. As long as the leader answers pings, the
+// node waits for its results.
+func TestSlowLeaderKeepsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		b := j.add("leader")
-		time.AfterFunc(9*time.Second, func() { j.done(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
-		d, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
+		time.AfterFunc(9*time.Second, func() { j.deliverResults(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
+		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
 		if err != nil || len(d.Handles) != 1 {
 			t.Fatalf("slow leader: %v, %v", d, err)
 		}
 	})
 }
 
-func TestSilentLeaderIsGivenUp(t *testing.T) {
+// TestSilentLeaderLosesWork guards against work that stays with a leader which does not answer: it
+// counts as lost within a second.
+func TestSilentLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newJobs().add("leader")
+		b := newSubmissions().add("leader")
 		started := time.Now()
-		_, err := b.awaitDone(context.Background(), func() {})
+		_, err := b.awaitResults(context.Background(), func() {})
 		if !errors.Is(err, errLeaderLost) {
-			t.Fatalf("got %v, want a lost leader", err)
+			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 		if took := time.Since(started); took > time.Second {
-			t.Errorf("given up after %v, want within a second", took)
+			t.Errorf("leader counted as lost after %v, want within 1s", took)
 		}
 	})
 }
 
-// TestLeaderThatForgot checks that a leader that was started anew, and does
-// not know the work, is given up at once.
-func TestLeaderThatForgot(t *testing.T) {
+// TestRestartedLeaderLosesWork guards against waiting for a leader that restarted and no longer
+// knows the work: it counts as lost at once.
+func TestRestartedLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		b := j.add("leader")
-		_, err := b.awaitDone(context.Background(), func() { j.verdict(&wire.StagesVerdict{ID: b.id}) })
+		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id}) })
 		if !errors.Is(err, errLeaderLost) {
-			t.Fatalf("got %v, want a lost leader", err)
+			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 	})
 }
 
-// TestFrozenLeaderIsLeftByAll checks that one missed answer moves all work
-// away from a leader, that the suspicion grows while nothing is heard of it,
-// and that a sign of life ends it.
-func TestFrozenLeaderIsLeftByAll(t *testing.T) {
+// TestSuspectedLeaderLosesAllWork guards against each job waiting for its own timeout at a leader
+// that does not answer: one missed answer moves all work away. The suspicion lasts longer each time
+// until the leader is heard from.
+func TestSuspectedLeaderLosesAllWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newJobs()
+		j := newSubmissions()
 		waiting := j.add("leader")
 		go func() {
 			time.Sleep(50 * time.Millisecond)
 			j.suspect(time.Now(), "leader")
 		}()
 		started := time.Now()
-		if _, err := waiting.awaitDone(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
-			t.Fatalf("got %v", err)
+		if _, err := waiting.awaitResults(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
+			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 		if took := time.Since(started); took > 60*time.Millisecond {
-			t.Errorf("moved after %v, want at once", took)
+			t.Errorf("work moved after %v, want at once", took)
 		}
-		time.Sleep(suspectFor + 50*time.Millisecond)
+		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
 		if j.suspected(time.Now(), "leader") {
-			t.Error("still suspected after the first time")
+			t.Error("still suspected after the first suspicion ended")
 		}
 		j.suspect(time.Now(), "leader")
-		time.Sleep(suspectFor + 50*time.Millisecond)
+		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
 		if !j.suspected(time.Now(), "leader") {
-			t.Error("the second suspicion in a row is no longer than the first")
+			t.Error("the second suspicion in a row does not last longer than the first")
 		}
-		j.heard("leader")
+		j.clearSuspicion("leader")
 		if j.suspected(time.Now(), "leader") {
-			t.Error("suspected although it was heard of")
+			t.Error("suspected after it was heard from")
 		}
 	})
 }
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -17,84 +17,87 @@
 )
 
 const (
-	leaderTick = 20 * time.Millisecond
-	// stateGap is how often the state of a pool is logged.
-	stateGap = time.Second
-	// contention is how long the calls of another leader may still wait at
-	// endpoints after the last sign of it.
-	contention = 2500 * time.Millisecond
+	leaderTickInterval = 20 * time.Millisecond
+	// statsLogInterval is how often the state of a stage pool is logged.
+	statsLogInterval = time.Second
+	// contentionPeriod is how long calls of another leader may still be queued at endpoints
+	// after that leader was last seen.
+	contentionPeriod = 2500 * time.Millisecond
 )
 
-// ownerKey names a task by the node that submitted it.
-type ownerKey struct {
+// taskKey identifies a task by the node that submitted it and the ID that this node gave it.
+type taskKey struct {
 	node        string
 	incarnation uint64
 	id          uint64
 }
 
-// owner is where the news of a task go.
-type owner struct {
-	key    ownerKey
+// taskOwner is the node that submitted a task, and where its results are sent.
+type taskOwner struct {
+	key    taskKey
 	answer func(wire.Message) error
 }
 
-// leaders holds the stage pools that this node leads.
+// leaders holds the stage pools that this node leads or led.
 type leaders struct {
-	log     *zap.Logger
-	workers *platform.WorkerClient
-	meters  *meters
-	models  *pools
-	budget  func() stagepool.RetryBudget
-	pace    func(catalog.Endpoint) intake.Pace
-	off     mechanism.Disabled
-	mu      sync.Mutex
-	view    *view
-	cells   map[int]*leader
-	// asks tells that the engines are to be asked what they hold as soon as
-	// there is a view.
-	asks bool
-	// broke is told of calls that broke off at an endpoint, and of their requests.
-	broke func(ctx context.Context, e catalog.Endpoint, took time.Duration, requests []poison.ID)
+	log        *zap.Logger
+	workers    *platform.WorkerClient
+	meters     *meters
+	modelPools *pools
+	budget     func() stagepool.RetryBudget
+	pace       func(catalog.Endpoint) intake.Pace
+	disabled   mechanism.Disabled
+	mu         sync.Mutex
+	view       *view
+	cells      map[int]*leader
+	// learnOnUpdate reports whether the engines must be asked for the contents of their
+	// prompt caches as soon as there is a view.
+	learnOnUpdate bool
+	// onBrokenCall is called when a call to an endpoint breaks, with the requests that it
+	// carried.
+	onBrokenCall func(ctx context.Context, e catalog.Endpoint, took time.Duration, requests []poison.ID)
 }
 
-// leader runs one cell's stage pool.
+// leader runs the stage pool of one cell.
 type leader struct {
 	group  *leaders
 	cell   int
 	mu     sync.Mutex
 	pool   *stagepool.Pool
-	owners map[stagepool.TaskID]owner
-	tasks  map[ownerKey]stagepool.TaskID
-	// asks are what the requests ask of their models, placed where they were
-	// sent until their answers begin, turnWaits those that can't be sent yet.
-	asks      map[stagepool.TaskID]ask
-	placed    map[stagepool.TaskID]*placed
-	turnWaits []turnWait
-	logged    time.Time
-	// ticking tells whether the ticker runs; it does while there are tasks.
+	owners map[stagepool.TaskID]taskOwner
+	tasks  map[taskKey]stagepool.TaskID
+	// modelRequests holds what the tasks' requests need from their models, placed their
+	// placements from the time they are sent until their responses start, and turnWaits the
+	// tasks whose requests cannot be placed yet.
+	modelRequests map[stagepool.TaskID]placementRequest
+	placed        map[stagepool.TaskID]*placedCall
+	turnWaits     []pendingPlacement
+	lastLogged    time.Time
+	// ticking reports whether a tick is scheduled. It is while there are tasks.
 	ticking bool
 }
 
 func newLeaders(log *zap.Logger, workers *platform.WorkerClient, models *pools, budget func() stagepool.RetryBudget, pace func(catalog.Endpoint) intake.Pace, off mechanism.Disabled) *leaders {
-	return &leaders{log: log, workers: workers, models: models, budget: budget, pace: pace, off: off, cells: make(map[int]*leader)}
+	return &leaders{log: log, workers: workers, modelPools: models, budget: budget, pace: pace, disabled: off, cells: make(map[int]*leader)}
 }
 
 func (l *leaders) update(now time.Time, v *view) {
 	l.mu.Lock()
 	l.view = v
-	asks := l.asks
-	l.asks = false
+	learn := l.learnOnUpdate
+	l.learnOnUpdate = false
 	l.mu.Unlock()
-	l.models.update(v)
+	l.modelPools.update(v)
 	for _, c := range l.all() {
 		c.configure(now, v)
 	}
-	if asks {
+	if learn {
 		go l.learnCaches()
 	}
 }
 
-// evacuated reports whether nothing is to be sent to the endpoints of a failure domain.
+// evacuated reports whether a failure domain is evacuated, so that nothing may be sent to its
+// endpoints.
 func (l *leaders) evacuated(domain string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,9 +112,9 @@
 		return c
 	}
 	c = &leader{
-		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.off)),
-		owners: make(map[stagepool.TaskID]owner), tasks: make(map[ownerKey]stagepool.TaskID),
-		asks: make(map[stagepool.TaskID]ask), placed: make(map[stagepool.TaskID]*placed),
+		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.disabled)),
+		owners: make(map[stagepool.TaskID]taskOwner), tasks: make(map[taskKey]stagepool.TaskID),
+		modelRequests: make(map[stagepool.TaskID]placementRequest), placed: make(map[stagepool.TaskID]*placedCall),
 	}
 	l.cells[cell] = c
 	c.configure(time.Now(), l.view)
@@ -121,48 +124,48 @@
 func (c *leader) configure(now time.Time, v *view) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.Configure(now, v.config.Services, v.cellEndpoints(c.cell)))
+	c.execute(c.pool.Configure(now, v.config.Services, v.cellEndpoints(c.cell)))
 }
 
-// contend tells a cell's pool that another leader may be at work.
-func (l *leaders) contend(cell int, now time.Time) {
+// expectContention informs the pool of a cell that another leader may use the same endpoints.
+func (l *leaders) expectContention(cell int, now time.Time) {
 	c := l.get(cell)
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pool.ExpectContention(now.Add(contention))
+	c.pool.ExpectContention(now.Add(contentionPeriod))
 }
 
-// backoff has nothing go to a stage endpoint until a moment.
+// backoff stops calls to a stage endpoint until the given time.
 func (l *leaders) backoff(now time.Time, endpoint string, until time.Time) {
 	for _, c := range l.all() {
 		c.mu.Lock()
-		c.carryOut(c.pool.Backoff(now, endpoint, until))
+		c.execute(c.pool.Backoff(now, endpoint, until))
 		c.mu.Unlock()
 	}
 }
 
-// giveBack gives the tasks of a cell that have not begun back to their owners.
-func (l *leaders) giveBack(cell int, now time.Time) {
+// handOff returns the tasks of a cell that have not started to their owners.
+func (l *leaders) handOff(cell int, now time.Time) {
 	c := l.get(cell)
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.HandOff(now))
+	c.execute(c.pool.HandOff(now))
 }
 
-// drop gives the work of a request up that is refused from now on.
-func (c *leader) drop(content poison.ID) {
+// failContent fails the tasks of a request that is refused from now on.
+func (c *leader) failContent(content poison.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.carryOut(c.pool.FailContent(time.Now(), content))
+	c.execute(c.pool.FailContent(time.Now(), content))
 }
 
-// idle reports whether a cell has no task here.
+// idle reports whether the pool of a cell has no tasks.
 func (l *leaders) idle(cell int) bool {
 	c := l.get(cell)
 	if c == nil {
@@ -173,52 +176,53 @@
 	return c.pool.Tasks() == 0
 }
 
-// submit takes a request's stages.
-func (l *leaders) submit(o owner, m *wire.StagesSubmit) {
+// submit submits the stages of a request to the pool of their cell and replies with the
+// verdict.
+func (l *leaders) submit(o taskOwner, m *wire.StagesSubmit) {
 	c := l.get(m.Cell)
 	if c == nil {
 		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: time.Second.Milliseconds()})
 		return
 	}
 	now := time.Now()
-	wants := askOf(now, m)
-	f := l.models.predict(now, wants.at(now), m.Extra)
+	request := newPlacementRequest(now, m)
+	f := l.modelPools.predict(now, request.needAt(now), m.Extra)
 	t := stagepool.Task{
 		RequestID: m.RequestID, Key: m.Key, Priority: m.Priority, Domain: f.domain,
-		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.read),
-		Allowance:    f.rest,
+		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.ttft),
+		Allowance:    f.extraPrefill,
 		Deadline:     now.Add(time.Duration(m.Deadline) * time.Millisecond),
 	}
-	// Nodes of an earlier version do not tell the content.
+	// Nodes of an earlier version do not send the content ID.
 	t.Content, _ = poison.ParseID(m.Content)
 	for _, s := range m.Stages {
 		t.Stages = append(t.Stages, stagepool.Stage(s))
 	}
-	wants.aim = t.SoftDeadline
-	by := now.Add(leastTurnWait)
+	request.softDeadline = t.SoftDeadline
+	by := now.Add(minPlacementWait)
 	if latest := t.SoftDeadline.Add(t.Allowance); latest.After(by) {
 		by = latest
 	}
-	if again, ok := l.models.admits(now, m.Model, by); !ok && l.places() {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: again.Milliseconds(), Reason: noTurnReason})
+	if retryAfter, ok := l.modelPools.admits(now, m.Model, by); !ok && l.placesCalls() {
+		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: retryAfter.Milliseconds(), Reason: noCapacityReason})
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	verdict, actions := c.pool.Submit(now, t)
 	if verdict.Accepted {
-		wants.promised = true
-		l.models.promise(m.Model)
+		request.reserved = true
+		l.modelPools.reserve(m.Model)
 		c.owners[verdict.ID] = o
 		c.tasks[o.key] = verdict.ID
-		c.asks[verdict.ID] = wants
-		c.tick()
+		c.modelRequests[verdict.ID] = request
+		c.scheduleTick()
 	}
 	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), Again: verdict.RetryAfter.Milliseconds()})
-	c.carryOut(actions)
+	c.execute(actions)
 }
 
-// all lists the cells that this node leads or led.
+// all returns the leaders of all cells that this node leads or led.
 func (l *leaders) all() []*leader {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -229,8 +233,8 @@
 	return cells
 }
 
-// knows reports whether a task of an owner is at work here.
-func (l *leaders) knows(key ownerKey) bool {
+// knows reports whether a task is known to one of the pools.
+func (l *leaders) knows(key taskKey) bool {
 	for _, c := range l.all() {
 		c.mu.Lock()
 		_, ok := c.tasks[key]
@@ -242,52 +246,54 @@
 	return false
 }
 
-// release ends a task for its owner.
-func (l *leaders) release(key ownerKey, how wire.Placement) {
+// release ends a task at the request of its owner.
+func (l *leaders) release(key taskKey, placement wire.Placement) {
 	for _, c := range l.all() {
 		c.mu.Lock()
 		if id, ok := c.tasks[key]; ok {
-			c.endPlaced(id, how)
-			c.forget(id)
-			c.carryOut(c.pool.Release(time.Now(), id))
+			c.finishPlaced(id, placement)
+			c.removeTask(id)
+			c.execute(c.pool.Release(time.Now(), id))
 		}
 		c.mu.Unlock()
 	}
 }
 
-func (c *leader) forget(id stagepool.TaskID) {
-	c.endPlaced(id, wire.PlacementUnused)
-	c.settle(id)
-	delete(c.asks, id)
+func (c *leader) removeTask(id stagepool.TaskID) {
+	c.finishPlaced(id, wire.PlacementUnused)
+	c.releaseReservation(id)
+	delete(c.modelRequests, id)
 	delete(c.tasks, c.owners[id].key)
 	delete(c.owners, id)
 }
 
-// tick runs the ticker while there are tasks; the lock is held.
-func (c *leader) tick() {
+// scheduleTick schedules the next tick unless one is scheduled. Ticks repeat while there are
+// tasks. The caller must hold mu.
+func (c *leader) scheduleTick() {
 	if c.ticking {
 		return
 	}
 	c.ticking = true
-	time.AfterFunc(leaderTick, func() {
+	time.AfterFunc(leaderTickInterval, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.ticking = false
-		c.carryOut(c.pool.Tick(time.Now()))
+		c.execute(c.pool.Tick(time.Now()))
 		c.placeWaiting(time.Now())
 		c.logState(time.Now())
 		if c.pool.Tasks() > 0 {
-			c.tick()
+			c.scheduleTick()
 		}
 	})
 }
 
-// logState writes the state of the pool now and then; the lock is held.
+// logState logs the state of the pool and exports it as metrics, at most once per
+// statsLogInterval. The caller must hold mu.
 func (c *leader) logState(now time.Time) {
-	if now.Sub(c.logged) < stateGap {
+	if now.Sub(c.lastLogged) < statsLogInterval {
 		return
 	}
-	c.logged = now
+	c.lastLogged = now
 	for _, s := range c.pool.Stats(now) {
 		c.group.log.Info(eventStageService, zap.Int("cell", c.cell), zap.String("service", s.Service),
 			zap.Int("endpoints", s.Endpoints), zap.Int("busy", s.Busy), zap.Int("queued", s.Queued), zap.Int("backlog", s.Backlog),
@@ -296,9 +302,9 @@
 	}
 }
 
-// carryOut does what the pool asks for; the lock is held, and nothing here
-// blocks.
-func (c *leader) carryOut(actions []stagepool.Action) {
+// execute executes the actions that the pool returned. It does not block. The caller must
+// hold mu.
+func (c *leader) execute(actions []stagepool.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case stagepool.StartCall:
@@ -308,13 +314,13 @@
 		case stagepool.Complete:
 			c.complete(time.Now(), a)
 		case stagepool.Fail:
-			c.tell(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
-			c.forget(a.Task)
+			c.sendDone(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
+			c.removeTask(a.Task)
 		}
 	}
 }
 
-func (c *leader) tell(id stagepool.TaskID, m wire.StagesDone) {
+func (c *leader) sendDone(id stagepool.TaskID, m wire.StagesDone) {
 	o, ok := c.owners[id]
 	if !ok {
 		return
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -19,49 +19,49 @@
 	"gradetiller.example/platform"
 )
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventBytes bounds a single event of a stream.
+const maxEventBytes = 1 << 20
 
 var (
-	errEventTooLarge = errors.New("an event is larger than allowed")
-	// errClientGone is why a stream ends whose events the client does not take.
-	errClientGone = errors.New("the client takes no events")
+	errEventTooLarge = errors.New("stream event exceeds 1 MiB")
+	// errClientGone reports that an event could not be written to the client.
+	errClientGone = errors.New("cannot write to the client")
 )
 
-// stream is the passing on of a stream's events.
+// stream forwards the events of an endpoint's response to a client.
 type stream struct {
-	node    *Node
-	q       *request
-	w       http.ResponseWriter
-	flush   *http.ResponseController
-	started bool
-	last    string
-	results stageResults
-	// placement is how the endpoint that the leader chose did.
+	node        *Node
+	q           *request
+	w           http.ResponseWriter
+	flush       *http.ResponseController
+	started     bool
+	lastEventID string
+	results     stageResults
+	// placement is the result at the endpoint that the leader chose.
 	placement wire.Placement
 	events    int
 }
 
-// serveStream takes a request through its stages and passes its events on.
+// serveStream runs the stages of a request and forwards the events of its response.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
-	if n.rejectClosed(w, q, q.reopenLimit()) {
+	if n.rejectIfBackedOff(w, q, q.backoffEndLimit()) {
 		return
 	}
 	q.prefix = n.pools.prefix(q)
 	s := &stream{node: n, q: q, w: w, flush: http.NewResponseController(w)}
 	defer func() { s.release() }()
 	var tried []string
-	for range mostSends {
+	for range maxSends {
 		if err := n.prepare(ctx, s); err != nil {
-			n.endUnprepared(ctx, s, err)
+			n.endStagesFailed(ctx, s, err)
 			return
 		}
-		if !q.ran && !n.stillEndsInTime(q) {
-			n.turnAway(w, q)
+		if !q.mayHaveRun && !n.finishesAfterStages(q) {
+			n.rejectStopping(w, q)
 			return
 		}
-		if n.endPoison(ctx, s) {
+		if n.endIfPoison(ctx, s) {
 			return
 		}
 		c, ok := n.choose(ctx, q, s.need(tried))
@@ -73,11 +73,11 @@
 		a, event := n.tryStream(ctx, s, c)
 		if event == attempt.Complete {
 			q.outcome = delivered
-			n.served(q)
+			n.recordServed(q)
 			n.logRequest(q, http.StatusOK)
 			return
 		}
-		next := n.next(q, event, a)
+		next := n.nextAction(q, event, a)
 		if next == attempt.Retry {
 			continue
 		}
@@ -87,44 +87,46 @@
 	n.endStream(ctx, s, attempt.AnswerUnknown, "no endpoint reached")
 }
 
-// reopenLimit is by when the service of a stream has to be out of backoff so that it is begun:
-// its stages run meanwhile.
-func (q *request) reopenLimit() time.Time {
+// backoffEndLimit returns the time by which the backoff of a stream's service must end for the
+// stream to be started. It is later than backoffWaitLimit for a request with stages, which run
+// in the meantime.
+func (q *request) backoffEndLimit() time.Time {
 	if len(q.route.Stages) == 0 {
-		return q.awaitLimit(q.arrived)
+		return q.backoffWaitLimit(q.arrived)
 	}
 	return q.arrived.Add(q.route.Objective)
 }
 
-// endPoison ends a stream whose request is refused since it crashes endpoints, and reports
-// whether it is.
-func (n *Node) endPoison(ctx context.Context, s *stream) bool {
+// endIfPoison ends a stream whose request is refused because it crashes endpoints, and reports
+// whether it did.
+func (n *Node) endIfPoison(ctx context.Context, s *stream) bool {
 	if !s.started {
 		return n.refusePoison(s.w, s.q)
 	}
-	_, refused := n.poisons.refused(s.q.content)
+	_, refused := n.poisonGuard.refused(s.q.content)
 	if refused {
 		n.endStream(ctx, s, attempt.AnswerUnknown, poisonReason)
 	}
 	return refused
 }
 
-// need is what the next attempt asks of its endpoint. A suspect is kept apart from the
-// prompts that share its beginning: sent to the endpoint that holds it, as they are, it
-// would end with them each endpoint that they are sent to next, and make suspects of them.
+// need returns what the next attempt requires of its endpoint. A request suspected of crashing
+// endpoints is placed apart from the prompts that share its prefix. Otherwise it would be sent to
+// the endpoint that caches the prefix, crash each endpoint that those prompts move to, and make
+// them suspects too.
 func (s *stream) need(tried []string) need {
 	q := s.q
 	asks := need{
-		service: q.service, prefix: q.prefix, tried: tried, wanted: s.results.endpoint,
+		service: q.service, prefix: q.prefix, tried: tried, preferred: s.results.endpoint,
 		prompt: place.Prompt{Tokens: q.in.PromptTokens},
 	}
 	if limit, _ := s.node.signals.bound(s.results.endpoint); !s.results.bounded && limit.At(time.Now()).Bounded() {
-		// The leader does not know what this node has heard, so it has not counted the
-		// request: one that has just begun, or is of an earlier version.
-		asks.wanted = ""
+		// The leader doesn't know the rate limit that this node knows, so it has not counted the
+		// request against it: it has just become leader, or runs an earlier version.
+		asks.preferred = ""
 	}
-	if s.node.poisons.suspected(q.content) {
-		asks.prefix, asks.wanted = q.content.Key(), ""
+	if s.node.poisonGuard.suspected(q.content) {
+		asks.prefix, asks.preferred = q.content.Key(), ""
 	}
 	return asks
 }
@@ -137,14 +139,15 @@
 	s.placement = wire.PlacementUnused
 }
 
-// note keeps how the endpoint that the leader chose did.
-func (s *stream) note(c *placed, how wire.Placement) {
+// recordPlacement records the result of an attempt if it went to the endpoint that the leader
+// chose.
+func (s *stream) recordPlacement(c *placedCall, how wire.Placement) {
 	if c.endpoint.ID == s.results.endpoint {
 		s.placement = how
 	}
 }
 
-// prepare has the stages run unless their results are there.
+// prepare runs the stages unless their results are available.
 func (n *Node) prepare(ctx context.Context, s *stream) error {
 	q := s.q
 	if s.results.release != nil || len(q.route.Stages) == 0 {
@@ -154,41 +157,40 @@
 		RequestID: q.in.RequestID, Key: q.in.PieceKey, Priority: q.priority,
 		Model: q.service, Prefix: q.prefix, Tokens: q.in.PromptTokens, Parts: q.promptParts(), Content: bytesOf(q.content),
 	}}
-	work.aim = q.arrived.Add(q.route.Objective)
+	work.softDeadline = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
-	if !n.off.Has(mechanism.Sizes) {
-		work.submit.Extra = n.sizes.extra(q.route.Name, q.in.PromptTokens)
+	if !n.disabled.Has(mechanism.Sizes) {
+		work.submit.Extra = n.sizes.excess(q.route.Name, q.in.PromptTokens)
 	}
-	any := false
+	hasPieces := false
 	for i, st := range q.route.Stages {
 		out := wire.Stage{Service: st.Service, After: st.After, ResultBytes: st.ResultBytes}
 		if i < len(q.in.Pieces) {
 			out.Pieces = q.in.Pieces[i]
 		}
-		any = any || out.Pieces > 0
+		hasPieces = hasPieces || out.Pieces > 0
 		work.submit.Stages = append(work.submit.Stages, out)
 	}
 	results, err := n.runStages(ctx, work)
-	if err != nil && !any && ctx.Err() == nil {
-		// Nothing is to be made; only the leader's choice of an endpoint is
-		// missing.
+	if err != nil && !hasPieces && ctx.Err() == nil {
+		// There are no pieces to run; only the leader's choice of an endpoint is missing.
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	s.results = results
-	q.staged = time.Since(q.arrived)
+	q.stagesTook = time.Since(q.arrived)
 	q.leader = results.leader
 	q.predicted = results.predicted
 	return nil
 }
 
-// maxAvoided bounds the endpoints that a submission asks to avoid.
+// maxAvoided bounds the endpoints to avoid that are listed in a submission.
 const maxAvoided = 64
 
-// avoided lists the endpoints of a service that are in backoff towards this node. Their leader
-// can't know them, since a backoff is between one node and one endpoint.
+// avoided lists the endpoints of a service that are in backoff towards this node. A leader can't
+// know them, because a backoff is between one node and one endpoint.
 func (n *Node) avoided(service string) []wire.Avoided {
 	now := time.Now()
 	var list []wire.Avoided
@@ -200,116 +202,116 @@
 	return list
 }
 
-// endUnprepared ends a request whose stages were not run.
-func (n *Node) endUnprepared(ctx context.Context, s *stream, err error) {
+// endStagesFailed ends a request whose stages were refused or failed.
+func (n *Node) endStagesFailed(ctx context.Context, s *stream, err error) {
 	var refused *refusal
 	if errors.As(err, &refused) {
 		s.q.predicted = refused.predicted
 	}
-	if refused != nil && !s.started && !s.q.ran {
-		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.again, againSoon))
+	if refused != nil && !s.started && !s.q.mayHaveRun {
+		n.refuse(s.w, s.q, http.StatusServiceUnavailable, refused.reason, max(refused.retryAfter, minRetryAfter))
 		return
 	}
 	n.endStream(ctx, s, attempt.AnswerUnknown, err.Error())
 }
 
-// endStream ends a stream that is not complete. Once its head is out, only a
-// broken connection tells the client so.
+// endStream ends a stream that is not complete. Once the response header is sent, the failure can
+// only be signaled by closing the connection.
 func (n *Node) endStream(ctx context.Context, s *stream, next attempt.Action, reason string) {
 	switch {
 	case s.started:
-		s.q.outcome = "broken: " + n.givenUp(s.q, reason)
+		s.q.outcome = "broken: " + n.failureReason(s.q, reason)
 		n.logRequest(s.q, http.StatusOK)
 		s.release()
 		panic(http.ErrAbortHandler)
 	case next == attempt.AnswerNotRun:
-		n.endNotRun(s.w, s.q, reason)
+		n.answerNotRun(s.w, s.q, reason)
 	default:
-		n.endUnknown(ctx, s.w, s.q, reason)
+		n.answerUnknown(ctx, s.w, s.q, reason)
 	}
 }
 
-// tryStream sends one attempt and passes its events on.
-func (n *Node) tryStream(ctx context.Context, s *stream, c *placed) (*platform.Response, attempt.Event) {
+// tryStream sends one attempt and forwards the events of its response.
+func (n *Node) tryStream(ctx context.Context, s *stream, c *placedCall) (*platform.Response, attempt.Event) {
 	q := s.q
 	q.endpoint = c.endpoint.ID
 	parent := ctx
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	hung := time.AfterFunc(q.patience(time.Now()), cancel)
-	out := n.outbound(q, c.endpoint, time.Now())
+	hung := time.AfterFunc(q.attemptTimeout(time.Now()), cancel)
+	out := n.workerRequest(q, c.endpoint, time.Now())
 	out.Inputs = s.results.handles
-	out.LastEventID = s.last
+	out.LastEventID = s.lastEventID
 	if c.endpoint.ID == s.results.endpoint {
 		out.CacheSource = s.results.copyFrom
 	}
 	a, err := n.workers.Send(ctx, out)
 	hung.Stop()
 	if err != nil {
-		event := n.faulted(parent, ctx, q, c, err)
+		event := n.recordSendError(parent, ctx, q, c, err)
 		switch {
 		case parent.Err() != nil || isBlocked(err):
 		case event == attempt.NotSent:
-			s.note(c, wire.PlacementUnreachable)
+			s.recordPlacement(c, wire.PlacementUnreachable)
 		default:
-			s.note(c, wire.PlacementFailed)
+			s.recordPlacement(c, wire.PlacementFailed)
 		}
 		return nil, event
 	}
 	defer a.Body.Close()
-	s.note(c, wire.PlacementServed)
+	s.recordPlacement(c, wire.PlacementServed)
 	if !a.Misdirected {
 		q.sent++
 	}
 	if a.Event != attempt.FirstByte {
-		return a, n.declined(ctx, s, c, a)
+		return a, n.handleNoStream(ctx, s, c, a)
 	}
-	err = s.pass(a)
+	err = s.forward(a)
 	now := time.Now()
-	c.end(now, place.Result{OK: err == nil, Neutral: parent.Err() != nil, Load: load(a, now)})
+	c.finish(now, place.Result{OK: err == nil, Neutral: parent.Err() != nil, Load: reportedLoad(a, now)})
 	if err != nil {
-		n.log.Info(eventStreamBroke, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
+		n.log.Info(eventStreamBroken, zap.String("id", q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("events", s.events), zap.Error(err))
 		if !errors.Is(err, errClientGone) {
-			n.runBroke(ctx, c.endpoint, time.Since(c.started), q.content)
+			n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), q.content)
 		}
 		return a, attempt.NoResponse
 	}
 	return a, attempt.Complete
 }
 
-// declined handles an answer that is no stream. Results that are gone are
-// made again.
-func (n *Node) declined(ctx context.Context, s *stream, c *placed, a *platform.Response) attempt.Event {
+// handleNoStream handles a response that is not a stream. Stage results that no longer exist
+// (409) are released, so that the next attempt runs the stages again.
+func (n *Node) handleNoStream(ctx context.Context, s *stream, c *placedCall, a *platform.Response) attempt.Event {
 	now := time.Now()
 	switch {
 	case a.Signals.Backoff > 0:
-		s.note(c, wire.PlacementRejected)
+		s.recordPlacement(c, wire.PlacementRejected)
 	case a.Status != http.StatusConflict:
-		s.note(c, wire.PlacementFailed)
+		s.recordPlacement(c, wire.PlacementFailed)
 	}
 	if a.Event == attempt.Rejected {
 		n.log.Info(eventEndpointDeclined, zap.String("id", s.q.in.RequestID), zap.String("endpoint", c.endpoint.ID), zap.Int("status", a.Status))
-		c.end(now, place.Result{Neutral: a.Status == http.StatusConflict || a.Signals.Backoff > 0, Load: load(a, now)})
+		c.finish(now, place.Result{Neutral: a.Status == http.StatusConflict || a.Signals.Backoff > 0, Load: reportedLoad(a, now)})
 		if a.Status == http.StatusConflict {
 			s.release()
 		}
 		return a.Event
 	}
-	c.end(now, place.Result{Neutral: a.Status < 500 || a.Signals.Backoff > 0, Load: load(a, now)})
+	c.finish(now, place.Result{Neutral: a.Status < 500 || a.Signals.Backoff > 0, Load: reportedLoad(a, now)})
 	if s.started {
 		return attempt.NoResponse
 	}
 	body, err := io.ReadAll(a.Body)
 	if err != nil {
-		n.runBroke(ctx, c.endpoint, time.Since(c.started), s.q.content)
+		n.recordBrokenRuns(ctx, c.endpoint, time.Since(c.started), s.q.content)
 		return attempt.NoResponse
 	}
 	a.Body = io.NopCloser(bytes.NewReader(body))
 	return attempt.Fail
 }
 
-// pass passes whole events on until the stream ends.
-func (s *stream) pass(a *platform.Response) error {
+// forward forwards complete events until the stream ends.
+func (s *stream) forward(a *platform.Response) error {
 	in := bufio.NewReader(a.Body)
 	var event []byte
 	for {
@@ -317,43 +319,43 @@
 		event = append(event, line...)
 		switch {
 		case err == io.EOF && len(bytes.TrimSpace(event)) == 0:
-			s.head(a)
+			s.sendHead(a)
 			return nil
 		case err == io.EOF:
 			return io.ErrUnexpectedEOF
 		case err != nil:
 			return err
-		case len(event) > maxEvent:
+		case len(event) > maxEventBytes:
 			return errEventTooLarge
 		case len(bytes.TrimRight(line, "\r\n")) > 0:
 			continue
 		}
-		if err := s.event(a, event); err != nil {
+		if err := s.forwardEvent(a, event); err != nil {
 			return err
 		}
 		event = event[:0]
 	}
 }
 
-// head sends the head of the first answer.
-func (s *stream) head(a *platform.Response) {
+// sendHead sends the response header, once per stream.
+func (s *stream) sendHead(a *platform.Response) {
 	if s.started {
 		return
 	}
 	s.started = true
-	s.q.first = time.Since(s.q.arrived)
+	s.q.headTook = time.Since(s.q.arrived)
 	platform.CopyResponseHeader(s.w, a.Header)
 	s.w.Header().Del("Content-Length")
-	s.node.tellClose(s.w)
+	s.node.announceClose(s.w)
 	s.w.WriteHeader(a.Status)
 	s.release()
 }
 
-// event passes one whole event on.
-func (s *stream) event(a *platform.Response, event []byte) error {
-	s.head(a)
+// forwardEvent forwards one complete event.
+func (s *stream) forwardEvent(a *platform.Response, event []byte) error {
+	s.sendHead(a)
 	if id := eventID(event); id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
 	s.events++
 	if _, err := s.w.Write(event); err != nil {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -15,124 +15,125 @@
 )
 
 const (
-	// configEvery is how often the store is asked for configurations at most: in a
-	// storm of changes each is replaced before it matters.
-	configEvery = 400 * time.Millisecond
-	// firstPoll is how often a node that knows nothing yet looks whether it
-	// reads the store, and standInPoll how often one that serves looks whether it
-	// stands in for the readers: a change has few seconds to be in force.
-	firstPoll   = 50 * time.Millisecond
-	standInPoll = 100 * time.Millisecond
+	// minConfigInterval is the minimum time between requests for the configuration. When
+	// configurations change faster, most are replaced before they matter.
+	minConfigInterval = 400 * time.Millisecond
+	// startPollInterval is how often a node without any data checks whether it reads the
+	// store, and backupPollInterval how often a serving node checks whether it must replace
+	// the readers: a change must be in effect within a few seconds.
+	startPollInterval  = 50 * time.Millisecond
+	backupPollInterval = 100 * time.Millisecond
 )
 
-// watchConfig keeps the configuration current until ctx ends. A node that is
-// no reader gets it from one with the list of endpoints.
+// watchConfig keeps the configuration up to date until ctx is done. A node that does not read
+// the store receives it from a reader with the endpoint list.
 func (n *Node) watchConfig(ctx context.Context) {
 	revision := catalog.Revision(0)
 	failed := 0
 	for ctx.Err() == nil {
-		asked := time.Now()
-		if !n.noteReads(asked, n.reads(asked)) {
+		start := time.Now()
+		if !n.updateReadsStore(start, n.shouldReadStore(start)) {
 			revision, failed = 0, 0
-			pause(ctx, n.untilAsked())
+			sleep(ctx, n.readerCheckInterval())
 			continue
 		}
-		wait := n.readers.Load().ConfigWait()
+		wait := n.ranking.Load().ConfigWait()
 		r, err := n.nextConfig(ctx, revision, failed, wait)
-		n.storeState(callConfig, err)
+		n.recordStoreResult(callConfig, err)
 		if err != nil {
-			// The next call reads the whole configuration, which confirms it at once
-			// and has a shorter limit than a question for changes.
+			// The next call reads the whole configuration: that confirms it immediately and
+			// has a shorter timeout than a request for changes.
 			revision = 0
 			if errors.Is(err, platform.ErrHistoryGone) && failed == 0 {
 				failed++
 				continue
 			}
 			failed++
-			pause(ctx, discovery.RetryDelay(n.serves(), failed))
+			sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), failed))
 			continue
 		}
 		failed = 0
 		if r.Data != nil {
-			n.takeConfig(r.Data, sourceStore)
+			n.applyConfig(r.Data, sourceStore)
 		}
-		n.readEvacuations(r)
-		// A whole read is no wait, and tells the configuration as of its question.
-		n.readConfig(discovery.AnswerAsOf(asked, time.Now(), wait, r.Data != nil || revision == 0))
+		n.applyStoreEvacuations(r)
+		// A read of the whole configuration does not wait for changes, and is valid as of its
+		// request.
+		n.recordConfigRead(discovery.AnswerAsOf(start, time.Now(), wait, r.Data != nil || revision == 0))
 		revision = r.Revision
-		// Other rows of the table also end the store's wait.
-		pause(ctx, configEvery-time.Since(asked))
+		// Changes of other rows of the table end the store's wait as well.
+		sleep(ctx, minConfigInterval-time.Since(start))
 	}
 }
 
-// untilAsked is how long a node that is no reader waits before it looks again
-// whether it is one.
-func (n *Node) untilAsked() time.Duration {
+// readerCheckInterval returns how long a node that does not read the store waits before it
+// checks again whether it must.
+func (n *Node) readerCheckInterval() time.Duration {
 	if n.view.Load().config == nil {
-		return firstPoll
+		return startPollInterval
 	}
-	return standInPoll
+	return backupPollInterval
 }
 
-// serves reports whether this node knows all that it serves by.
-func (n *Node) serves() bool { return n.view.Load().complete() }
+// hasCompleteView reports whether this node has everything it needs to serve requests.
+func (n *Node) hasCompleteView() bool { return n.view.Load().complete() }
 
 func (n *Node) nextConfig(ctx context.Context, after catalog.Revision, failed int, wait time.Duration) (platform.ConfigUpdate, error) {
 	if after == 0 {
-		return n.store.ReadConfig(ctx, discovery.ReadTimeout(n.serves(), failed))
+		return n.store.ReadConfig(ctx, discovery.ReadTimeout(n.hasCompleteView(), failed))
 	}
 	return n.store.AwaitConfig(ctx, after, wait)
 }
 
-// watchEndpoints keeps the list of endpoints current until ctx ends: readers
-// read the store, the others ask a reader.
+// watchEndpoints keeps the endpoint list up to date until ctx is done: readers read the
+// store, the others poll a reader.
 func (n *Node) watchEndpoints(ctx context.Context) {
-	inVain, silent := 0, 0
+	failed, attempt := 0, 0
 	for ctx.Err() == nil {
-		asked := time.Now()
-		if n.reads(asked) {
-			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.serves(), inVain))
-			n.storeState(callList, err)
+		start := time.Now()
+		if n.shouldReadStore(start) {
+			list, err := n.store.Endpoints(ctx, discovery.ReadTimeout(n.hasCompleteView(), failed))
+			n.recordStoreResult(callEndpoints, err)
 			if err != nil {
-				inVain++
-				pause(ctx, discovery.RetryDelay(n.serves(), inVain))
+				failed++
+				sleep(ctx, discovery.RetryDelay(n.hasCompleteView(), failed))
 				continue
 			}
-			inVain = 0
-			n.noteRefused(list.Refused)
-			n.readEndpoints(list.Endpoints, list.Revision, asked)
-			silent++
-			n.askIfBack(silent)
-			pause(ctx, discovery.ReadInterval-time.Since(asked))
+			failed = 0
+			n.recordRefused(list.Refused)
+			n.applyStoreEndpoints(list.Endpoints, list.Revision, start)
+			attempt++
+			n.pollOwnReaders(attempt)
+			sleep(ctx, discovery.ReadInterval-time.Since(start))
 			continue
 		}
-		inVain = 0
+		failed = 0
 		v := n.view.Load()
 		if v.fresh.List.IsZero() {
-			// The first list is also asked for with each beat, of any node.
-			pause(ctx, firstPoll)
+			// Until the first list arrives, each tick also requests it from any node.
+			sleep(ctx, startPollInterval)
 			continue
 		}
-		if v.fresh.Stale(asked) {
-			silent++
+		if v.fresh.Stale(start) {
+			attempt++
 		}
-		n.askReader(n.readers.Load().Readers(asked.Sub(v.fresh.Primaries)), silent)
-		pause(ctx, discovery.PollInterval)
+		n.pollReader(n.ranking.Load().Readers(start.Sub(v.fresh.Primaries)), attempt)
+		sleep(ctx, discovery.PollInterval)
 	}
 }
 
-// reads reports whether this node reads the store itself.
-func (n *Node) reads(now time.Time) bool {
+// shouldReadStore reports whether this node has to read the store.
+func (n *Node) shouldReadStore(now time.Time) bool {
 	fresh := n.view.Load().fresh
 	if fresh.List.IsZero() || !n.view.Load().evacuations.Known() {
-		return len(n.settings.Seeds) == 0 || n.readers.Load().ReadsAtStart(n.settings.Node, now.Sub(n.started))
+		return len(n.settings.Seeds) == 0 || n.ranking.Load().ReadsAtStart(n.settings.Node, now.Sub(n.started))
 	}
-	return n.readers.Load().Reads(n.settings.Node, now, fresh)
+	return n.ranking.Load().Reads(n.settings.Node, now, fresh)
 }
 
-// noteReads logs when this node begins or ceases to read the store, and returns
-// whether it does.
-func (n *Node) noteReads(now time.Time, reads bool) bool {
+// updateReadsStore records and logs whether this node reads the store, and returns the same
+// value.
+func (n *Node) updateReadsStore(now time.Time, reads bool) bool {
 	if n.readsStore.Swap(reads) == reads {
 		return reads
 	}
@@ -142,35 +143,35 @@
 		zap.Int64("readers_age_ms", age(now, v.fresh.Primaries)), zap.Uint64("config", v.version()),
 	}
 	if reads {
-		n.log.Info(eventReadsStore, fields...)
+		n.log.Info(eventStoreReadsStarted, fields...)
 		return true
 	}
-	// It asks nothing any more that could fail.
+	// The node makes no more calls that could fail.
 	for call := range n.storeLost {
 		n.storeLost[call].Store(false)
 	}
-	n.log.Info(eventReadsStoreNoMore, fields...)
+	n.log.Info(eventStoreReadsEnded, fields...)
 	return false
 }
 
-// setEntries puts a list of live nodes in force, and with it who reads the
-// store.
+// setEntries stores the list of live nodes, and derives this node's rank and the ranking of
+// readers from it.
 func (n *Node) setEntries(entries []wire.Entry) {
 	n.entries.Store(&entries)
-	n.shareOut(time.Now(), entries)
+	n.updateShare(time.Now(), entries)
 	readers := n.rankReaders(entries)
-	n.readers.Store(&readers)
+	n.ranking.Store(&readers)
 }
 
 func (n *Node) rankReaders(entries []wire.Entry) discovery.Ranking {
-	var able []wire.Entry
+	var eligible []wire.Entry
 	for _, e := range entries {
 		if !e.Leaving || e.Node == n.settings.Node {
-			able = append(able, e)
+			eligible = append(eligible, e)
 		}
 	}
-	strong, weak := lead.SplitBySize(able)
-	return discovery.Rank(nodeNames(strong), nodeNames(weak))
+	large, small := lead.SplitBySize(eligible)
+	return discovery.Rank(nodeNames(large), nodeNames(small))
 }
 
 func nodeNames(entries []wire.Entry) []string {
@@ -181,22 +182,22 @@
 	return names
 }
 
-// askIfBack has a node that reads in the place of others ask one of these, so that it
-// leaves it to them once they are back.
-func (n *Node) askIfBack(turn int) {
-	readers := n.readers.Load()
+// pollOwnReaders lets a node that replaces readers poll one of them, so that it stops reading
+// the store once they are back.
+func (n *Node) pollOwnReaders(attempt int) {
+	readers := n.ranking.Load()
 	switch {
 	case readers.IsPrimary(n.settings.Node):
 	case readers.IsCandidate(n.settings.Node):
-		n.askReader(readers.Readers(0), turn)
+		n.pollReader(readers.Readers(0), attempt)
 	default:
-		n.askReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), turn)
+		n.pollReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), attempt)
 	}
 }
 
-// askReader asks one of the readers for what is new, the next one after each try that
-// failed.
-func (n *Node) askReader(readers []string, failed int) {
+// pollReader requests updates from one of the readers, a different one after each failed
+// attempt.
+func (n *Node) pollReader(readers []string, failed int) {
 	v := n.view.Load()
 	name := discovery.ReaderFor(readers, n.settings.Node, failed)
 	for _, e := range entriesOf(*n.entries.Load(), []string{name}) {
@@ -204,20 +205,21 @@
 	}
 }
 
-// storeCall is a kind of call to the store.
+// storeCall is a kind of store call.
 type storeCall int
 
 const (
 	callConfig storeCall = iota
-	callList
-	storeCalls
+	callEndpoints
+	storeCallCount
 )
 
-// String returns the name in log lines.
+// String returns the name that is written to log lines.
 func (c storeCall) String() string { return [...]string{"configuration", "endpoints"}[c] }
 
-// storeState logs when the store is lost or regained for a kind of call.
-func (n *Node) storeState(call storeCall, err error) {
+// recordStoreResult records the result of a store call, and logs when calls of its kind start
+// to fail or to succeed.
+func (n *Node) recordStoreResult(call storeCall, err error) {
 	lost := err != nil
 	if n.storeLost[call].Swap(lost) == lost {
 		return
@@ -226,10 +228,10 @@
 		n.log.Warn(eventStoreLost, zap.Stringer("call", call), zap.Error(err))
 		return
 	}
-	n.log.Info(eventStoreReached, zap.Stringer("call", call))
+	n.log.Info(eventStoreRecovered, zap.Stringer("call", call))
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(max(d, 0))
 	defer timer.Stop()
 	select {
