--- a/cmd/gradetiller/cmd/logs.go
+++ b/cmd/gradetiller/cmd/logs.go
@@ -26,7 +26,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := explain.Story(lines, c.Subject, c.Around)
+	story := explain.Timeline(lines, c.Subject, c.Around)
 	if len(story) == 0 {
 		return fmt.Errorf("none of %d lines of %s names %s; give the logs of all nodes", len(lines), strings.Join(c.Files, ", "), c.Subject)
 	}
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -42,11 +42,11 @@
 
 // Row is one line of the page's table.
 type Row struct {
-	Role, What, Unit string
-	Value            float64
-	Limit            float64 // 0: none
-	From             string  // the benchmark, or "input" for plain arithmetic
-	Carried          string  // the mechanism
+	Role, Quantity, Unit string
+	Value                float64
+	Limit                float64 // 0: none
+	Source               string  // the benchmark, or "input" for plain arithmetic
+	Mechanism            string  // the mechanism
 }
 
 // String returns the row in Markdown.
@@ -58,7 +58,7 @@
 			limit += " **exceeded**"
 		}
 	}
-	return fmt.Sprintf("| %s | %s | %.3g %s | %s | %s | %s |", r.Role, r.What, r.Value, r.Unit, limit, r.From, r.Carried)
+	return fmt.Sprintf("| %s | %s | %.3g %s | %s | %s | %s |", r.Role, r.Quantity, r.Value, r.Unit, limit, r.Source, r.Mechanism)
 }
 
 // Rows works the table out for a fleet.
--- a/internal/control/entries.go
+++ b/internal/control/entries.go
@@ -48,7 +48,7 @@
 		switch m := m.(type) {
 		case *wire.EntryStatus:
 			c.tookStatus(link, *m)
-		case *wire.StoryAnswer:
+		case *wire.ExplainResponse:
 			c.stories.answered(*m)
 		default:
 			return
--- a/internal/control/explain.go
+++ b/internal/control/explain.go
@@ -30,7 +30,7 @@
 	return s.last, ch
 }
 
-func (s *stories) answered(a wire.StoryAnswer) {
+func (s *stories) answered(a wire.ExplainResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ch, ok := s.waiting[a.ID]; ok {
@@ -70,7 +70,7 @@
 func (c *Control) storyOf(ctx context.Context, l *entryLink, subject string) []string {
 	id, answer := c.stories.ask()
 	defer c.stories.forget(id)
-	if l.conn.Send(wire.Story{ID: id, Subject: subject}) != nil {
+	if l.conn.Send(wire.ExplainRequest{ID: id, Subject: subject}) != nil {
 		return nil
 	}
 	select {
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -30,7 +30,7 @@
 		// The sender does not know that it was declared dead. The reply makes it rejoin
 		// with a higher incarnation.
 		out := n.header()
-		out.Courtesy = true
+		out.NonNeighbor = true
 		out.Members = []wire.Member{r.member, n.self}
 		return []Message{{Node: g.Node, Address: r.member.Address, Gossip: out}}
 	}
@@ -57,7 +57,7 @@
 // that one dead; until then the two could lead side by side. The sender's address is
 // unknown, so the reply uses the connection on which the message arrived.
 func (n *Node) replyToUnknown(g wire.Gossip) []Message {
-	if g.Courtesy || isTerminal(n.self.State) || n.listingBudget == 0 {
+	if g.NonNeighbor || isTerminal(n.self.State) || n.listingBudget == 0 {
 		return nil
 	}
 	n.listingBudget--
@@ -72,12 +72,12 @@
 	r.lastHeard = now
 	l, ok := n.links[g.Node]
 	if !ok {
-		if g.Courtesy || isTerminal(r.member.State) {
+		if g.NonNeighbor || isTerminal(r.member.State) {
 			return
 		}
 		l = n.addLink(g.Node)
 	}
-	if !g.Courtesy {
+	if !g.NonNeighbor {
 		l.lastReceived = now
 	}
 	if g.ViewHash == n.hash || l.pending.len() > 0 || len(g.Members) > 0 {
@@ -234,7 +234,7 @@
 	strong := len(missing)
 	missing = append(missing, weak...)
 	out := n.header()
-	out.Courtesy = true
+	out.NonNeighbor = true
 	out.Answer = true
 	out.Endpoints = n.Endpoints()
 	count := max(min(len(missing), maxRecords, n.recordBudget), 0)
--- a/internal/core/member/tick.go
+++ b/internal/core/member/tick.go
@@ -117,7 +117,7 @@
 func (n *Node) message(now time.Time, name string, l *link, beat bool) Message {
 	l.heartbeatDue = false
 	g := n.header()
-	g.Courtesy = !l.neighbor
+	g.NonNeighbor = !l.neighbor
 	if l.sendSelf {
 		l.sendSelf = false
 		g.Members = append(g.Members, n.self)
@@ -172,7 +172,7 @@
 // that one knows.
 func (n *Node) greeting(s Seed) Message {
 	g := n.header()
-	g.Courtesy = true
+	g.NonNeighbor = true
 	g.Members = []wire.Member{n.self}
 	g.Listing = n.listing()
 	return Message{Node: s.Node, Address: s.Address, Gossip: g}
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -79,8 +79,8 @@
 			if err := l.node.Apply(*m); err != nil {
 				l.node.log.Error("snapshot refused", zap.Error(err))
 			}
-		case *wire.Story:
-			if err := conn.Send(wire.StoryAnswer{ID: m.ID, Lines: l.node.Story(m.Subject)}); err != nil {
+		case *wire.ExplainRequest:
+			if err := conn.Send(wire.ExplainResponse{ID: m.ID, Lines: l.node.Story(m.Subject)}); err != nil {
 				return err
 			}
 		}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -120,9 +120,9 @@
 	endpoints map[string]bool
 }
 
-// Story returns the lines about a subject, and those that surround them within
+// Timeline returns the lines about a subject, and those that surround them within
 // a time, in the order of their times.
-func Story(lines []Line, subject string, around time.Duration) []Line {
+func Timeline(lines []Line, subject string, around time.Duration) []Line {
 	var story []Line
 	s := scope{sources: make(map[string]bool), leaders: make(map[string]bool), endpoints: make(map[string]bool)}
 	for _, l := range lines {
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -79,8 +79,8 @@
 // Sync implements zapcore.WriteSyncer; it does not wait.
 func (b *Bounded) Sync() error { return nil }
 
-// Of returns what takes lines of a kind.
-func (b *Bounded) Of(k Kind) zapcore.WriteSyncer { return taker{Bounded: b, kind: k} }
+// WriterFor returns what takes lines of a kind.
+func (b *Bounded) WriterFor(k Kind) zapcore.WriteSyncer { return taker{Bounded: b, kind: k} }
 
 // taker takes lines of one kind.
 type taker struct {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -45,7 +45,7 @@
 	out := NewBounded(stream)
 	coreOf := func(k Kind) zapcore.Core {
 		enabled := zap.LevelEnablerFunc(func(of zapcore.Level) bool { return l.Enabled(of) && kindOf(of) == k })
-		return zapcore.NewCore(zaplogfmt.NewEncoder(enc), out.Of(k), enabled)
+		return zapcore.NewCore(zaplogfmt.NewEncoder(enc), out.WriterFor(k), enabled)
 	}
 	return zap.New(zapcore.NewTee(coreOf(Ordinary), coreOf(Urgent))), out, nil
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -44,7 +44,7 @@
 	for _, packed := range []bool{false, true} {
 		requester := newNode(t, site)
 		var got *wire.View
-		source.handleViewRequest(&wire.ViewRequest{TakesPacked: packed}, func(m wire.Message) error {
+		source.handleViewRequest(&wire.ViewRequest{AcceptsPacked: packed}, func(m wire.Message) error {
 			v := m.(wire.View)
 			got = &v
 			return nil
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -181,15 +181,15 @@
 func (l *leaders) submit(o taskOwner, m *wire.StagesSubmit) {
 	c := l.get(m.Cell)
 	if c == nil {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: time.Second.Milliseconds()})
+		_ = o.answer(wire.StagesVerdict{ID: m.ID, RetryAfter: time.Second.Milliseconds()})
 		return
 	}
 	now := time.Now()
 	request := newPlacementRequest(now, m)
-	f := l.modelPools.predict(now, request.needAt(now), m.Extra)
+	f := l.modelPools.predict(now, request.needAt(now), m.ExtraTokens)
 	t := stagepool.Task{
 		RequestID: m.RequestID, Key: m.Key, Priority: m.Priority, Domain: f.domain,
-		SoftDeadline: now.Add(time.Duration(m.Aim)*time.Millisecond - f.ttft),
+		SoftDeadline: now.Add(time.Duration(m.SoftDeadline)*time.Millisecond - f.ttft),
 		Allowance:    f.extraPrefill,
 		Deadline:     now.Add(time.Duration(m.Deadline) * time.Millisecond),
 	}
@@ -204,7 +204,7 @@
 		by = latest
 	}
 	if retryAfter, ok := l.modelPools.admits(now, m.Model, by); !ok && l.placesCalls() {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, Again: retryAfter.Milliseconds(), Reason: noCapacityReason})
+		_ = o.answer(wire.StagesVerdict{ID: m.ID, RetryAfter: retryAfter.Milliseconds(), Reason: noCapacityReason})
 		return
 	}
 	c.mu.Lock()
@@ -218,7 +218,7 @@
 		c.modelRequests[verdict.ID] = request
 		c.scheduleTick()
 	}
-	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), Again: verdict.RetryAfter.Milliseconds()})
+	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), RetryAfter: verdict.RetryAfter.Milliseconds()})
 	c.execute(actions)
 }
 
@@ -314,7 +314,7 @@
 		case stagepool.Complete:
 			c.complete(time.Now(), a)
 		case stagepool.Fail:
-			c.sendDone(a.Task, wire.StagesDone{Failed: a.Reason, Again: a.RetryAfter.Milliseconds()})
+			c.sendDone(a.Task, wire.StagesDone{FailureReason: a.Reason, RetryAfter: a.RetryAfter.Milliseconds()})
 			c.removeTask(a.Task)
 		}
 	}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -184,7 +184,7 @@
 			stopping.requestStop(t)
 			eventually(t, "the stopping node releases its claim", func() bool { return stopping.node.claimedCells.Load() == 0 })
 			var got messageRecorder
-			stopping.node.handleMessage(submitting.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", Aim: longTimeout.Milliseconds(), Deadline: longTimeout.Milliseconds()}, got.record)
+			stopping.node.handleMessage(submitting.node.hello(), &wire.StagesSubmit{ID: 7, RequestID: "late", SoftDeadline: longTimeout.Milliseconds(), Deadline: longTimeout.Milliseconds()}, got.record)
 			list := got.all()
 			if len(list) != 2 || !announcesLeaving(list[0], stopping.node.settings.Node) || !movesTemporarily(list[1], 7) {
 				t.Errorf("answers %+v, want gossip that the node leaves, then work moved for a limited time", list)
@@ -209,7 +209,7 @@
 // movesTemporarily reports whether a message answers that work moves elsewhere for a limited time.
 func movesTemporarily(m wire.Message, id uint64) bool {
 	d, ok := m.(wire.StagesDone)
-	return ok && d.ID == id && d.Failed == stagepool.ReasonMoved && d.Again > 0 && d.Again <= longGracePeriod.Milliseconds()
+	return ok && d.ID == id && d.FailureReason == stagepool.ReasonMoved && d.RetryAfter > 0 && d.RetryAfter <= longGracePeriod.Milliseconds()
 }
 
 // stubLeader is a peer that answers submissions with a function of the test.
@@ -260,11 +260,11 @@
 }
 
 func answerMoved(m *wire.StagesSubmit) wire.Message {
-	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved, Again: longGracePeriod.Milliseconds()}
+	return wire.StagesDone{ID: m.ID, FailureReason: stagepool.ReasonMoved, RetryAfter: longGracePeriod.Milliseconds()}
 }
 
 func answerHandedOff(m *wire.StagesSubmit) wire.Message {
-	return wire.StagesDone{ID: m.ID, Failed: stagepool.ReasonMoved}
+	return wire.StagesDone{ID: m.ID, FailureReason: stagepool.ReasonMoved}
 }
 
 func answerDone(m *wire.StagesSubmit) wire.Message {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -185,7 +185,7 @@
 		return
 	}
 	n.viewRequestedAt = now
-	n.links.Send(ahead, wire.ViewRequest{ConfigAbove: version, EndpointsAbove: uint64(v.revision), TakesPacked: true})
+	n.links.Send(ahead, wire.ViewRequest{ConfigAbove: version, EndpointsAbove: uint64(v.revision), AcceptsPacked: true})
 }
 
 // viewSource returns the peer address of a node that may have newer data than the view: a
@@ -226,7 +226,7 @@
 
 // servePeer handles the messages of an incoming connection until it is closed.
 func (n *Node) servePeer(c *peer.Conn) {
-	answer, stop := peer.Answers(c)
+	answer, stop := peer.QueueAnswers(c)
 	defer stop()
 	for {
 		c.SetReceiveTimeout(peerIdleTimeout)
@@ -260,7 +260,7 @@
 		if changed {
 			n.applyEntries(entries)
 		}
-	case *wire.Ends:
+	case *wire.CrashReports:
 		n.handleEnds(from, m)
 	case *wire.ViewRequest:
 		n.handleViewRequest(m, answer)
@@ -305,7 +305,7 @@
 	self := n.members.Self()
 	return wire.Gossip{
 		Node: self.Node, Incarnation: self.Incarnation, ConfigVersion: n.view.Load().version(), ListRevision: uint64(n.view.Load().revision),
-		Members: []wire.Member{self}, Courtesy: true,
+		Members: []wire.Member{self}, NonNeighbor: true,
 	}
 }
 
--- a/internal/node/pendingplacement.go
+++ b/internal/node/pendingplacement.go
@@ -158,7 +158,7 @@
 	if wait, ok := c.group.modelPools.timeToNextSend(now, c.modelRequests[w.stages.Task].service); ok {
 		retryAfter = clampRetryAfter(wait)
 	}
-	c.sendDone(w.stages.Task, wire.StagesDone{Failed: noCapacityReason, Again: retryAfter.Milliseconds()})
+	c.sendDone(w.stages.Task, wire.StagesDone{FailureReason: noCapacityReason, RetryAfter: retryAfter.Milliseconds()})
 	c.removeTask(w.stages.Task)
 	c.execute(c.pool.Release(now, w.stages.Task))
 }
@@ -226,7 +226,7 @@
 		a.prompt.Parts = append(a.prompt.Parts, place.Part(part))
 	}
 	for _, b := range m.Avoid {
-		a.avoid = append(a.avoid, signal.Backoff{Endpoint: b.Endpoint, Until: now.Add(time.Duration(b.Left) * time.Millisecond)})
+		a.avoid = append(a.avoid, signal.Backoff{Endpoint: b.Endpoint, Until: now.Add(time.Duration(b.Remaining) * time.Millisecond)})
 	}
 	return a
 }
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -203,11 +203,11 @@
 	}
 	entries := *n.entries.Load()
 	names := nodeNames(entries)
-	byOwner := make(map[string][]wire.RequestEnds)
+	byOwner := make(map[string][]wire.CrashReport)
 	for _, r := range reports {
-		ends := wire.RequestEnds{Request: bytesOf(r.Request), Served: r.Served}
+		ends := wire.CrashReport{Request: bytesOf(r.Request), Served: r.Served}
 		for _, e := range r.Crashes {
-			ends.Ends = append(ends.Ends, wire.EndpointEnd(e))
+			ends.Crashes = append(ends.Crashes, wire.EndpointCrash(e))
 		}
 		for _, owner := range poison.Owners(r.Request, names) {
 			byOwner[owner] = append(byOwner[owner], ends)
@@ -215,7 +215,7 @@
 	}
 	for _, e := range entries {
 		if list := byOwner[e.Node]; len(list) > 0 && e.Node != n.settings.Node {
-			n.links.Send(e.PeerAddress, wire.Ends{Requests: list})
+			n.links.Send(e.PeerAddress, wire.CrashReports{Reports: list})
 		}
 	}
 }
@@ -223,16 +223,16 @@
 func bytesOf(id poison.ID) []byte { return id[:] }
 
 // handleEnds handles the crash reports of another node.
-func (n *Node) handleEnds(from wire.Hello, m *wire.Ends) {
-	reports := make([]poison.Report, 0, len(m.Requests))
-	for _, r := range m.Requests {
+func (n *Node) handleEnds(from wire.Hello, m *wire.CrashReports) {
+	reports := make([]poison.Report, 0, len(m.Reports))
+	for _, r := range m.Reports {
 		id, err := poison.ParseID(r.Request)
 		if err != nil {
 			n.log.Warn(eventUnexpectedMessage, zap.String("node", from.Node), zap.Error(err))
 			continue
 		}
 		report := poison.Report{Request: id, Served: r.Served}
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			report.Crashes = append(report.Crashes, poison.Crash(e))
 		}
 		reports = append(reports, report)
@@ -248,7 +248,7 @@
 	checksum, updates := p.guard.NextUpdates(time.Now(), to, maxRefusalsPerMessage)
 	m.RefusedSum = checksum
 	for _, r := range updates {
-		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Left: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Times: r.Count, Pardoned: r.Pardoned})
+		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Remaining: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Count: r.Count, Pardoned: r.Pardoned})
 	}
 	return m
 }
@@ -263,7 +263,7 @@
 			n.log.Warn(eventUnexpectedMessage, zap.String("node", m.Node), zap.Error(err))
 			continue
 		}
-		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Left) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Times, Pardoned: r.Pardoned})
+		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Remaining) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Count, Pardoned: r.Pardoned})
 	}
 	return n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome {
 		return g.HandleGossip(now, m.Node, m.RefusedSum, received)
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -160,7 +160,7 @@
 	work.softDeadline = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
 	if !n.disabled.Has(mechanism.Sizes) {
-		work.submit.Extra = n.sizes.excess(q.route.Name, q.in.PromptTokens)
+		work.submit.ExtraTokens = n.sizes.excess(q.route.Name, q.in.PromptTokens)
 	}
 	hasPieces := false
 	for i, st := range q.route.Stages {
@@ -196,7 +196,7 @@
 	var list []wire.Avoided
 	for _, b := range n.backoffs(now, service) {
 		if len(list) < maxAvoided {
-			list = append(list, wire.Avoided{Endpoint: b.Endpoint, Left: b.Until.Sub(now).Milliseconds()})
+			list = append(list, wire.Avoided{Endpoint: b.Endpoint, Remaining: b.Until.Sub(now).Milliseconds()})
 		}
 	}
 	return list
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -38,16 +38,16 @@
 // Therefore the reason is the same as for a handoff, and a retry time above 0, the time that
 // the node has left, distinguishes the two.
 func leavingAnswer(id uint64, left time.Duration) wire.StagesDone {
-	return wire.StagesDone{ID: id, Failed: stagepool.ReasonMoved, Again: max(left.Milliseconds(), 1)}
+	return wire.StagesDone{ID: id, FailureReason: stagepool.ReasonMoved, RetryAfter: max(left.Milliseconds(), 1)}
 }
 
 // leaderError returns errLeaderLeaving or errHandedOff if the work must be submitted to
 // another leader, otherwise nil.
 func leaderError(d *wire.StagesDone) error {
 	switch {
-	case d.Failed != stagepool.ReasonMoved:
+	case d.FailureReason != stagepool.ReasonMoved:
 		return nil
-	case d.Again > 0:
+	case d.RetryAfter > 0:
 		return errLeaderLeaving
 	}
 	return errHandedOff
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -102,7 +102,7 @@
 // a message was sent that got no answer. Submissions sent on that connection are told that it
 // was lost.
 func (n *Node) reconnect(to wire.Entry, sent time.Time) {
-	if n.links.Renew(to.PeerAddress, sent) {
+	if n.links.CloseStale(to.PeerAddress, sent) {
 		n.submissions.connectionLost(to.PeerAddress)
 	}
 }
@@ -119,7 +119,7 @@
 	sub := n.submissions.add(to.PeerAddress)
 	now := time.Now()
 	w.submit.ID = sub.id
-	w.submit.Aim = w.softDeadline.Sub(now).Milliseconds()
+	w.submit.SoftDeadline = w.softDeadline.Sub(now).Milliseconds()
 	w.submit.Deadline = w.deadline.Sub(now).Milliseconds()
 	n.sendToLeader(to, &w.submit)
 	var once sync.Once
@@ -141,9 +141,9 @@
 		release(wire.PlacementUnused)
 		return stageResults{}, err
 	}
-	if done.Failed != "" {
+	if done.FailureReason != "" {
 		release(wire.PlacementUnused)
-		return stageResults{}, &refusal{reason: "stages: " + done.Failed, retryAfter: time.Duration(done.Again) * time.Millisecond, predicted: predicted}
+		return stageResults{}, &refusal{reason: "stages: " + done.FailureReason, retryAfter: time.Duration(done.RetryAfter) * time.Millisecond, predicted: predicted}
 	}
 	return stageResults{handles: done.Handles, endpoint: done.Endpoint, bounded: done.Bounded, copyFrom: done.CopyFrom, leader: to.Node, predicted: predicted, release: release}, nil
 }
@@ -156,7 +156,7 @@
 	select {
 	case v := <-s.verdicts:
 		if !v.Accepted {
-			return nil, 0, &refusal{reason: cmp.Or(v.Reason, "stages would be late"), retryAfter: time.Duration(v.Again) * time.Millisecond, predicted: time.Duration(v.Finish) * time.Millisecond}
+			return nil, 0, &refusal{reason: cmp.Or(v.Reason, "stages would be late"), retryAfter: time.Duration(v.RetryAfter) * time.Millisecond, predicted: time.Duration(v.Finish) * time.Millisecond}
 		}
 		return nil, time.Duration(v.Finish) * time.Millisecond, nil
 	case d := <-s.dones:
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -214,10 +214,10 @@
 	n.viewMu.Unlock()
 	now := time.Now()
 	out := wire.View{
-		Revision: uint64(delta.Revision), Whole: delta.Full, Gone: delta.Removed, Digest: delta.Digest,
-		Age: age(now, v.fresh.List), ConfigAge: age(now, v.fresh.Config), ReadersAge: age(now, v.fresh.Primaries),
-		StandInsAge: age(now, v.fresh.Candidates),
-		Evacuated:   v.evacuations.Listed(), EvacuatedRevision: uint64(v.evacuations.Revision()),
+		Revision: uint64(delta.Revision), Full: delta.Full, Removed: delta.Removed, Digest: delta.Digest,
+		Age: age(now, v.fresh.List), ConfigAge: age(now, v.fresh.Config), PrimariesAge: age(now, v.fresh.Primaries),
+		CandidatesAge: age(now, v.fresh.Candidates),
+		Evacuated:     v.evacuations.Listed(), EvacuatedRevision: uint64(v.evacuations.Revision()),
 	}
 	for _, e := range delta.Changed {
 		out.Changed = append(out.Changed, wire.Worker(e))
@@ -225,7 +225,7 @@
 	if v.config != nil && v.config.Version > m.ConfigAbove {
 		out.ConfigVersion = v.config.Version
 		out.Config = v.file.data
-		if compressed := v.file.pack(); m.TakesPacked && compressed != nil {
+		if compressed := v.file.pack(); m.AcceptsPacked && compressed != nil {
 			out.Config, out.Packed = compressed, true
 		}
 	}
@@ -264,12 +264,12 @@
 	if m.Revision == 0 {
 		return
 	}
-	delta := discovery.Delta{Revision: catalog.Revision(m.Revision), Full: m.Whole, Removed: m.Gone, Digest: m.Digest}
+	delta := discovery.Delta{Revision: catalog.Revision(m.Revision), Full: m.Full, Removed: m.Removed, Digest: m.Digest}
 	for _, w := range m.Changed {
 		delta.Changed = append(delta.Changed, catalog.Endpoint(w))
 	}
 	now := time.Now()
-	fresh := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.ReadersAge), Candidates: timeOfAge(now, m.StandInsAge)}
+	fresh := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.PrimariesAge), Candidates: timeOfAge(now, m.CandidatesAge)}
 	if m.ConfigVersion <= n.view.Load().version() && m.EvacuatedRevision > 0 {
 		// The peer's configuration is in effect here too. A peer of an earlier version does
 		// not know evacuations, so that its response does not confirm them.
--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -5,9 +5,9 @@
 // answerBuffer bounds the answers that wait for one connection.
 const answerBuffer = 1024
 
-// Answers returns an Answer that never waits for the connection, and the
-// function that ends it. Answers beyond the buffer are dropped.
-func Answers(c *Conn) (Answer, func()) {
+// QueueAnswers returns an Answer that never waits for the connection, and the
+// function that ends it. QueueAnswers beyond the buffer are dropped.
+func QueueAnswers(c *Conn) (Answer, func()) {
 	queue := make(chan wire.Message, answerBuffer)
 	done := make(chan struct{})
 	go func() {
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -81,11 +81,11 @@
 	}
 }
 
-// Renew gives the connection to an address up if it was opened before a moment, and
+// CloseStale gives the connection to an address up if it was opened before a moment, and
 // reports whether it did. The next message opens a new one. A connection may go
 // silent for good, which the system tells only seconds later, while new ones work;
 // onLost is not told.
-func (l *Links) Renew(address string, before time.Time) bool {
+func (l *Links) CloseStale(address string, before time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o, ok := l.open[address]
@@ -121,7 +121,7 @@
 	ended := make(chan struct{})
 	l.wait.Go(func() {
 		defer close(ended)
-		answer, stop := Answers(conn)
+		answer, stop := QueueAnswers(conn)
 		defer stop()
 		for m, err := conn.Receive(); err == nil; m, err = conn.Receive() {
 			l.receive(m, answer)
--- a/internal/wire/ends.go
+++ b/internal/wire/ends.go
@@ -3,17 +3,17 @@
 // Refusal is a request that is refused since it crashes endpoints. Left is how long it is
 // refused still, in milliseconds; the rest is poison.Refusal.
 type Refusal struct {
-	Request  []byte
-	Version  uint64
-	Left     int64
-	Times    int
-	Pardoned bool
+	Request   []byte
+	Version   uint64
+	Remaining int64
+	Count     int
+	Pardoned  bool
 	// Age is how long ago the first end was that counts against it, in milliseconds.
 	Age int64
 }
 
-// EndpointEnd is poison.End.
-type EndpointEnd struct {
+// EndpointCrash is poison.End.
+type EndpointCrash struct {
 	Endpoint string
 	Address  string
 	Among    int
@@ -21,16 +21,16 @@
 	Alive    bool
 }
 
-// RequestEnds is poison.Report.
-type RequestEnds struct {
+// CrashReport is poison.Report.
+type CrashReport struct {
 	Request []byte
-	Ends    []EndpointEnd
+	Crashes []EndpointCrash
 	Served  bool
 }
 
-// Ends tells the nodes that count them of endpoints that ended under requests.
-type Ends struct {
-	Requests []RequestEnds
+// CrashReports tells the nodes that count them of endpoints that ended under requests.
+type CrashReports struct {
+	Reports []CrashReport
 }
 
-func (Ends) kind() kind { return kindEnds }
+func (CrashReports) kind() kind { return kindCrashReports }
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -19,12 +19,12 @@
 	Snapshot{Entries: []Entry{{Node: "n1"}}, Endpoints: []Endpoint{{Pool: "p", Name: "e", Leaving: true, Seq: 1}}},
 	Start{ID: 1, Key: "k", Token: "t"},
 	Started{ID: 1, Result: 2},
-	Story{ID: 1, Subject: "s"},
-	StoryAnswer{ID: 1, Lines: []string{"l"}},
-	Gossip{Node: "n1", Refused: []Refusal{{Request: []byte("r"), Version: 2, Left: -5, Times: 3, Pardoned: true}}, RefusedSum: 1 << 63},
+	ExplainRequest{ID: 1, Subject: "s"},
+	ExplainResponse{ID: 1, Lines: []string{"l"}},
+	Gossip{Node: "n1", Refused: []Refusal{{Request: []byte("r"), Version: 2, Remaining: -5, Count: 3, Pardoned: true}}, RefusedSum: 1 << 63},
 	Gossip{Node: "n1", Draining: &Draining{Sum: 7, Updates: []DrainingEndpoint{{Endpoint: "e", Age: 3}}}},
 	Gossip{Node: "n1", RateLimits: &RateLimits{Sum: 1 << 63, Updates: []RateLimit{{Endpoint: "e", Bounded: true, PerSecond: 0.5, Age: 3}, {Endpoint: "f"}}}},
-	Ends{Requests: []RequestEnds{{Request: []byte("r"), Served: true, Ends: []EndpointEnd{{Endpoint: "e", Address: "a", Among: 3, Sure: true, Alive: true}}}}},
+	CrashReports{Reports: []CrashReport{{Request: []byte("r"), Served: true, Crashes: []EndpointCrash{{Endpoint: "e", Address: "a", Among: 3, Sure: true, Alive: true}}}}},
 }
 
 // TestOtherVersions reads heartbeats of a node of an earlier version, which end before the
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -17,8 +17,8 @@
 	kindSnapshot
 	kindStart
 	kindStarted
-	kindStory
-	kindStoryAnswer
+	kindExplainRequest
+	kindExplainResponse
 	kindStagesSubmit
 	kindStagesVerdict
 	kindStagesDone
@@ -26,7 +26,7 @@
 	kindViewRequest
 	kindView
 	kindStagesPing
-	kindEnds
+	kindCrashReports
 )
 
 // Role says what a process is; the receiver allows messages by role.
@@ -124,9 +124,9 @@
 	// Listing is sent when view hashes differ; the receiver answers with the
 	// records that the sender lacks.
 	Listing []RecordVersion
-	// Courtesy marks an answer to a node that is no neighbor on the sender's
+	// NonNeighbor marks an answer to a node that is no neighbor on the sender's
 	// ring; it does not keep the link.
-	Courtesy bool
+	NonNeighbor bool
 	// Answer marks the answer to a listing. Its own listing is answered with
 	// records only, so that an exchange ends.
 	Answer bool
@@ -224,28 +224,28 @@
 	Result uint8
 }
 
-// Story asks an entry for its decisions about a subject.
-type Story struct {
+// ExplainRequest asks an entry for its decisions about a subject.
+type ExplainRequest struct {
 	ID      uint64
 	Subject string
 }
 
-// StoryAnswer holds the decisions, oldest first, one line each.
-type StoryAnswer struct {
+// ExplainResponse holds the decisions, oldest first, one line each.
+type ExplainResponse struct {
 	ID    uint64
 	Lines []string
 }
 
-func (Hello) kind() kind         { return kindHello }
-func (Gossip) kind() kind        { return kindGossip }
-func (ConfigRequest) kind() kind { return kindConfigRequest }
-func (ConfigFile) kind() kind    { return kindConfigFile }
-func (EntryStatus) kind() kind   { return kindEntryStatus }
-func (Snapshot) kind() kind      { return kindSnapshot }
-func (Start) kind() kind         { return kindStart }
-func (Started) kind() kind       { return kindStarted }
-func (Story) kind() kind         { return kindStory }
-func (StoryAnswer) kind() kind   { return kindStoryAnswer }
+func (Hello) kind() kind           { return kindHello }
+func (Gossip) kind() kind          { return kindGossip }
+func (ConfigRequest) kind() kind   { return kindConfigRequest }
+func (ConfigFile) kind() kind      { return kindConfigFile }
+func (EntryStatus) kind() kind     { return kindEntryStatus }
+func (Snapshot) kind() kind        { return kindSnapshot }
+func (Start) kind() kind           { return kindStart }
+func (Started) kind() kind         { return kindStarted }
+func (ExplainRequest) kind() kind  { return kindExplainRequest }
+func (ExplainResponse) kind() kind { return kindExplainResponse }
 
 func newMessage(k kind) Message {
 	switch k {
@@ -265,10 +265,10 @@
 		return &Start{}
 	case kindStarted:
 		return &Started{}
-	case kindStory:
-		return &Story{}
-	case kindStoryAnswer:
-		return &StoryAnswer{}
+	case kindExplainRequest:
+		return &ExplainRequest{}
+	case kindExplainResponse:
+		return &ExplainResponse{}
 	case kindStagesSubmit:
 		return &StagesSubmit{}
 	case kindStagesVerdict:
@@ -283,8 +283,8 @@
 		return &View{}
 	case kindStagesPing:
 		return &StagesPing{}
-	case kindEnds:
-		return &Ends{}
+	case kindCrashReports:
+		return &CrashReports{}
 	}
 	return nil
 }
--- a/internal/wire/stages.go
+++ b/internal/wire/stages.go
@@ -18,14 +18,14 @@
 // is the sender's; times are milliseconds from sending. Aim is when the answer
 // should begin.
 type StagesSubmit struct {
-	ID        uint64
-	Cell      int
-	RequestID string
-	Key       string
-	Stages    []Stage
-	Aim       int64
-	Deadline  int64
-	Priority  int
+	ID           uint64
+	Cell         int
+	RequestID    string
+	Key          string
+	Stages       []Stage
+	SoftDeadline int64
+	Deadline     int64
+	Priority     int
 	// Model is the service that the request goes to; Prefix is the part of
 	// its prompt by which it is placed, Tokens the prompt's length and Parts
 	// what it consists of, in order.
@@ -33,9 +33,9 @@
 	Prefix uint64
 	Tokens int
 	Parts  []PromptPart
-	// Extra is by how many tokens the prompt is longer than its route's usually
+	// ExtraTokens is by how many tokens the prompt is longer than its route's usually
 	// are.
-	Extra int
+	ExtraTokens int
 	// Content tells tries of the same request; it is empty from nodes of an earlier
 	// version.
 	Content []byte
@@ -45,8 +45,8 @@
 
 // Avoided is an endpoint in backoff, for as many milliseconds as are left.
 type Avoided struct {
-	Endpoint string
-	Left     int64
+	Endpoint  string
+	Remaining int64
 }
 
 // PromptPart is a part of a prompt; the last one is the request's own.
@@ -61,8 +61,8 @@
 	Accepted bool
 	// Finish is the predicted time until the results are there, Again the
 	// time after which a refused request may come back; milliseconds.
-	Finish int64
-	Again  int64
+	Finish     int64
+	RetryAfter int64
 	// Reason is why a request is refused; it is empty where the stages would be late, and
 	// from nodes of an earlier version.
 	Reason string
@@ -78,9 +78,9 @@
 	Endpoint string
 	// CopyFrom is the address of an endpoint that holds more of the prompt, or
 	// "".
-	CopyFrom string
-	Failed   string
-	Again    int64
+	CopyFrom      string
+	FailureReason string
+	RetryAfter    int64
 	// Bounded tells that the leader knows that the endpoint bounds what it takes, and has
 	// counted the request. A leader of an earlier version, or one that has just begun, does
 	// not know.
@@ -122,9 +122,9 @@
 type ViewRequest struct {
 	ConfigAbove    uint64
 	EndpointsAbove uint64
-	// TakesPacked tells that the configuration may come compressed. Nodes of an
+	// AcceptsPacked tells that the configuration may come compressed. Nodes of an
 	// earlier version don't.
-	TakesPacked bool
+	AcceptsPacked bool
 }
 
 // Worker is an endpoint of the platform's list.
@@ -148,19 +148,19 @@
 	// Revision is up to which the receiver then holds all changes of the list
 	// of workers; the rest is discovery.Delta.
 	Revision uint64
-	Whole    bool
+	Full     bool
 	Changed  []Worker
-	Gone     []string
+	Removed  []string
 	Digest   uint64
 	// Age is how long ago the sender's list was current, ConfigAge how long ago its
 	// configuration was, and ReadersAge and StandInsAge how long ago one of the usual
 	// readers, and of those that stand in first, had both from the store itself, in
 	// milliseconds. Nodes of an earlier version tell the first only; the others are 0
 	// then.
-	Age         int64
-	ConfigAge   int64
-	ReadersAge  int64
-	StandInsAge int64
+	Age           int64
+	ConfigAge     int64
+	PrimariesAge  int64
+	CandidatesAge int64
 	// Packed tells that Config is compressed.
 	Packed bool
 	// Evacuated lists the failure domains to which nothing further is to be sent, as of
