--- a/internal/wire/check.go
+++ b/internal/wire/check.go
@@ -6,31 +6,30 @@
 )
 
 const (
-	// maxElements bounds an array of a message. The codec allocates an array
-	// from its declared length before it reads the elements, so the lengths
-	// must be checked before it runs.
+	// maxElements bounds an array or map of a message. The codec allocates an array by its
+	// declared length before it reads the elements, so lengths are checked before decoding.
 	maxElements = 1 << 16
 	maxDepth    = 8
 )
 
-// checkBody walks over a msgpack value and checks that every declared length
-// is bounded and covered by the bytes that are there.
+// checkBody checks that body is exactly one msgpack value, and that every length that it
+// declares is bounded and covered by the bytes that follow.
 func checkBody(body []byte) error {
 	rest, err := skipValue(body, 0)
 	if err != nil {
 		return err
 	}
 	if len(rest) > 0 {
-		return fmt.Errorf("%w: %d bytes behind the message", ErrFrame, len(rest))
+		return fmt.Errorf("%w: %d trailing bytes after the message", ErrFrame, len(rest))
 	}
 	return nil
 }
 
-// skipValue returns what follows the first value; formats are those of the
-// msgpack specification.
+// skipValue returns the bytes after the first value. The format bytes are those of the msgpack
+// specification.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 || depth > maxDepth {
-		return nil, fmt.Errorf("%w: value is cut or nested too deeply", ErrFrame)
+		return nil, fmt.Errorf("%w: value is truncated or nested too deeply", ErrFrame)
 	}
 	c, rest := b[0], b[1:]
 	switch {
@@ -75,7 +74,7 @@
 	case 0xdc, 0xdd, 0xde, 0xdf:
 		return skipContainer(c, rest, depth)
 	}
-	return nil, fmt.Errorf("%w: unknown format %#x", ErrFrame, c)
+	return nil, fmt.Errorf("%w: unknown msgpack format %#x", ErrFrame, c)
 }
 
 func skipContainer(c byte, b []byte, depth int) ([]byte, error) {
@@ -95,7 +94,7 @@
 
 func skipElements(b []byte, count, depth int) ([]byte, error) {
 	if count > maxElements || count > len(b) {
-		return nil, fmt.Errorf("%w: %d elements in %d bytes, the bound is %d", ErrFrame, count, len(b), maxElements)
+		return nil, fmt.Errorf("%w: %d elements declared in %d bytes, the maximum is %d", ErrFrame, count, len(b), maxElements)
 	}
 	var err error
 	for range count {
@@ -106,18 +105,18 @@
 	return b, nil
 }
 
-// skipSized skips a length of the given width and that many bytes more.
-func skipSized(b []byte, width, more int) ([]byte, error) {
+// skipSized skips a length of the given width, and as many bytes as it declares plus extra.
+func skipSized(b []byte, width, extra int) ([]byte, error) {
 	size, rest, err := readLength(b, width)
 	if err != nil {
 		return nil, err
 	}
-	return skipBytes(rest, size+more)
+	return skipBytes(rest, size+extra)
 }
 
 func readLength(b []byte, width int) (int, []byte, error) {
 	if len(b) < width {
-		return 0, nil, fmt.Errorf("%w: length is cut", ErrFrame)
+		return 0, nil, fmt.Errorf("%w: truncated length", ErrFrame)
 	}
 	switch width {
 	case 1:
@@ -130,7 +129,7 @@
 
 func skipBytes(b []byte, n int) ([]byte, error) {
 	if n > len(b) {
-		return nil, fmt.Errorf("%w: %d bytes declared, %d are there", ErrFrame, n, len(b))
+		return nil, fmt.Errorf("%w: %d bytes declared, only %d present", ErrFrame, n, len(b))
 	}
 	return b[n:], nil
 }
--- a/internal/wire/versions.go
+++ b/internal/wire/compat.go
@@ -8,9 +8,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// unmarshal reads a message's body, also one of a version whose messages have fewer fields
-// or more: fields are only ever added at the end, and structs are arrays on the wire. The
-// codec refuses arrays of another length, so these are fitted first.
+// unmarshal decodes the body of a message, which may come from a version whose messages have fewer
+// or more fields: structs are arrays on the wire, and fields are only added at the end. The codec
+// rejects arrays of another length, so they are first adapted to the types of this version.
 func unmarshal(body []byte, m Message) error {
 	err := decode(body, m)
 	if err == nil {
@@ -20,7 +20,7 @@
 	if fitErr != nil || bytes.Equal(fitted, body) {
 		return fmt.Errorf("%w: %v", ErrFrame, err)
 	}
-	// What the first try has read is read anew.
+	// The first attempt may have set some of the fields.
 	reflect.ValueOf(m).Elem().SetZero()
 	if err := msgpack.Unmarshal(fitted, m); err != nil {
 		return fmt.Errorf("%w: %v", ErrFrame, err)
@@ -28,8 +28,9 @@
 	return nil
 }
 
-// encode writes a message. A heartbeat that tells of no draining endpoint has the length of the
-// version before: a byte more delays the start of hundreds of nodes on small links.
+// encode encodes a message. A heartbeat without draining endpoints omits the field and is as long
+// as in the version before: when hundreds of nodes on small links start at once, each additional
+// byte delays them.
 func encode(enc *msgpack.Encoder, m Message) error {
 	g, ok := m.(Gossip)
 	if !ok || g.Draining != nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// decode reads a message that has all fields of its type or lacks the last ones.
+// decode decodes a message that has all fields of its type or lacks the last ones.
 func decode(body []byte, m Message) error {
 	in := msgpack.NewDecoder(bytes.NewReader(body))
 	n, err := in.DecodeArrayLen()
@@ -67,8 +68,9 @@
 	return nil
 }
 
-// fit returns a body in which every struct has as many fields as its type here: further
-// ones are left out, missing ones are nil, which the codec reads as zero.
+// fit returns the body with every struct adapted to the number of fields of its type in this
+// version: additional fields are dropped, and missing ones are nil, which the codec decodes as
+// zero values.
 func fit(body []byte, t reflect.Type) ([]byte, error) {
 	var out bytes.Buffer
 	f := fitter{in: msgpack.NewDecoder(bytes.NewReader(body)), out: msgpack.NewEncoder(&out)}
@@ -78,6 +80,7 @@
 	return out.Bytes(), nil
 }
 
+// fitter copies msgpack values from in to out and adapts the number of fields of structs.
 type fitter struct {
 	in  *msgpack.Decoder
 	out *msgpack.Encoder
--- a/internal/wire/ends.go
+++ b/internal/wire/crashes.go
@@ -1,18 +1,18 @@
 package wire
 
-// Refusal is a request that is refused since it crashes endpoints. Left is how long it is
-// refused still, in milliseconds; the rest is poison.Refusal.
+// Refusal is a request that is refused because it crashes endpoints. Its fields are those of
+// poison.Refusal, with Remaining in milliseconds.
 type Refusal struct {
 	Request   []byte
 	Version   uint64
 	Remaining int64
 	Count     int
 	Pardoned  bool
-	// Age is how long ago the first end was that counts against it, in milliseconds.
+	// Age is the time since the first crash that counts against the request, in milliseconds.
 	Age int64
 }
 
-// EndpointCrash is poison.End.
+// EndpointCrash is a poison.Crash.
 type EndpointCrash struct {
 	Endpoint string
 	Address  string
@@ -21,14 +21,15 @@
 	Alive    bool
 }
 
-// CrashReport is poison.Report.
+// CrashReport is a poison.Report.
 type CrashReport struct {
 	Request []byte
 	Crashes []EndpointCrash
 	Served  bool
 }
 
-// CrashReports tells the nodes that count them of endpoints that ended under requests.
+// CrashReports reports endpoint crashes under requests to the nodes that count the crashes of
+// those requests.
 type CrashReports struct {
 	Reports []CrashReport
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,8 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame bounds a frame's type and body in bytes. A whole configuration
-// must fit.
+// MaxFrame is the maximum size of a frame's type and body in bytes. A full configuration must
+// fit.
 const MaxFrame = 8 << 20
 
 const (
@@ -19,10 +19,10 @@
 	headerSize = lengthSize + 1
 )
 
-// ErrFrame is wrapped by every error about a frame's content.
-var ErrFrame = errors.New("bad frame")
+// ErrFrame is wrapped by every error about the content of a frame.
+var ErrFrame = errors.New("invalid frame")
 
-// Append appends the message's frame to buf.
+// Append appends the frame of a message to buf.
 func Append(buf []byte, m Message) ([]byte, error) {
 	body := bytes.NewBuffer(buf)
 	body.Write([]byte{0, 0, 0, 0, byte(m.kind())})
@@ -37,13 +37,13 @@
 	frame := body.Bytes()
 	size := len(frame) - len(buf) - lengthSize
 	if size > MaxFrame {
-		return buf, fmt.Errorf("%w: %d bytes, the bound is %d", ErrFrame, size, MaxFrame)
+		return buf, fmt.Errorf("%w: %d bytes, the maximum is %d", ErrFrame, size, MaxFrame)
 	}
 	binary.BigEndian.PutUint32(frame[len(buf):], uint32(size))
 	return frame, nil
 }
 
-// Write writes one frame in one call.
+// Write writes a message as one frame, in a single call of w.Write.
 func Write(w io.Writer, m Message) error {
 	buf, err := Append(nil, m)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Read reads one frame and returns a pointer to its message.
+// Read reads one frame and returns a pointer to the message that it holds.
 func Read(r io.Reader) (Message, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -63,11 +63,11 @@
 	}
 	size := binary.BigEndian.Uint32(header[:lengthSize])
 	if size < 1 || size > MaxFrame {
-		return nil, fmt.Errorf("%w: length %d, expected 1 to %d", ErrFrame, size, MaxFrame)
+		return nil, fmt.Errorf("%w: length %d, expected 1 to %d bytes", ErrFrame, size, MaxFrame)
 	}
 	m := newMessage(kind(header[4]))
 	if m == nil {
-		return nil, fmt.Errorf("%w: unknown type %d", ErrFrame, header[4])
+		return nil, fmt.Errorf("%w: unknown message type %d", ErrFrame, header[4])
 	}
 	body, err := readBody(r, int(size)-1)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return m, nil
 }
 
-// readBody grows its buffer as bytes arrive, so that a false length costs no
-// memory.
+// readBody reads size bytes. It grows its buffer as bytes arrive, so that a frame that declares
+// a false length costs no memory.
 func readBody(r io.Reader, size int) ([]byte, error) {
 	const step = 64 << 10
 	body := make([]byte, 0, min(size, step))
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -27,9 +27,9 @@
 	CrashReports{Reports: []CrashReport{{Request: []byte("r"), Served: true, Crashes: []EndpointCrash{{Endpoint: "e", Address: "a", Among: 3, Sure: true, Alive: true}}}}},
 }
 
-// TestOtherVersions reads heartbeats of a node of an earlier version, which end before the
-// refused requests and whose entries have no capacity, and of a later one, which have more
-// fields.
+// TestOtherVersions checks that heartbeats of nodes of other versions are accepted: those of an
+// earlier version, which end before the refused requests and whose entries have no capacity, and
+// those of a later one, which have more fields.
 func TestOtherVersions(t *testing.T) {
 	type entry struct {
 		Node        string
@@ -63,7 +63,7 @@
 		Further string
 		More    []Entry
 	}
-	told := Gossip{Node: "n2", Members: []Member{{Node: "n3", Entries: []Entry{{Node: "n3", Capacity: 400}}}}, RefusedSum: 5}
+	current := Gossip{Node: "n2", Members: []Member{{Node: "n3", Entries: []Entry{{Node: "n3", Capacity: 400}}}}, RefusedSum: 5}
 	cases := map[string]struct {
 		sent any
 		want Gossip
@@ -72,7 +72,7 @@
 			sent: earlier{Node: "n1", Members: []member{{Node: "n1", Entries: []entry{{Node: "n1", Address: "a"}}}}, ListRevision: 7},
 			want: Gossip{Node: "n1", Members: []Member{{Node: "n1", Entries: []Entry{{Node: "n1", Address: "a"}}}}, ListRevision: 7},
 		},
-		"later": {sent: later{Gossip: told, Further: "x", More: []Entry{{Node: "y"}}}, want: told},
+		"later": {sent: later{Gossip: current, Further: "x", More: []Entry{{Node: "y"}}}, want: current},
 	}
 	for name, c := range cases {
 		var body bytes.Buffer
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestRoundTrip checks that every message comes back as it was sent.
+// TestRoundTrip checks that every message is decoded as it was encoded.
 func TestRoundTrip(t *testing.T) {
 	var buf bytes.Buffer
 	for _, m := range samples {
@@ -113,14 +113,15 @@
 	}
 }
 
-// TestBadFrames checks that false lengths, types and bodies are errors.
+// TestBadFrames checks that frames with an invalid length, type or body are errors.
 func TestBadFrames(t *testing.T) {
 	for name, frame := range map[string][]byte{
 		"empty":     {0, 0, 0, 0, 1},
 		"oversized": {0xff, 0xff, 0xff, 0xff, 1},
 		"unknown":   {0, 0, 0, 2, 99, 0},
 		"body":      {0, 0, 0, 2, byte(kindGossip), 0xc1},
-		// 2.5 billion entries in 9 bytes: the codec would allocate them all first.
+		// Declares 2.5 billion entries in 9 bytes. The codec would allocate them before it reads
+		// the first one.
 		"elements": {0, 0, 0, 9, byte(kindSnapshot), 0x96, 0xc2, 0xc0, 0xdd, 0x97, 0xa2, 0x30, 0x30},
 	} {
 		if _, err := Read(bytes.NewReader(frame)); !errors.Is(err, ErrFrame) {
@@ -128,12 +129,12 @@
 		}
 	}
 	if _, err := Read(bytes.NewReader([]byte{0, 0, 0, 9, 1, 0})); err == nil {
-		t.Error("a cut frame was read")
+		t.Error("a truncated frame was accepted")
 	}
 }
 
-// FuzzRead checks that no bytes from a peer make Read panic or allocate
-// without bound, and that what it reads can be written again.
+// FuzzRead checks that no input makes Read panic or allocate without bound, and that a message
+// that it returns can be encoded again.
 func FuzzRead(f *testing.F) {
 	for _, m := range samples {
 		frame, err := Append(nil, m)
@@ -148,7 +149,7 @@
 			return
 		}
 		if _, err := Append(nil, m); err != nil {
-			t.Fatalf("%T cannot be written again: %v", m, err)
+			t.Fatalf("%T cannot be encoded again: %v", m, err)
 		}
 	})
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -3,7 +3,7 @@
 // Version is the protocol version; a Hello of another version is refused.
 const Version = 1
 
-// Message is one of the types in this file.
+// Message is a message of the protocol. The types of this package implement it.
 type Message interface{ kind() kind }
 
 type kind byte
@@ -29,18 +29,18 @@
 	kindCrashReports
 )
 
-// Role says what a process is; the receiver allows messages by role.
+// Role is the kind of a process. The receiver of a connection accepts messages by role.
 type Role string
 
-// The roles.
+// The roles of processes.
 const (
 	RoleEntry   Role = "entry"
 	RoleControl Role = "control"
-	// RoleNode is a process that carries both data and control.
+	// RoleNode is the role of a process that has both a data plane and a control plane.
 	RoleNode Role = "node"
 )
 
-// Hello opens every connection.
+// Hello is the first message on every connection, in both directions.
 type Hello struct {
 	Version     int
 	System      string
@@ -49,10 +49,10 @@
 	Incarnation uint64
 }
 
-// State of a member.
+// State is the state of a member.
 type State uint8
 
-// The states of members, in the order of precedence.
+// The states of a member, in ascending order of precedence.
 const (
 	Alive State = iota
 	Suspect
@@ -60,7 +60,7 @@
 	Left
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
 	if s > Left {
 		return "invalid"
@@ -77,14 +77,14 @@
 	Domain      string
 	Region      string
 	Leaving     bool
-	// Leads has a bit for each cell of stage workers that the node leads.
+	// Leads has a bit set for each cell of stage workers that the node leads.
 	Leads uint64
-	// Capacity is the node's processor share in thousandths of a core, or 0.
+	// Capacity is the CPU share of the node in thousandths of a core, or 0 if unknown.
 	Capacity int
 }
 
-// Member is the record of one control process and its entries. Only its
-// owner raises Incarnation and Seq.
+// Member is the membership record of a control process and its entries. Only the process itself
+// raises Incarnation and Seq.
 type Member struct {
 	Node        string
 	Incarnation uint64
@@ -96,8 +96,8 @@
 	Entries     []Entry
 }
 
-// Endpoint is what a watcher found out about an endpoint. Seq orders the
-// findings about one endpoint.
+// Endpoint is a watcher's finding about an endpoint. Seq orders the findings about the same
+// endpoint.
 type Endpoint struct {
 	Pool    string
 	Name    string
@@ -105,7 +105,7 @@
 	Seq     uint64
 }
 
-// RecordVersion is the version of one member's record in a listing.
+// RecordVersion is the version of a member's record in a listing.
 type RecordVersion struct {
 	Node        string
 	Incarnation uint64
@@ -113,7 +113,7 @@
 	State       State
 }
 
-// Gossip is the heartbeat between neighbors, with what is new.
+// Gossip is a heartbeat between neighbors, with the updates that the receiver may lack.
 type Gossip struct {
 	Node          string
 	Incarnation   uint64
@@ -121,39 +121,38 @@
 	ConfigVersion uint64
 	Members       []Member
 	Endpoints     []Endpoint
-	// Listing is sent when view hashes differ; the receiver answers with the
-	// records that the sender lacks.
+	// Listing is sent when the view hashes differ. The receiver answers with the records that
+	// the sender lacks.
 	Listing []RecordVersion
-	// NonNeighbor marks an answer to a node that is no neighbor on the sender's
-	// ring; it does not keep the link.
+	// NonNeighbor is true if the receiver is not a neighbor on the sender's ring. Such a message
+	// does not keep a link alive.
 	NonNeighbor bool
-	// Answer marks the answer to a listing. Its own listing is answered with
-	// records only, so that an exchange ends.
+	// Answer is true if the message answers a listing. The listing that it carries itself is
+	// answered with records only, so that the exchange ends.
 	Answer bool
-	// ListRevision is that of the sender's list of endpoints, or 0 when it has none
-	// or is of an earlier version.
+	// ListRevision is the revision of the sender's endpoint list. It is 0 if the sender has no
+	// list or is of an earlier version.
 	ListRevision uint64
-	// Refused are requests that crash endpoints, as far as the receiver may not know
-	// them; RefusedSum is the same on nodes that know the same ones, and 0 on those that
-	// know none or are of an earlier version.
+	// Refused lists refused requests that the receiver may not know. RefusedSum is a checksum of
+	// all that the sender knows; it is 0 if the sender knows none or is of an earlier version.
 	Refused    []Refusal
 	RefusedSum uint64
-	// RateLimits is nil from nodes that know no rate limit of an endpoint, or are of
-	// an earlier version. Nearly all messages are such; in a start of all nodes, which their
-	// links bound, each byte of them counts (TestAllStartOnSmallLinks).
+	// RateLimits is nil if the sender knows no rate limit of an endpoint or is of an earlier
+	// version. That holds for nearly all messages, and a pointer keeps them short: when all nodes
+	// start at once, their links are the bottleneck (see TestAllStartOnSmallLinks).
 	RateLimits *RateLimits
-	// Draining is nil from nodes that know no endpoint that drains, or are of an earlier version.
+	// Draining is nil if the sender knows no draining endpoint or is of an earlier version.
 	Draining *Draining
 }
 
-// RateLimits are limits that endpoints advertise and that the receiver may not know. Sum is the
-// same on nodes that know the same ones.
+// RateLimits lists rate limits that endpoints advertised and that the receiver may not know. Sum
+// is a checksum of all that the sender knows.
 type RateLimits struct {
 	Sum     uint64
 	Updates []RateLimit
 }
 
-// RateLimit is signal.LimitUpdate. Age is in milliseconds.
+// RateLimit is a signal.LimitUpdate, with Age in milliseconds.
 type RateLimit struct {
 	Endpoint  string
 	Bounded   bool
@@ -161,34 +160,33 @@
 	Age       int64
 }
 
-// Draining are endpoints that announced draining and that the receiver may not know. Sum is the
-// same on nodes that know the same ones.
+// Draining lists endpoints that announced that they are draining and that the receiver may not
+// know. Sum is a checksum of all that the sender knows.
 type Draining struct {
 	Sum     uint64
 	Updates []DrainingEndpoint
 }
 
-// DrainingEndpoint is signal.DrainingUpdate. Age is in milliseconds.
+// DrainingEndpoint is a signal.DrainingUpdate, with Age in milliseconds.
 type DrainingEndpoint struct {
 	Endpoint string
 	Age      int64
 }
 
-// ConfigRequest asks a neighbor for a configuration above a version.
+// ConfigRequest requests a configuration newer than a version from a neighbor.
 type ConfigRequest struct {
 	Above uint64
 }
 
-// ConfigFile is a whole accepted configuration. Between control processes
-// Data is compressed with gzip; the digest is that of the file itself.
+// ConfigFile is a full configuration that was accepted. Between control processes, Data is
+// compressed with gzip. Digest is the digest of the uncompressed file.
 type ConfigFile struct {
 	Version uint64
 	Digest  string
 	Data    []byte
 }
 
-// EntryStatus tells a control process about its entry, at least once a
-// second.
+// EntryStatus reports the state of an entry to its control process, at least once a second.
 type EntryStatus struct {
 	Entry         Entry
 	ConfigVersion uint64
@@ -196,22 +194,21 @@
 	Impaired      []string
 }
 
-// Snapshot is all that an entry needs from its control process. Config is
-// empty when the entry's version is in force already. Same is true when
-// Entries and Endpoints are left out because the last snapshot of this
-// connection holds them; whole lists every second would be 40 kB/s at 380
-// nodes.
+// Snapshot is the state that an entry receives from its control process. Config is empty if the
+// entry already has the current version. Same is true if Entries and Endpoints are unchanged
+// since the previous snapshot on this connection and therefore omitted; sending the full lists
+// every second would take 40 kB/s at 380 nodes.
 type Snapshot struct {
 	Same      bool
 	Config    ConfigFile
 	Entries   []Entry
 	Endpoints []Endpoint
-	// Settled is false while the control process has not met all its peers
-	// yet; Entries may then lack many, and the receiver keeps what it knows.
+	// Settled is false until the control process has had time to reach all its peers. Until
+	// then Entries may be incomplete, and the receiver keeps the entries that it knows.
 	Settled bool
 }
 
-// Start asks the writer of a shard to store a started record.
+// Start requests that the writer of a shard stores a started record.
 type Start struct {
 	ID    uint64
 	Key   string
@@ -224,13 +221,13 @@
 	Result uint8
 }
 
-// ExplainRequest asks an entry for its decisions about a subject.
+// ExplainRequest requests an entry's decisions about a subject.
 type ExplainRequest struct {
 	ID      uint64
 	Subject string
 }
 
-// ExplainResponse holds the decisions, oldest first, one line each.
+// ExplainResponse answers an ExplainRequest with the decisions, oldest first, one per line.
 type ExplainResponse struct {
 	ID    uint64
 	Lines []string
--- a/internal/wire/stages.go
+++ b/internal/wire/stages.go
@@ -6,7 +6,7 @@
 	"gradetiller.example/internal/core/catalog"
 )
 
-// Stage is one stage of a request's work before it can run.
+// Stage is one of the stages that must complete before a request can run.
 type Stage struct {
 	Service     string
 	After       []int
@@ -14,9 +14,9 @@
 	Pieces      int
 }
 
-// StagesSubmit asks the leader of a stage pool to run a request's stages. ID
-// is the sender's; times are milliseconds from sending. Aim is when the answer
-// should begin.
+// StagesSubmit requests that the leader of a stage pool runs the stages of a request. ID is chosen
+// by the sender. Times are in milliseconds from the time of sending. SoftDeadline is when the
+// response should begin.
 type StagesSubmit struct {
 	ID           uint64
 	Cell         int
@@ -26,108 +26,107 @@
 	SoftDeadline int64
 	Deadline     int64
 	Priority     int
-	// Model is the service that the request goes to; Prefix is the part of
-	// its prompt by which it is placed, Tokens the prompt's length and Parts
-	// what it consists of, in order.
+	// Model is the service that the request is for. Prefix identifies the part of the prompt by
+	// which the request is placed, Tokens is the length of the prompt, and Parts lists its parts
+	// in order.
 	Model  string
 	Prefix uint64
 	Tokens int
 	Parts  []PromptPart
-	// ExtraTokens is by how many tokens the prompt is longer than its route's usually
-	// are.
+	// ExtraTokens is the number of tokens by which the prompt exceeds the average of its route.
 	ExtraTokens int
-	// Content tells tries of the same request; it is empty from nodes of an earlier
+	// Content identifies retries of the same request. It is empty from nodes of an earlier
 	// version.
 	Content []byte
-	// Avoid are endpoints of Model that are in backoff towards the sender.
+	// Avoid lists the endpoints of Model that are in backoff towards the sender.
 	Avoid []Avoided
 }
 
-// Avoided is an endpoint in backoff, for as many milliseconds as are left.
+// Avoided is an endpoint in backoff. Remaining is the rest of the backoff in milliseconds.
 type Avoided struct {
 	Endpoint  string
 	Remaining int64
 }
 
-// PromptPart is a part of a prompt; the last one is the request's own.
+// PromptPart is a part of a prompt. The last part is specific to the request; the others may be
+// shared with other prompts.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// StagesVerdict answers a StagesSubmit at once.
+// StagesVerdict is the immediate answer to a StagesSubmit.
 type StagesVerdict struct {
 	ID       uint64
 	Accepted bool
-	// Finish is the predicted time until the results are there, Again the
-	// time after which a refused request may come back; milliseconds.
+	// Finish is the predicted time until the results are available, and RetryAfter the delay
+	// after which a rejected request may be submitted again, both in milliseconds.
 	Finish     int64
 	RetryAfter int64
-	// Reason is why a request is refused; it is empty where the stages would be late, and
-	// from nodes of an earlier version.
+	// Reason is why the request is rejected. It is empty if the stages would be late, and from
+	// nodes of an earlier version.
 	Reason string
 }
 
-// StagesDone tells that the results are there, or, with a reason, that the
-// leader gave the request up.
+// StagesDone reports that the results are available or, if FailureReason is set, that the leader
+// gave up on the request.
 type StagesDone struct {
 	ID      uint64
 	Handles []string
-	// Endpoint is where the request should run, or "" when the leader knows
-	// none.
+	// Endpoint is the endpoint that the request should run on, or "" if the leader knows none.
 	Endpoint string
-	// CopyFrom is the address of an endpoint that holds more of the prompt, or
+	// CopyFrom is the address of an endpoint whose cache holds a longer prefix of the prompt, or
 	// "".
 	CopyFrom      string
 	FailureReason string
 	RetryAfter    int64
-	// Bounded tells that the leader knows that the endpoint bounds what it takes, and has
-	// counted the request. A leader of an earlier version, or one that has just begun, does
-	// not know.
+	// Bounded is true if the leader knows that the endpoint limits the work it accepts, and has
+	// counted the request against that limit. A leader of an earlier version, or one that has
+	// just taken over, does not know.
 	Bounded bool
 }
 
-// Placement is how the leader's choice of an endpoint turned out.
+// Placement is the outcome of the leader's choice of an endpoint.
 type Placement int
 
 // The outcomes of a placement.
 const (
-	// PlacementUnused says nothing about the endpoint.
+	// PlacementUnused means that the endpoint was not used.
 	PlacementUnused Placement = iota
-	// PlacementServed endpoints began to answer.
+	// PlacementServed means that the endpoint began to respond.
 	PlacementServed
-	// PlacementFailed endpoints failed or declined.
+	// PlacementFailed means that the endpoint failed or declined the request.
 	PlacementFailed
-	// PlacementUnreachable endpoints could not be connected to.
+	// PlacementUnreachable means that no connection to the endpoint could be opened.
 	PlacementUnreachable
-	// PlacementRejected endpoints asked the request's node for a backoff. Nodes of an earlier
-	// version take it for a failure.
+	// PlacementRejected means that the endpoint requested a backoff from the request's node.
+	// Nodes of an earlier version treat it as a failure.
 	PlacementRejected
 )
 
-// StagesRelease tells that the results are not needed any more.
+// StagesRelease reports that the results are no longer needed.
 type StagesRelease struct {
 	ID        uint64
 	Placement Placement
 }
 
-// StagesPing asks whether the leader still works on a request. The answer is
-// a StagesVerdict, which is not accepted when the leader does not know it.
+// StagesPing asks whether the leader is still working on a request. The answer is a StagesVerdict
+// whose Accepted is false if the leader does not know the request.
 type StagesPing struct {
 	ID uint64
 }
 
-// ViewRequest asks a peer for a configuration above a version and a list of
-// endpoints above a revision.
+// ViewRequest requests a configuration newer than a version, and the changes of the endpoint list
+// since a revision, from a peer.
 type ViewRequest struct {
 	ConfigAbove    uint64
 	EndpointsAbove uint64
-	// AcceptsPacked tells that the configuration may come compressed. Nodes of an
-	// earlier version don't.
+	// AcceptsPacked is true if the sender accepts a compressed configuration. Nodes of an earlier
+	// version do not.
 	AcceptsPacked bool
 }
 
-// Worker is an endpoint of the platform's list.
+// Worker is an endpoint of the platform's list, with the fields of catalog.Endpoint.
 type Worker struct {
 	ID       string
 	Service  string
@@ -137,35 +136,34 @@
 	Draining bool
 	// ModRevision is 0 from nodes of an earlier version.
 	ModRevision catalog.Revision
-	// ColdRemaining is 0 from nodes of an earlier version too.
+	// ColdRemaining is 0 from nodes of an earlier version.
 	ColdRemaining time.Duration
 }
 
-// View answers a ViewRequest. A configuration that is not newer is left out.
+// View answers a ViewRequest. A configuration that is not newer is omitted.
 type View struct {
 	ConfigVersion uint64
 	Config        []byte
-	// Revision is up to which the receiver then holds all changes of the list
-	// of workers; the rest is discovery.Delta.
+	// Revision is the revision of the receiver's list after the changes are applied. It, Full,
+	// Changed, Removed and Digest are the fields of a discovery.Delta.
 	Revision uint64
 	Full     bool
 	Changed  []Worker
 	Removed  []string
 	Digest   uint64
-	// Age is how long ago the sender's list was current, ConfigAge how long ago its
-	// configuration was, and ReadersAge and StandInsAge how long ago one of the usual
-	// readers, and of those that stand in first, had both from the store itself, in
-	// milliseconds. Nodes of an earlier version tell the first only; the others are 0
-	// then.
+	// Age, ConfigAge, PrimariesAge and CandidatesAge are the ages of the times of a
+	// discovery.Freshness, in milliseconds: the time since the sender's list and its configuration
+	// were current, and since a primary reader, and a primary or backup reader, had both from the
+	// store itself. Nodes of an earlier version only send Age; the others are 0 then.
 	Age           int64
 	ConfigAge     int64
 	PrimariesAge  int64
 	CandidatesAge int64
-	// Packed tells that Config is compressed.
+	// Packed is true if Config is compressed.
 	Packed bool
-	// Evacuated lists the failure domains to which nothing further is to be sent, as of
-	// EvacuatedRevision, which is 0 when the sender does not know or is of an earlier
-	// version.
+	// Evacuated lists the failure domains that must receive no new requests, as of
+	// EvacuatedRevision. EvacuatedRevision is 0 if the sender does not know them or is of an
+	// earlier version.
 	Evacuated         []string
 	EvacuatedRevision uint64
 }
