--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -2,13 +2,13 @@
 
 import "gradetiller.example/internal/wire"
 
-// answerBuffer bounds the answers that wait for one connection.
-const answerBuffer = 1024
+// maxQueuedAnswers bounds the answers that are queued for one connection.
+const maxQueuedAnswers = 1024
 
-// QueueAnswers returns an Answer that never waits for the connection, and the
-// function that ends it. QueueAnswers beyond the buffer are dropped.
+// QueueAnswers returns an Answer that queues messages for the connection and never blocks, and a
+// function that stops it. If the queue is full, an answer is dropped with an error.
 func QueueAnswers(c *Conn) (Answer, func()) {
-	queue := make(chan wire.Message, answerBuffer)
+	queue := make(chan wire.Message, maxQueuedAnswers)
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -28,7 +28,7 @@
 		case queue <- m:
 			return nil
 		default:
-			return errAnswersFull
+			return errAnswerQueueFull
 		}
 	}
 	return answer, func() { close(done) }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. Within it attempts follow
-	// each other, each with attemptGrowth times the time of the one before: a
-	// instance that is still without power drops the first packet, and TCP sends
-	// it again only after a second.
-	dialTimeout   = time.Second
-	firstAttempt  = 120 * time.Millisecond
-	attemptGrowth = 1.5
+	// dialTimeout bounds the opening of a connection. Within it, attempts that time out are
+	// repeated, each with attemptTimeoutGrowth times the timeout of the previous one: an instance
+	// that is still without power drops the first packet, and TCP retransmits it only after a
+	// second.
+	dialTimeout          = time.Second
+	firstAttemptTimeout  = 120 * time.Millisecond
+	attemptTimeoutGrowth = 1.5
 
 	helloTimeout = 2 * time.Second
-	// writeTimeout bounds a write, so that a slow peer cannot hold the sender.
+	// writeTimeout bounds a write, so that a slow peer cannot block the sender.
 	writeTimeout = 2 * time.Second
 )
 
-// Conn is an open connection after its Hellos.
+// Conn is an open connection on which the Hellos have been exchanged.
 type Conn struct {
 	conn  net.Conn
 	in    *bufio.Reader
@@ -38,57 +38,57 @@
 	sent  atomic.Uint64
 }
 
-// Dial opens a connection to an IP address and port.
+// Dial opens a connection to an address, which is an IP address and a port.
 func Dial(ctx context.Context, address string, self wire.Hello, s *Security) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := attemptDials(ctx, address, dialTCP)
+	conn, err := dialWithRetries(ctx, address, dialTCP)
 	if err != nil {
 		return nil, fmt.Errorf("dial peer: %w", err)
 	}
 	return open(s.client(conn), self, s, nil)
 }
 
-// dialTCP opens a TCP connection within a time.
+// dialTCP is the dialFunc of TCP.
 func dialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Control: socket.UserTimeout, Timeout: timeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// dialFunc opens a connection within a time.
+// dialFunc opens a connection within a timeout.
 type dialFunc func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 
-// attemptDials dials until an attempt succeeds or fails for another reason than
-// silence, or ctx ends.
-func attemptDials(ctx context.Context, address string, dial dialFunc) (net.Conn, error) {
-	for timeout := firstAttempt; ; timeout = time.Duration(attemptGrowth * float64(timeout)) {
+// dialWithRetries dials until an attempt succeeds or fails for another reason than a timeout, or
+// until ctx is done.
+func dialWithRetries(ctx context.Context, address string, dial dialFunc) (net.Conn, error) {
+	for timeout := firstAttemptTimeout; ; timeout = time.Duration(attemptTimeoutGrowth * float64(timeout)) {
 		started := time.Now()
 		conn, err := dial(ctx, address, timeout)
 		if err == nil {
 			return conn, nil
 		}
-		var silence net.Error
-		silent := errors.As(err, &silence) && silence.Timeout()
-		// An attempt that ended before its time failed for another reason, or
-		// ctx is over although its timer has not fired yet; to dial on at once
-		// would keep the processor busy.
-		if !silent || ctx.Err() != nil || time.Since(started) < timeout {
+		var netErr net.Error
+		timedOut := errors.As(err, &netErr) && netErr.Timeout()
+		// An attempt that ended before its timeout failed for another reason, or the deadline
+		// of ctx has passed although its timer has not fired yet. Retrying at once would be a
+		// busy loop.
+		if !timedOut || ctx.Err() != nil || time.Since(started) < timeout {
 			return nil, err
 		}
 	}
 }
 
-// open exchanges Hellos. roles lists the roles accepted; nil accepts all.
+// open exchanges Hellos. It accepts peers of the given roles, or of any role if roles is nil.
 func open(conn net.Conn, self wire.Hello, s *Security, roles []wire.Role) (*Conn, error) {
 	c := &Conn{conn: conn, in: bufio.NewReader(conn)}
-	if err := c.greet(self, s, roles); err != nil {
+	if err := c.handshake(self, s, roles); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Conn) greet(self wire.Hello, s *Security, roles []wire.Role) error {
+func (c *Conn) handshake(self wire.Hello, s *Security, roles []wire.Role) error {
 	_ = c.conn.SetDeadline(time.Now().Add(helloTimeout))
 	if err := c.Send(self); err != nil {
 		return err
@@ -99,7 +99,7 @@
 	}
 	hello, ok := m.(*wire.Hello)
 	if !ok {
-		return fmt.Errorf("%w: expected a hello, got %T", wire.ErrFrame, m)
+		return fmt.Errorf("%w: expected a Hello, got %T", wire.ErrFrame, m)
 	}
 	if err := checkHello(*hello, self, roles); err != nil {
 		return err
@@ -116,7 +116,7 @@
 		return fmt.Errorf("%w: peer %q has protocol version %d, this process has %d", wire.ErrFrame, hello.Node, hello.Version, wire.Version)
 	}
 	if hello.System != self.System {
-		return fmt.Errorf("%w: peer %q is of system %q, this process of %q", wire.ErrFrame, hello.Node, hello.System, self.System)
+		return fmt.Errorf("%w: peer %q belongs to system %q, this process to %q", wire.ErrFrame, hello.Node, hello.System, self.System)
 	}
 	if roles == nil {
 		return nil
@@ -129,7 +129,7 @@
 	return fmt.Errorf("%w: role %q is not accepted here", wire.ErrFrame, hello.Role)
 }
 
-// Hello returns the other side's Hello.
+// Hello returns the peer's Hello.
 func (c *Conn) Hello() wire.Hello { return c.hello }
 
 // Send writes one message. It is safe for concurrent use.
@@ -141,7 +141,7 @@
 		return err
 	}
 	c.buf = buf
-	if cap(c.buf) > maxKeptBuffer {
+	if cap(c.buf) > maxRetainedBuffer {
 		c.buf = nil
 	}
 	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -153,12 +153,12 @@
 	return nil
 }
 
-const maxKeptBuffer = 64 << 10
+const maxRetainedBuffer = 64 << 10
 
 // Receive reads one message. Only one goroutine may receive.
 func (c *Conn) Receive() (wire.Message, error) { return wire.Read(c.in) }
 
-// SetReceiveTimeout bounds the wait of the next Receive; 0 means no bound.
+// SetReceiveTimeout sets the timeout of the next Receive; 0 means no timeout.
 func (c *Conn) SetReceiveTimeout(d time.Duration) {
 	var at time.Time
 	if d > 0 {
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSilentPeerIsDialledAgain has the first attempts meet silence, as at an
-// instance that is still without power: a further one opens the connection.
+// TestSilentPeerIsDialledAgain checks that attempts that time out are repeated. Otherwise an
+// instance that is still without power at the first attempt would count as unreachable.
 func TestSilentPeerIsDialledAgain(t *testing.T) {
 	attempts := 0
 	dial := func(_ context.Context, _ string, timeout time.Duration) (net.Conn, error) {
@@ -22,7 +22,7 @@
 		_ = other.Close()
 		return conn, nil
 	}
-	conn, err := attemptDials(t.Context(), "peer", dial)
+	conn, err := dialWithRetries(t.Context(), "peer", dial)
 	if err != nil {
 		t.Fatalf("after %d attempts: %v", attempts, err)
 	}
@@ -32,19 +32,18 @@
 	}
 }
 
-// TestDialEndsWhenNoTimeIsLeft has attempts fail at once with the error of an
-// expired deadline while the context's timer has not fired. Dialling on kept a
-// processor busy for good.
+// TestDialEndsWhenNoTimeIsLeft guards against a busy loop: attempts fail at once because the
+// deadline has passed, while the timer of the context has not fired yet.
 func TestDialEndsWhenNoTimeIsLeft(t *testing.T) {
 	attempts := 0
 	dial := func(context.Context, string, time.Duration) (net.Conn, error) {
 		attempts++
 		if attempts > 100 {
-			panic("the dial goes on for ever")
+			panic("dialing does not end")
 		}
 		return nil, os.ErrDeadlineExceeded
 	}
-	if _, err := attemptDials(t.Context(), "peer", dial); err == nil || attempts != 1 {
+	if _, err := dialWithRetries(t.Context(), "peer", dial); err == nil || attempts != 1 {
 		t.Errorf("%d attempts, error %v; want one attempt and its error", attempts, err)
 	}
 }
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,10 +1,9 @@
-// Package peer carries wire messages between the system's own processes over
-// TCP, with mutual TLS unless the settings allow plain text.
+// Package peer transports wire messages between the system's own processes over TCP, with mutual
+// TLS unless the settings allow plain text.
 //
-// A connection opens with a Hello in each direction. A Hello of another
-// protocol version or another system, a role that the receiver does not
-// accept, or with TLS a role that differs from the one in the certificate,
-// closes the connection.
+// A connection begins with a Hello in each direction. It is closed if the Hello has another protocol
+// version or system, if the receiver does not accept the role, or if, with TLS, the role is not the
+// one in the certificate.
 //
 // # Usage
 //
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -10,68 +10,66 @@
 )
 
 const (
-	// linkBuffer bounds the messages that wait for one peer; further ones are
+	// maxQueuedMessages bounds the messages that are queued for one peer. Further messages are
 	// dropped.
-	linkBuffer  = 1024
-	idleLink    = 30 * time.Second
-	redialPause = 300 * time.Millisecond
+	maxQueuedMessages = 1024
+	idleTimeout       = 30 * time.Second
+	redialDelay       = 300 * time.Millisecond
 )
 
-// Links sends messages to other processes. Each process sends on connections
-// that it opened itself; a message that can't be sent is dropped, so that no
-// sender ever waits.
+// Links sends messages to other processes. Each process sends on connections that it opened
+// itself. A message that cannot be sent is dropped, so senders never block.
 type Links struct {
-	hello    wire.Hello
-	security *Security
-	ctx      context.Context
-	cancel   context.CancelFunc
-	mu       sync.Mutex
-	open     map[string]*outgoing
-	wait     sync.WaitGroup
-	receive  func(wire.Message, Answer)
-	onLost   func(address string, err error)
+	hello       wire.Hello
+	security    *Security
+	ctx         context.Context
+	cancel      context.CancelFunc
+	mu          sync.Mutex
+	connections map[string]*outgoing
+	wg          sync.WaitGroup
+	onMessage   func(wire.Message, Answer)
+	onLost      func(address string, err error)
 }
 
-// Answer sends a message back on the connection from which one came.
+// Answer sends a message on the connection on which another one arrived.
 type Answer func(wire.Message) error
 
 type outgoing struct {
 	address string
 	queue   chan wire.Message
 	opened  time.Time
-	// ctx ends when the connection is given up.
+	// ctx is done when the connection is to be closed.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// NewLinks returns links without connections. receive takes what comes back
-// on them; onLost is told of each connection that could not be opened or
-// broke.
+// NewLinks returns Links without connections. It calls receive for each message that arrives on a
+// connection, and onLost for each connection that broke or could not be opened.
 func NewLinks(hello wire.Hello, s *Security, receive func(wire.Message, Answer), onLost func(address string, err error)) *Links {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Links{hello: hello, security: s, ctx: ctx, cancel: cancel, open: make(map[string]*outgoing), receive: receive, onLost: onLost}
+	return &Links{hello: hello, security: s, ctx: ctx, cancel: cancel, connections: make(map[string]*outgoing), onMessage: receive, onLost: onLost}
 }
 
-// Close ends all connections.
+// Close closes all connections and waits for their goroutines.
 func (l *Links) Close() {
 	l.cancel()
-	l.wait.Wait()
+	l.wg.Wait()
 }
 
-// Send queues a message for the process at an address. It reports false when
-// the message was dropped.
+// Send queues a message for the process at an address and opens a connection if there is none. It
+// returns false if the message was dropped.
 func (l *Links) Send(address string, m wire.Message) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ctx.Err() != nil {
 		return false
 	}
-	o, ok := l.open[address]
+	o, ok := l.connections[address]
 	if !ok {
-		o = &outgoing{address: address, queue: make(chan wire.Message, linkBuffer), opened: time.Now()}
+		o = &outgoing{address: address, queue: make(chan wire.Message, maxQueuedMessages), opened: time.Now()}
 		o.ctx, o.cancel = context.WithCancel(l.ctx)
-		l.open[address] = o
-		l.wait.Go(func() { l.run(o) })
+		l.connections[address] = o
+		l.wg.Go(func() { l.run(o) })
 	}
 	select {
 	case o.queue <- m:
@@ -81,54 +79,54 @@
 	}
 }
 
-// CloseStale gives the connection to an address up if it was opened before a moment, and
-// reports whether it did. The next message opens a new one. A connection may go
-// silent for good, which the system tells only seconds later, while new ones work;
-// onLost is not told.
+// CloseStale closes the connection to an address if it was opened before the given time, and
+// reports whether it did so. The next message opens a new one. A connection may stop delivering
+// while new ones work, and the operating system reports that only seconds later. onLost is not
+// called.
 func (l *Links) CloseStale(address string, before time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o, ok := l.open[address]
+	o, ok := l.connections[address]
 	if !ok || !o.opened.Before(before) {
 		return false
 	}
-	delete(l.open, address)
+	delete(l.connections, address)
 	o.cancel()
 	return true
 }
 
-func (l *Links) forget(o *outgoing) {
+func (l *Links) remove(o *outgoing) {
 	o.cancel()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open[o.address] == o {
-		delete(l.open, o.address)
+	if l.connections[o.address] == o {
+		delete(l.connections, o.address)
 	}
 }
 
 func (l *Links) run(o *outgoing) {
-	defer l.forget(o)
+	defer l.remove(o)
 	conn, err := Dial(o.ctx, o.address, l.hello, l.security)
 	if err != nil {
-		l.lost(o, err)
+		l.reportLost(o, err)
 		select {
 		case <-o.ctx.Done():
-		case <-time.After(redialPause):
+		case <-time.After(redialDelay):
 		}
 		return
 	}
 	defer conn.Close()
 	ended := make(chan struct{})
-	l.wait.Go(func() {
+	l.wg.Go(func() {
 		defer close(ended)
 		answer, stop := QueueAnswers(conn)
 		defer stop()
 		for m, err := conn.Receive(); err == nil; m, err = conn.Receive() {
-			l.receive(m, answer)
+			l.onMessage(m, answer)
 		}
 		_ = conn.Close()
 	})
-	idle := time.NewTimer(idleLink)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -137,22 +135,22 @@
 		case <-idle.C:
 			return
 		case <-ended:
-			l.lost(o, context.Canceled)
+			l.reportLost(o, context.Canceled)
 			return
 		case m := <-o.queue:
 			if err := conn.Send(m); err != nil {
-				l.lost(o, err)
+				l.reportLost(o, err)
 				return
 			}
-			idle.Reset(idleLink)
+			idle.Reset(idleTimeout)
 		}
 	}
 }
 
-func (l *Links) lost(o *outgoing, err error) {
+func (l *Links) reportLost(o *outgoing, err error) {
 	if l.onLost != nil && o.ctx.Err() == nil {
 		l.onLost(o.address, err)
 	}
 }
 
-var errAnswersFull = errors.New("too many answers wait for the connection")
+var errAnswerQueueFull = errors.New("too many answers queued for the connection")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// security returns keys for a process of the given role.
+// security returns the keys of a process with the given role.
 func (a *authority) security(role wire.Role) *Security {
 	key := newKey(a.t)
 	template := &x509.Certificate{
@@ -89,8 +89,8 @@
 	return wire.Hello{Version: wire.Version, System: "s", Role: role, Node: "n"}
 }
 
-// serve starts a control process's listener that answers each message with
-// itself, and returns its address and what it refused.
+// serve starts the server of a control process that echoes each message. It returns its address and
+// the errors of the connections that it refused.
 func serve(t *testing.T, s *Security) (string, chan error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,7 +117,7 @@
 	return l.Addr().String(), refused
 }
 
-// exchange reports whether a message gets through and back.
+// exchange reports whether a message is delivered and echoed.
 func exchange(address string, self wire.Hello, s *Security) bool {
 	c, err := Dial(context.Background(), address, self, s)
 	if err != nil {
@@ -135,10 +135,9 @@
 	return ok && r.Above == 7
 }
 
-// TestWhoIsLetIn checks who may open a connection: the right protocol version,
-// system and role, and with TLS a certificate of the authority that holds the
-// role said.
-func TestWhoIsLetIn(t *testing.T) {
+// TestAcceptedPeers checks which peers may open a connection: those with the right protocol version,
+// system and role and, with TLS, a certificate of the authority for that role.
+func TestAcceptedPeers(t *testing.T) {
 	ca, other := newAuthority(t), newAuthority(t)
 	plainAddress, _ := serve(t, &Security{})
 	tlsAddress, _ := serve(t, ca.security(wire.RoleControl))
@@ -162,14 +161,14 @@
 		{"plain text to a TLS listener", tlsAddress, hello(wire.RoleEntry), &Security{}, false},
 	} {
 		if got := exchange(c.address, c.hello, c.security); got != c.want {
-			t.Errorf("%s: let in %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: accepted %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestBadBytesCloseOnlyTheirConnection sends garbage, an oversized frame and a
-// cut frame: each closes its own connection and nothing else.
-func TestBadBytesCloseOnlyTheirConnection(t *testing.T) {
+// TestInvalidFramesCloseOnlyTheirConnection checks that garbage, an oversized frame and a truncated
+// frame each close the connection that they arrive on, and no other.
+func TestInvalidFramesCloseOnlyTheirConnection(t *testing.T) {
 	address, refused := serve(t, &Security{})
 	good, err := Dial(context.Background(), address, hello(wire.RoleEntry), &Security{})
 	if err != nil {
@@ -184,7 +183,7 @@
 		_, _ = c.Write(bytes)
 		_ = c.(*net.TCPConn).CloseWrite()
 		if err := <-refused; err == nil {
-			t.Error("bad bytes were let in")
+			t.Error("invalid bytes were accepted")
 		}
 		_ = c.Close()
 	}
@@ -192,7 +191,7 @@
 		t.Fatal(err)
 	}
 	if _, err := good.Receive(); err != nil {
-		t.Fatalf("the good connection: %v", err)
+		t.Fatalf("valid connection: %v", err)
 	}
 }
 
@@ -206,23 +205,23 @@
 	}
 }
 
-// TestKeysAreRenewed replaces the files under a running process: connections
-// opened after the renewal interval use the new ones.
-func TestKeysAreRenewed(t *testing.T) {
+// TestKeysAreReloaded checks that connections that are opened after the reload interval use the new
+// keys when the files are replaced while the process runs.
+func TestKeysAreReloaded(t *testing.T) {
 	oldCA, newCA := newAuthority(t), newAuthority(t)
 	server := oldCA.security(wire.RoleControl)
 	address, _ := serve(t, server)
 	if !exchange(address, hello(wire.RoleEntry), oldCA.security(wire.RoleEntry)) {
-		t.Fatal("the old keys do not work")
+		t.Fatal("connection with the old keys failed")
 	}
 	fresh := newCA.security(wire.RoleControl).files
 	copyFile(t, fresh.Certificate, server.files.Certificate)
 	copyFile(t, fresh.Key, server.files.Key)
 	copyFile(t, fresh.Authority, server.files.Authority)
 	server.mu.Lock()
-	server.read = time.Now().Add(-2 * renewal)
+	server.loadedAt = time.Now().Add(-2 * reloadInterval)
 	server.mu.Unlock()
 	if !exchange(address, hello(wire.RoleEntry), newCA.security(wire.RoleEntry)) {
-		t.Fatal("the new keys are not in force")
+		t.Fatal("connection with the new keys failed")
 	}
 }
--- a/internal/peer/security.go
+++ b/internal/peer/security.go
@@ -13,30 +13,29 @@
 	"gradetiller.example/internal/wire"
 )
 
-// Security holds the keys for connections between processes. The zero value
-// is plain text.
+// Security holds the keys for connections between processes. The zero value means plain text.
 //
-// The role of a process stands in its certificate as the organizational unit.
+// A certificate contains the role of its process as the organizational unit.
 type Security struct {
-	files Files
-	mu    sync.Mutex
-	cert  *tls.Certificate
-	roots *x509.CertPool
-	read  time.Time
+	files    Files
+	mu       sync.Mutex
+	cert     *tls.Certificate
+	roots    *x509.CertPool
+	loadedAt time.Time
 }
 
-// Files names the PEM files.
+// Files holds the paths of the PEM files.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// renewal is how often the files are read again, so that keys are renewed
+// reloadInterval is the interval at which the files are reloaded, so that keys can be replaced
 // without a restart.
-const renewal = 30 * time.Second
+const reloadInterval = 30 * time.Second
 
-// NewSecurity reads the files; all empty means plain text.
+// NewSecurity loads the files. If all paths are empty, connections use plain text.
 func NewSecurity(f Files) (*Security, error) {
 	s := &Security{files: f}
 	if !s.enabled() {
@@ -60,24 +59,24 @@
 	}
 	pem, err := os.ReadFile(s.files.Authority)
 	if err != nil {
-		return fmt.Errorf("load authority: %w", err)
+		return fmt.Errorf("load certificate authority: %w", err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return fmt.Errorf("load authority: no certificate in %s", s.files.Authority)
+		return fmt.Errorf("load certificate authority: no certificate in %s", s.files.Authority)
 	}
-	s.cert, s.roots, s.read = &cert, roots, time.Now()
+	s.cert, s.roots, s.loadedAt = &cert, roots, time.Now()
 	return nil
 }
 
-// current returns the keys, read again when they are old. Files that can't
-// be read leave the earlier keys in force.
+// current returns the keys and reloads them first if they are older than reloadInterval. If that
+// fails, the previous keys stay in use.
 func (s *Security) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.read) > renewal {
+	if time.Since(s.loadedAt) > reloadInterval {
 		if err := s.reload(); err != nil {
-			s.read = time.Now()
+			s.loadedAt = time.Now()
 		}
 	}
 	return s.cert, s.roots
@@ -110,19 +109,19 @@
 	})
 }
 
-// checkRole compares the role said with the one in the peer's certificate.
+// checkRole checks that the peer's certificate contains the role of its Hello.
 func (s *Security) checkRole(conn net.Conn, role wire.Role) error {
 	if !s.enabled() {
 		return nil
 	}
 	tc, ok := conn.(*tls.Conn)
 	if !ok || len(tc.ConnectionState().PeerCertificates) == 0 {
-		return errors.New("peer showed no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	for _, unit := range tc.ConnectionState().PeerCertificates[0].Subject.OrganizationalUnit {
 		if unit == string(role) {
 			return nil
 		}
 	}
-	return fmt.Errorf("peer's certificate does not hold the role %q", role)
+	return fmt.Errorf("peer's certificate does not contain the role %q", role)
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/server.go
@@ -11,37 +11,37 @@
 
 // Server accepts connections from peers.
 type Server struct {
-	listener net.Listener
-	self     wire.Hello
-	security *Security
-	roles    []wire.Role
-	handle   func(*Conn)
-	refused  func(error)
+	listener  net.Listener
+	self      wire.Hello
+	security  *Security
+	roles     []wire.Role
+	handle    func(*Conn)
+	onRefused func(error)
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	done  bool
-	wait  sync.WaitGroup
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
+	wg     sync.WaitGroup
 }
 
-// NewServer returns a server that passes connections of the given roles to
-// handle, each in a goroutine of its own, and tells refused about others.
+// NewServer returns a server that calls handle, in a separate goroutine, for each connection from
+// a peer of the given roles, and refused with the error of each connection that it rejects.
 func NewServer(l net.Listener, self wire.Hello, s *Security, roles []wire.Role, handle func(*Conn), refused func(error)) *Server {
 	return &Server{
-		listener: l, self: self, security: s, roles: roles, handle: handle, refused: refused,
+		listener: l, self: self, security: s, roles: roles, handle: handle, onRefused: refused,
 		conns: make(map[net.Conn]struct{}),
 	}
 }
 
-// Serve accepts until ctx ends, then closes all connections and returns after
-// the last handler.
+// Serve accepts connections until ctx is done. It then closes all connections and returns when the
+// last handler has returned.
 func (s *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			s.wait.Wait()
+			s.wg.Wait()
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
@@ -56,11 +56,11 @@
 }
 
 func (s *Server) serve(conn net.Conn) {
-	defer s.wait.Done()
-	defer s.forget(conn)
+	defer s.wg.Done()
+	defer s.untrack(conn)
 	c, err := open(s.security.server(conn), s.self, s.security, s.roles)
 	if err != nil {
-		s.refused(err)
+		s.onRefused(err)
 		return
 	}
 	defer c.Close()
@@ -70,15 +70,15 @@
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done {
+	if s.closed {
 		return false
 	}
 	s.conns[conn] = struct{}{}
-	s.wait.Add(1)
+	s.wg.Add(1)
 	return true
 }
 
-func (s *Server) forget(conn net.Conn) {
+func (s *Server) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
@@ -88,7 +88,7 @@
 	_ = s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done = true
+	s.closed = true
 	for conn := range s.conns {
 		_ = conn.Close()
 	}
