--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -208,7 +208,7 @@
 	Settled bool
 }
 
-// Start requests that the writer of a shard stores a started record.
+// Start asks the writer of a shard to store a started record.
 type Start struct {
 	ID    uint64
 	Key   string
--- a/internal/wire/stages.go
+++ b/internal/wire/stages.go
@@ -14,7 +14,7 @@
 	Pieces      int
 }
 
-// StagesSubmit requests that the leader of a stage pool runs the stages of a request. ID is chosen
+// StagesSubmit asks the leader of a stage pool to run the stages of a request. ID is chosen
 // by the sender. Times are in milliseconds from the time of sending. SoftDeadline is when the
 // response should begin.
 type StagesSubmit struct {
@@ -91,7 +91,7 @@
 
 // The outcomes of a placement.
 const (
-	// PlacementUnused means that the endpoint was not used.
+	// PlacementUnused allows no conclusion about the endpoint.
 	PlacementUnused Placement = iota
 	// PlacementServed means that the endpoint began to respond.
 	PlacementServed
