--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,5 +1,4 @@
-// Package packed compresses configurations for the way between processes and to
-// the store.
+// Package packed compresses configurations for transfer between processes and for the store.
 //
 // # Usage
 //
@@ -14,12 +13,12 @@
 	"io"
 )
 
-// maxUnpacked bounds a configuration after unpacking, so that a small message
-// cannot fill the memory.
+// maxUnpacked is the maximum size of a decompressed configuration in bytes, so that a small message
+// cannot exhaust memory.
 const maxUnpacked = 8 << 20
 
-// Pack compresses a configuration. Whole files are most of what a process sends for
-// control at 670 changes a day, and what a node waits for that has just started.
+// Pack compresses a configuration. Configurations are always sent in full: at 670 changes a day they
+// are most of the control traffic of a process, and a node that starts waits for one.
 func Pack(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
@@ -32,18 +31,18 @@
 	return out.Bytes(), nil
 }
 
-// Unpack returns what was packed.
+// Unpack decompresses a configuration that was compressed by Pack.
 func Unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return nil, fmt.Errorf("unpack configuration: %w", err)
+		return nil, fmt.Errorf("decompress configuration: %w", err)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
 	if err != nil {
-		return nil, fmt.Errorf("unpack configuration: %w", err)
+		return nil, fmt.Errorf("decompress configuration: %w", err)
 	}
 	if len(data) > maxUnpacked {
-		return nil, fmt.Errorf("unpack configuration: more than %d bytes", maxUnpacked)
+		return nil, fmt.Errorf("decompress configuration: more than %d bytes", maxUnpacked)
 	}
 	return data, nil
 }
--- a/internal/socket/probe.go
+++ b/internal/socket/probe.go
@@ -7,9 +7,8 @@
 	"syscall"
 )
 
-// Refuses reports whether an address refuses a new connection: nothing listens there. An
-// address that does not answer at all does not refuse. A connection that comes up is
-// closed unused.
+// Refuses reports whether an address refuses connections, because nothing listens there. An address
+// that does not respond within ctx does not refuse. A connection that opens is closed at once.
 func Refuses(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/socket/probe_test.go
+++ b/internal/socket/probe_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestRefuses asks an address with a listener, and the same one after it closed.
+// TestRefuses checks that only an address without a listener refuses: not one with a listener, and
+// not one whose probe was canceled.
 func TestRefuses(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -20,9 +21,9 @@
 	if !Refuses(context.Background(), address) {
 		t.Error("an address without a listener does not refuse")
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if Refuses(ended, address) {
-		t.Error("a question that was given up counts as a refusal")
+	if Refuses(canceled, address) {
+		t.Error("a canceled probe counts as a refusal")
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,29 +1,31 @@
-// Package socket sets options of TCP connections that the standard library lacks.
+// Package socket provides TCP features that the standard library lacks: the user timeout of a
+// connection, and a probe for refused connections.
 //
 // # Usage
 //
 //	dialer := net.Dialer{Control: socket.UserTimeout}
+//	if socket.Refuses(ctx, address) { ... }
 package socket
 
 import "syscall"
 
 const (
-	// tcpUserTimeout is the Linux socket option of that name, which package
-	// syscall lacks.
+	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall lacks.
 	tcpUserTimeout = 0x12
-	// silentPeer is how long sent bytes may stay without acknowledgement, in
-	// milliseconds: an instance without power says nothing.
-	silentPeer = 2500
+	// userTimeoutMillis is how long sent data may remain unacknowledged before the connection is
+	// closed. An instance that lost power does not close its connections.
+	userTimeoutMillis = 2500
 )
 
-// UserTimeout is a net.Dialer control function; it bounds how long a silent peer holds a connection.
+// UserTimeout is a net.Dialer control function that bounds how long a connection to an unresponsive
+// peer stays open.
 func UserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, silentPeer)
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, userTimeoutMillis)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
