--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,15 +1,14 @@
-// Package explain tells the story of a request, an endpoint or a version of the
-// configuration from the logs of many nodes.
+// Package explain merges the logs of many nodes into the timeline of a subject: a request, an
+// endpoint, a node or a version of the configuration.
 //
-// Lines that name the subject are told whole. Around them in time stand the
-// lines of the nodes concerned that show what those believed: the state of the
-// stage services at the request's leader, endpoints that came or went, lost
-// peers, and configurations that came into force.
+// A timeline contains every line that mentions the subject and, from the time around them, the lines
+// that show the state of the nodes involved: the state of the stage services at the request's leader,
+// endpoints that were listed or removed, lost peers, and configurations that came into effect.
 //
 // # Usage
 //
 //	lines, err := explain.Read(file, "node-1.log")
-//	for _, l := range explain.Story(lines, "86f27a4a8c39e2e4", 2*time.Second) {
+//	for _, l := range explain.Timeline(lines, "86f27a4a8c39e2e4", 2*time.Second) {
 //		fmt.Println(l)
 //	}
 package explain
@@ -26,7 +25,7 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// The fields of a line that are looked at.
+// Keys of log fields.
 const (
 	fieldTime     = "ts"
 	fieldEvent    = "msg"
@@ -35,40 +34,39 @@
 	fieldNode     = "node"
 )
 
-// subjectFields are the fields that may name the subject of a story.
+// subjectFields are the fields that may contain the subject of a timeline.
 var subjectFields = []string{"id", "request", fieldEndpoint, "version", "config", fieldNode, fieldLeader}
 
-// stateEvents tell what a node believed, rather than what it did to a request.
+// stateEvents show the state of a node, rather than what it did with a request.
 var stateEvents = []string{"leader lost", "leads a cell", "leads a cell no more", "configuration in force", "evacuation in force", "evacuation over", "store lost", "store reached", "peer lost"}
 
-// endpointEvents tell what became of an endpoint.
+// endpointEvents show the state of an endpoint.
 var endpointEvents = []string{"endpoint listed", "endpoint gone", "stage call lost"}
 
-// leaderEvent is the state of a stage service at its leader.
+// leaderEvent shows the state of a stage service at its leader.
 const leaderEvent = "stage service"
 
-// Line is one line of a log.
+// Line is a line of a log.
 type Line struct {
-	at     time.Time
-	source string
-	text   string
-	direct bool
-	fields map[string]string
+	at      time.Time
+	source  string
+	text    string
+	matched bool
+	fields  map[string]string
 }
 
-// String returns the line with its source; lines that name the subject begin
-// with a mark.
+// String returns the line with its source. Lines that mention the subject start with ">".
 func (l Line) String() string {
 	mark := " "
-	if l.direct {
+	if l.matched {
 		mark = ">"
 	}
 	return fmt.Sprintf("%s %s %s %s", mark, l.at.UTC().Format("15:04:05.000"), l.source, l.text)
 }
 
-// Read reads a node's log. The source names it in the story until the node has
-// said its name. Lines without a time are passed over, since logs of other
-// programs may stand between.
+// Read reads a node's log. The lines have the given source until a "started" event contains the name
+// of the node, which then replaces it. Lines without a time are skipped, since the log may contain
+// output of other programs.
 func Read(r io.Reader, source string) ([]Line, error) {
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -107,12 +105,12 @@
 	return l, true
 }
 
-// names reports whether a line is about the subject.
-func (l Line) names(subject string) bool {
+// mentions reports whether a field of the line contains the subject.
+func (l Line) mentions(subject string) bool {
 	return slices.ContainsFunc(subjectFields, func(field string) bool { return l.fields[field] == subject })
 }
 
-// scope is what a story is about besides its subject.
+// scope is the period and the nodes and endpoints from which a timeline includes state.
 type scope struct {
 	from, to  time.Time
 	sources   map[string]bool
@@ -120,34 +118,35 @@
 	endpoints map[string]bool
 }
 
-// Timeline returns the lines about a subject, and those that surround them within
-// a time, in the order of their times.
+// Timeline returns the lines that mention a subject, and the lines that show the state of the nodes
+// involved from the time around before the first until the time around after the last one. They are
+// ordered by time.
 func Timeline(lines []Line, subject string, around time.Duration) []Line {
-	var story []Line
+	var timeline []Line
 	s := scope{sources: make(map[string]bool), leaders: make(map[string]bool), endpoints: make(map[string]bool)}
 	for _, l := range lines {
-		if l.names(subject) {
-			l.direct = true
-			story = append(story, l)
-			s.add(l)
+		if l.mentions(subject) {
+			l.matched = true
+			timeline = append(timeline, l)
+			s.extend(l)
 		}
 	}
-	if len(story) == 0 {
+	if len(timeline) == 0 {
 		return nil
 	}
 	s.from = s.from.Add(-around)
 	s.to = s.to.Add(around)
 	for _, l := range lines {
-		if !l.names(subject) && s.covers(l) {
-			story = append(story, l)
+		if !l.mentions(subject) && s.covers(l) {
+			timeline = append(timeline, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b Line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.source, b.source)) })
-	return story
+	slices.SortStableFunc(timeline, func(a, b Line) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.source, b.source)) })
+	return timeline
 }
 
-// add widens the scope by a line about the subject.
-func (s *scope) add(l Line) {
+// extend extends the scope by a line that mentions the subject.
+func (s *scope) extend(l Line) {
 	if s.from.IsZero() || l.at.Before(s.from) {
 		s.from = l.at
 	}
@@ -166,20 +165,20 @@
 	}
 }
 
-// covers reports whether a line shows what the nodes concerned believed.
+// covers reports whether a line shows the state of a node or endpoint in the scope.
 func (s *scope) covers(l Line) bool {
 	if l.at.Before(s.from) || l.at.After(s.to) {
 		return false
 	}
 	event := l.fields[fieldEvent]
-	concerned := s.sources[l.source] || s.leaders[l.source]
+	involved := s.sources[l.source] || s.leaders[l.source]
 	switch {
 	case slices.Contains(stateEvents, event):
-		return concerned
+		return involved
 	case event == leaderEvent:
 		return s.leaders[l.source]
 	case slices.Contains(endpointEvents, event):
-		return concerned && s.endpoints[l.fields[fieldEndpoint]]
+		return involved && s.endpoints[l.fields[fieldEndpoint]]
 	}
 	return false
 }
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -12,28 +12,27 @@
 )
 
 const (
-	// maxPending bounds the bytes of lines that wait to be written.
+	// maxPending bounds the buffered lines, in bytes.
 	maxPending = 1 << 20
-	// urgentReserve is the part of maxPending, in bytes, that ordinary lines
-	// leave to urgent ones. A request's line takes some 300 bytes, so that it holds
-	// 800 requests that fail at once, as when a stop cuts what is in flight, while
-	// the stream takes nothing.
+	// urgentReserve is the part of maxPending, in bytes, that is reserved for urgent lines. A
+	// request's line has about 300 bytes, so the reserve holds 800 requests that fail at once,
+	// for example in a shutdown that cancels them, while the stream is blocked.
 	urgentReserve = 256 << 10
 )
 
-// Kind is what a line is worth when not all find room.
+// Kind is the priority of a line when the buffer is short of space.
 type Kind int
 
 const (
-	// Ordinary lines may use what may wait but for the urgent ones' reserve.
+	// Ordinary lines may use the buffer except for the reserve of urgent lines.
 	Ordinary Kind = iota
-	// Urgent lines may use all of it: those of failed requests, warnings and
-	// errors.
+	// Urgent lines may use the whole buffer. They are warnings and errors, which includes failed
+	// requests.
 	Urgent
-	kinds
+	kindCount
 )
 
-// kindOf is the one place that decides of which kind a line is: by its level.
+// kindOf returns the kind of lines at a level.
 func kindOf(l zapcore.Level) Kind {
 	if l >= zapcore.WarnLevel {
 		return Urgent
@@ -41,8 +40,8 @@
 	return Ordinary
 }
 
-// limit is how many bytes may wait, of all kinds, once a line of this kind has
-// been taken.
+// limit returns the maximum number of buffered bytes, of all kinds, after a line of this kind is
+// added.
 func (k Kind) limit() int {
 	if k == Urgent {
 		return maxPending
@@ -50,47 +49,47 @@
 	return maxPending - urgentReserve
 }
 
-// Bounded writes lines in the background. It never makes a caller wait: a
-// line that finds too many bytes waiting is dropped and counted by its kind,
-// and a line says how many were, once there is room again. Lines are written
-// in the order in which they were taken, and no lock is held meanwhile.
+// Bounded writes lines in the background, in the order of the calls. It never blocks a caller: a line
+// for which the buffer has no space is dropped and counted by its kind, and the next flush appends a
+// line with the number of dropped lines. No lock is held while the stream is written.
 type Bounded struct {
 	to io.Writer
 	mu sync.Mutex
 	// pending never holds more than maxPending bytes.
 	pending bytes.Buffer
-	dropped [kinds]atomic.Uint64
-	// told are the dropped lines that a line has told of.
-	told [kinds]uint64
-	stop chan struct{}
-	done chan struct{}
+	dropped [kindCount]atomic.Uint64
+	// reported counts the dropped lines that have been reported in the log.
+	reported [kindCount]uint64
+	stop     chan struct{}
+	done     chan struct{}
 }
 
-// NewBounded returns a writer to a stream; Stop writes what is left.
+// NewBounded returns a background writer to a stream. The caller must call Stop to write the lines
+// that are still buffered.
 func NewBounded(to io.Writer) *Bounded {
 	b := &Bounded{to: to, stop: make(chan struct{}), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write takes one ordinary line.
-func (b *Bounded) Write(line []byte) (int, error) { return b.take(Ordinary, line) }
+// Write adds an ordinary line.
+func (b *Bounded) Write(line []byte) (int, error) { return b.enqueue(Ordinary, line) }
 
-// Sync implements zapcore.WriteSyncer; it does not wait.
+// Sync implements zapcore.WriteSyncer. It does nothing.
 func (b *Bounded) Sync() error { return nil }
 
-// WriterFor returns what takes lines of a kind.
-func (b *Bounded) WriterFor(k Kind) zapcore.WriteSyncer { return taker{Bounded: b, kind: k} }
+// WriterFor returns a writer that adds lines of a kind.
+func (b *Bounded) WriterFor(k Kind) zapcore.WriteSyncer { return kindWriter{Bounded: b, kind: k} }
 
-// taker takes lines of one kind.
-type taker struct {
+// kindWriter adds lines of one kind to a Bounded.
+type kindWriter struct {
 	*Bounded
 	kind Kind
 }
 
-func (t taker) Write(line []byte) (int, error) { return t.take(t.kind, line) }
+func (w kindWriter) Write(line []byte) (int, error) { return w.enqueue(w.kind, line) }
 
-func (b *Bounded) take(k Kind, line []byte) (int, error) {
+func (b *Bounded) enqueue(k Kind, line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pending.Len()+len(line) > k.limit() {
@@ -100,13 +99,13 @@
 	return b.pending.Write(line)
 }
 
-// Dropped returns the number of lines that were dropped.
+// Dropped returns the number of dropped lines.
 func (b *Bounded) Dropped() uint64 { return b.DroppedOf(Ordinary) + b.DroppedOf(Urgent) }
 
-// DroppedOf returns the number of lines of a kind that were dropped.
+// DroppedOf returns the number of dropped lines of a kind.
 func (b *Bounded) DroppedOf(k Kind) uint64 { return b.dropped[k].Load() }
 
-// Stop writes what is left and ends the background work.
+// Stop writes the buffered lines and stops the background writer.
 func (b *Bounded) Stop() {
 	close(b.stop)
 	<-b.done
@@ -127,29 +126,29 @@
 	}
 }
 
-// flush writes the waiting lines, without the lock.
+// flush writes the buffered lines, without holding the lock.
 func (b *Bounded) flush() {
 	b.mu.Lock()
 	lines := append([]byte(nil), b.pending.Bytes()...)
 	b.pending.Reset()
 	b.mu.Unlock()
-	lines = b.tellDropped(lines)
+	lines = b.appendDropReport(lines)
 	if len(lines) > 0 {
 		_, _ = b.to.Write(lines)
 	}
 }
 
-// tellDropped appends a line about what was dropped since the last such line.
-func (b *Bounded) tellDropped(lines []byte) []byte {
-	var fresh [kinds]uint64
-	for k := range kinds {
-		now := b.DroppedOf(k)
-		fresh[k] = now - b.told[k]
-		b.told[k] = now
+// appendDropReport appends a line with the number of lines dropped since the last such line, if any.
+func (b *Bounded) appendDropReport(lines []byte) []byte {
+	var unreported [kindCount]uint64
+	for k := range kindCount {
+		total := b.DroppedOf(k)
+		unreported[k] = total - b.reported[k]
+		b.reported[k] = total
 	}
-	count := fresh[Ordinary] + fresh[Urgent]
+	count := unreported[Ordinary] + unreported[Urgent]
 	if count == 0 {
 		return lines
 	}
-	return fmt.Appendf(lines, "level=warn msg=\"log lines dropped\" count=%d urgent=%d\n", count, fresh[Urgent])
+	return fmt.Appendf(lines, "level=warn msg=\"log lines dropped\" count=%d urgent=%d\n", count, unreported[Urgent])
 }
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -11,22 +11,22 @@
 	"go.uber.org/zap"
 )
 
-// stuck is a stream whose reader does not read until it is let go.
-type stuck struct {
+// blockedStream is a stream whose writes block until unblocked is closed.
+type blockedStream struct {
 	bytes.Buffer
-	free chan struct{}
+	unblocked chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.free
+func (s *blockedStream) Write(p []byte) (int, error) {
+	<-s.unblocked
 	return s.Buffer.Write(p)
 }
 
-// TestNeverBlocks writes far more than the bound to a stream that is stuck:
-// no write waits, the lost lines are counted, and a line tells it.
+// TestNeverBlocks checks that logging more than the buffer holds to a blocked stream does not block
+// the caller, and that the dropped lines are counted and reported in the log.
 func TestNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stuck{free: make(chan struct{})}
+		s := &blockedStream{unblocked: make(chan struct{})}
 		b := NewBounded(s)
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		started := time.Now()
@@ -36,30 +36,30 @@
 			}
 		}
 		if waited := time.Since(started); waited != 0 {
-			t.Errorf("writes took %v", waited)
+			t.Errorf("writes blocked for %v", waited)
 		}
 		if b.Dropped() == 0 {
-			t.Error("nothing was dropped beyond the bound")
+			t.Error("no line was dropped although the buffer was full")
 		}
-		close(s.free)
+		close(s.unblocked)
 		b.Stop()
 		if want := fmt.Sprintf("count=%d", b.Dropped()); !strings.Contains(s.String(), want) {
-			t.Errorf("no line says that %s lines were dropped", want)
+			t.Errorf("no line reports the dropped lines: %s", want)
 		}
 	})
 }
 
-// flood is how many lines of floodLine bytes are written: several times the bound.
+// floodLines lines of floodLineSize bytes are several times the size of the buffer.
 const (
-	flood     = 5000
-	floodLine = 1000
+	floodLines    = 5000
+	floodLineSize = 1000
 )
 
-// logToStuck returns a log whose stream takes nothing, with a write under way,
-// and what ends that and returns all that was written.
-func logToStuck(t *testing.T) (*zap.Logger, func() string) {
+// newBlockedLog returns a logger to a blocked stream, with a write in progress, and a function that
+// unblocks the stream, stops the writer and returns all that was written.
+func newBlockedLog(t *testing.T) (*zap.Logger, func() string) {
 	t.Helper()
-	s := &stuck{free: make(chan struct{})}
+	s := &blockedStream{unblocked: make(chan struct{})}
 	log, out, err := NewTo(s, "info")
 	if err != nil {
 		t.Fatal(err)
@@ -67,64 +67,62 @@
 	log.Info("first")
 	time.Sleep(2 * flushInterval)
 	return log, func() string {
-		close(s.free)
+		close(s.unblocked)
 		out.Stop()
 		return s.String()
 	}
 }
 
-// checkBounded checks that no more waited than may, besides the line that was
-// being written and the one that tells of the drop.
+// checkBounded checks that no more was buffered than allowed, apart from the line that was being
+// written and the one that reports the dropped lines.
 func checkBounded(t *testing.T, out string) {
 	t.Helper()
-	if len(out) > maxPending+floodLine {
-		t.Errorf("%d bytes waited, the bound is %d", len(out), maxPending)
+	if len(out) > maxPending+floodLineSize {
+		t.Errorf("%d bytes were buffered, the maximum is %d", len(out), maxPending)
 	}
 }
 
-// TestBoundedKeepsFailedRequests floods a stuck stream with ordinary lines: the
-// line of a failed request that comes then is written, and only ordinary ones
-// are told as dropped.
+// TestBoundedKeepsFailedRequests checks that the line of a failed request is kept when ordinary lines
+// have filled their part of the buffer, and that only ordinary lines are reported as dropped.
 func TestBoundedKeepsFailedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log, free := logToStuck(t)
-		for range flood {
-			log.Info(strings.Repeat("x", floodLine))
+		log, unblock := newBlockedLog(t)
+		for range floodLines {
+			log.Info(strings.Repeat("x", floodLineSize))
 		}
-		// Short lines take what room is left between the last long one and the bound.
-		for range flood {
+		// Short lines fill the space that is left after the last long one.
+		for range floodLines {
 			log.Info("y")
 		}
 		log.Warn("request", zap.String("id", "failed"))
 		log.With(zap.String("id", "with")).Error("request")
-		out := free()
+		out := unblock()
 		for _, id := range []string{"id=failed", "id=with"} {
 			if strings.Count(out, id) != 1 {
 				t.Errorf("the line with %s was written %d times", id, strings.Count(out, id))
 			}
 		}
-		lost := 2*flood - strings.Count(out, "xxx\n") - strings.Count(out, "msg=y\n")
-		if want := fmt.Sprintf("msg=\"log lines dropped\" count=%d urgent=0\n", lost); lost == 0 || !strings.HasSuffix(out, want) {
-			t.Errorf("%d ordinary lines were lost; no line ends the log with %q", lost, want)
+		dropped := 2*floodLines - strings.Count(out, "xxx\n") - strings.Count(out, "msg=y\n")
+		if want := fmt.Sprintf("msg=\"log lines dropped\" count=%d urgent=0\n", dropped); dropped == 0 || !strings.HasSuffix(out, want) {
+			t.Errorf("%d ordinary lines were dropped; the log does not end with %q", dropped, want)
 		}
 		checkBounded(t, out)
 	})
 }
 
-// TestBoundedFailedRequestsFlood floods a stuck stream with lines of failed
-// requests: what waits stays bounded, and a line tells how many of them were
-// dropped.
+// TestBoundedFailedRequestsFlood checks that the buffer stays bounded when it is flooded with lines of
+// failed requests, and that the number of dropped ones is reported.
 func TestBoundedFailedRequestsFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log, free := logToStuck(t)
-		for range flood {
-			log.Warn(strings.Repeat("x", floodLine))
+		log, unblock := newBlockedLog(t)
+		for range floodLines {
+			log.Warn(strings.Repeat("x", floodLineSize))
 		}
 		log.Info("ordinary")
-		out := free()
-		lost := flood - strings.Count(out, "xxx\n")
-		if want := fmt.Sprintf("msg=\"log lines dropped\" count=%d urgent=%d\n", lost+1, lost); lost == 0 || !strings.HasSuffix(out, want) {
-			t.Errorf("%d lines of failed requests were lost; no line ends the log with %q", lost, want)
+		out := unblock()
+		dropped := floodLines - strings.Count(out, "xxx\n")
+		if want := fmt.Sprintf("msg=\"log lines dropped\" count=%d urgent=%d\n", dropped+1, dropped); dropped == 0 || !strings.HasSuffix(out, want) {
+			t.Errorf("%d lines of failed requests were dropped; the log does not end with %q", dropped, want)
 		}
 		checkBounded(t, out)
 	})
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging builds the structured log: one line of key=value pairs for
-// each event, on standard error or another stream. What waits to be written is
-// bounded, and nobody waits for it; lines at level warn and above find room that
-// others leave to them.
+// Package logging builds the structured log, which has one line of key=value pairs for each event
+// and goes to standard error or another stream. Lines are buffered and written in the background, so
+// that logging never blocks. The buffer is bounded, and a part of it is reserved for lines at level
+// warn and above.
 //
 // # Usage
 //
@@ -23,8 +23,8 @@
 
 const flushInterval = 200 * time.Millisecond
 
-// New returns a log at a level (debug, info, warn, error) on standard error and
-// the function that writes out what is buffered.
+// New returns a logger to standard error at a level (debug, info, warn or error), and a function that
+// writes the buffered lines and stops the background writer.
 func New(level string) (*zap.Logger, func(), error) {
 	log, out, err := NewTo(os.Stderr, level)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return log, out.Stop, nil
 }
 
-// NewTo returns a log at a level on a stream, and what writes it.
+// NewTo returns a logger to a stream at a level, and its background writer.
 func NewTo(stream io.Writer, level string) (*zap.Logger, *Bounded, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
