--- a/internal/capacity/benchmarks.go
+++ b/internal/capacity/benchmarks.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// Point is one measured size.
+// Point is the result Y of a benchmark at the size X.
 type Point struct{ X, Y float64 }
 
-// Measurements holds the points of every metric, by "Benchmark:unit".
+// Measurements holds the points of each metric, by "Benchmark:unit".
 type Measurements struct {
 	points map[string][]Point
 }
 
-var sizeInName = regexp.MustCompile(`^Benchmark(\w+)(?:/(.*))?-\d+$`)
+var benchmarkName = regexp.MustCompile(`^Benchmark(\w+)(?:/(.*))?-\d+$`)
 
-// ParseBenchmarks reads the output of go test -bench. The first number in a
-// sub-benchmark's name is the size; a benchmark without one has size 1.
+// ParseBenchmarks parses the output of go test -bench. The first number in the name of a
+// sub-benchmark is its size. A benchmark without a number has size 1.
 func ParseBenchmarks(r io.Reader) (*Measurements, error) {
 	m := &Measurements{points: make(map[string][]Point)}
 	lines := bufio.NewScanner(r)
@@ -29,11 +29,11 @@
 		if len(fields) < 4 || !strings.HasPrefix(fields[0], "Benchmark") {
 			continue
 		}
-		match := sizeInName.FindStringSubmatch(fields[0])
+		match := benchmarkName.FindStringSubmatch(fields[0])
 		if match == nil {
 			continue
 		}
-		size, rest := sizeOf(match[2])
+		size, rest := splitSize(match[2])
 		for i := 2; i+1 < len(fields); i += 2 {
 			y, err := strconv.ParseFloat(fields[i], 64)
 			if err != nil {
@@ -46,11 +46,11 @@
 	return m, lines.Err()
 }
 
-var number = regexp.MustCompile(`\d+`)
+var firstNumber = regexp.MustCompile(`\d+`)
 
-// sizeOf splits the first number off a sub-benchmark's name.
-func sizeOf(name string) (size float64, rest string) {
-	at := number.FindStringIndex(name)
+// splitSize splits the name of a sub-benchmark into its first number and the part before that.
+func splitSize(name string) (size float64, rest string) {
+	at := firstNumber.FindStringIndex(name)
 	if at == nil {
 		if name == "" {
 			return 1, ""
@@ -67,8 +67,8 @@
 // Points returns the points of a metric.
 func (m *Measurements) Points(key string) []Point { return m.points[key] }
 
-// At returns a metric at a size: as measured if that size was, else on the
-// line through the points.
+// At returns the value of a metric at a size. It is the measured value if that size was measured, and
+// otherwise the value of the line through the points.
 func (m *Measurements) At(key string, x float64) float64 {
 	for _, p := range m.points[key] {
 		if p.X == x {
@@ -81,11 +81,10 @@
 // Line is y = A + B·x.
 type Line struct{ A, B float64 }
 
-// At returns y at x, and at least 0.
+// At returns the value of the line at x, or 0 if that is negative.
 func (l Line) At(x float64) float64 { return max(0, l.A+l.B*x) }
 
-// Fit returns the least-squares line through points. A single point gives a
-// constant.
+// Fit returns the least-squares line through points. If all have the same X, the line is constant.
 func Fit(points []Point) Line {
 	n := float64(len(points))
 	if n == 0 {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,8 +7,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestArithmetic holds the model against a golden table for fixed
-// measurements; no timing takes part.
+// TestArithmetic compares the tables for fixed measurements with a golden file. It measures nothing.
 func TestArithmetic(t *testing.T) {
 	f, err := os.Open("testdata/benchmarks.txt")
 	if err != nil {
@@ -23,7 +22,7 @@
 	goldie.New(t).Assert(t, "tables", []byte(out))
 }
 
-// TestFit checks the line through points that lie on one.
+// TestFit checks that the line through collinear points is exact.
 func TestFit(t *testing.T) {
 	l := Fit([]Point{{1, 5}, {2, 7}, {10, 23}})
 	if l.At(100) < 202.999 || l.At(100) > 203.001 {
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,13 +1,13 @@
-// Package capacity works out what each role costs at a fleet's size from
-// slopes that benchmarks measured.
+// Package capacity computes the cost of each role for the size of a fleet from the results of
+// benchmarks.
 //
-// A benchmark that runs at several sizes gives a line y = a + b·x by least
-// squares; a cost is such a line taken at the fleet's size, times how often it
-// occurs. The package does arithmetic only; the program in report reads the
-// benchmarks' output.
+// The results of a benchmark at several sizes give a line y = a + b·x by least squares. A cost is the
+// value of such a line at the size of the fleet, multiplied by the rate at which it occurs. The
+// package only does the arithmetic. The program in report prints the tables for the output of the
+// benchmarks.
 //
 // # Usage
 //
-//	m := capacity.ParseBenchmarks(output)
+//	m, err := capacity.ParseBenchmarks(output)
 //	for _, row := range capacity.Rows(m, capacity.Target) { fmt.Println(row) }
 package capacity
--- a/internal/capacity/report/main.go
+++ b/internal/capacity/report/main.go
@@ -1,5 +1,5 @@
-// Command report reads the output of go test -bench and prints the tables of
-// docs/CAPACITY.md. It is run by make capacity.
+// Command report reads the output of go test -bench from standard input and prints the capacity
+// tables. It is run by make capacity.
 package main
 
 import (
