--- /dev/null
+++ b/internal/wire/crashes.go
@@ -0,0 +1,37 @@
+package wire
+
+// Refusal is a request that is refused because it crashes endpoints. Its fields are those of
+// poison.Refusal, with Remaining in milliseconds.
+type Refusal struct {
+	Request   []byte
+	Version   uint64
+	Remaining int64
+	Count     int
+	Pardoned  bool
+	// Age is the time since the first crash that counts against the request, in milliseconds.
+	Age int64
+}
+
+// EndpointCrash is a poison.Crash.
+type EndpointCrash struct {
+	Endpoint string
+	Address  string
+	Among    int
+	Sure     bool
+	Alive    bool
+}
+
+// CrashReport is a poison.Report.
+type CrashReport struct {
+	Request []byte
+	Crashes []EndpointCrash
+	Served  bool
+}
+
+// CrashReports reports endpoint crashes under requests to the nodes that count the crashes of
+// those requests.
+type CrashReports struct {
+	Reports []CrashReport
+}
+
+func (CrashReports) kind() kind { return kindCrashReports }
