--- a/config/check.go
+++ b/config/check.go
@@ -72,8 +72,8 @@
 }
 
 func fillDefaults(f *fileConfig) {
-	setDefault(&f.Locate.Keep, DefaultKeep)
-	setDefault(&f.Locate.Addresses, DefaultAddresses)
+	setDefault(&f.Locate.Keep, DefaultLocateKeep)
+	setDefault(&f.Locate.Addresses, DefaultLocateAddresses)
 	setDefault(&f.Policies.Order, DefaultOrder)
 	setDefault(&f.Policies.Place, DefaultPlace)
 	setDefault(&f.Policies.Retry, RetryBudgeted)
--- a/config/config.go
+++ b/config/config.go
@@ -10,14 +10,14 @@
 
 // Defaults of settings that a file may leave out.
 const (
-	DefaultKeep        = 5 * time.Second
-	DefaultAddresses   = 3
-	DefaultOrder       = "fair_slack"
-	DefaultPlace       = "predicted_finish"
-	DefaultRetryShare  = 0.1
-	DefaultQueue       = 256
-	DefaultSlots       = 8
-	DefaultConcurrency = 256
+	DefaultLocateKeep      = 5 * time.Second
+	DefaultLocateAddresses = 3
+	DefaultOrder           = "fair_slack"
+	DefaultPlace           = "predicted_finish"
+	DefaultRetryShare      = 0.1
+	DefaultQueue           = 256
+	DefaultSlots           = 8
+	DefaultConcurrency     = 256
 )
 
 // Config is one checked configuration. It never changes after Parse, so that
@@ -72,9 +72,9 @@
 // Evacuated lists the failure domains to whose endpoints nothing further is to be sent.
 func (c *Config) Evacuated() []string { return c.f.Evacuated }
 
-// TakesWork reports whether calls and orders go to an endpoint: its failure domain is not
+// InService reports whether calls and orders go to an endpoint: its failure domain is not
 // evacuated.
-func (c *Config) TakesWork(e *Endpoint) bool { return !slices.Contains(c.f.Evacuated, e.Domain()) }
+func (c *Config) InService(e *Endpoint) bool { return !slices.Contains(c.f.Evacuated, e.Domain()) }
 
 // AccountByKey finds the account whose key hash matches the key, and returns
 // its index among Accounts.
--- a/config/evacuate_test.go
+++ b/config/evacuate_test.go
@@ -55,8 +55,8 @@
 	c := mustParse(t, evacuateFile+"\nevacuated: [d1]\n")
 	for i := range c.Pools()[0].Endpoints() {
 		e := &c.Pools()[0].Endpoints()[i]
-		if c.TakesWork(e) != (e.Domain() == "d2") {
-			t.Errorf("%s takes work: %v", e.Name(), c.TakesWork(e))
+		if c.InService(e) != (e.Domain() == "d2") {
+			t.Errorf("%s takes work: %v", e.Name(), c.InService(e))
 		}
 	}
 }
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -161,11 +161,11 @@
 
 // StatusResponse is the state of the system as one control process sees it.
 type StatusResponse struct {
-	Node      string         `json:"node"`
-	Version   uint64         `json:"version"`
-	StoreAway bool           `json:"store_away"`
-	Members   []MemberLine   `json:"members"`
-	Leaving   []EndpointLine `json:"leaving_endpoints,omitempty"`
+	Node             string         `json:"node"`
+	Version          uint64         `json:"version"`
+	StoreUnavailable bool           `json:"store_away"`
+	Members          []MemberLine   `json:"members"`
+	Leaving          []EndpointLine `json:"leaving_endpoints,omitempty"`
 	// Placement is the holder of the placement lease as last read.
 	Placement string `json:"placement_holder,omitempty"`
 	// Evacuated are the failure domains to whose endpoints nothing is sent.
@@ -191,7 +191,7 @@
 func (c *Control) statusEndpoint(context.Context, any) (any, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := StatusResponse{Node: c.id.Node, Version: c.inForce.Version, StoreAway: c.storeAway}
+	s := StatusResponse{Node: c.id.Node, Version: c.inForce.Version, StoreUnavailable: c.storeAway}
 	s.Placement = c.placement.holder()
 	if c.cfg != nil {
 		s.Evacuated = c.cfg.Evacuated()
--- a/internal/control/jobs.go
+++ b/internal/control/jobs.go
@@ -223,7 +223,7 @@
 		p := &cfg.Pools()[i]
 		for j := range p.Endpoints() {
 			e := &p.Endpoints()[j]
-			if cfg.TakesWork(e) && p.Kind() == config.KindEngine && len(e.Versions()) > 0 {
+			if cfg.InService(e) && p.Kind() == config.KindEngine && len(e.Versions()) > 0 {
 				engines = append(engines, fleet.Engine{Name: p.Name() + "/" + e.Name(), Address: e.Address(), Wanted: e.Versions(), ChecksEpoch: e.ChecksOrders()})
 			}
 		}
--- a/internal/core/run/engine.go
+++ b/internal/core/run/engine.go
@@ -178,7 +178,7 @@
 	specs := make([]place.Spec, 0, len(conf.Endpoints()))
 	for i := range conf.Endpoints() {
 		ep := &conf.Endpoints()[i]
-		if !cfg.TakesWork(ep) {
+		if !cfg.InService(ep) {
 			continue
 		}
 		specs = append(specs, place.Spec{
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -19,7 +19,7 @@
 	PeerListen    Address `help:"IP address and port for the system's other processes." required:"" placeholder:"IP:PORT"`
 	Platform      string  `help:"Base URL of the platform's services, http://IP:PORT." required:""`
 	LogLevel      string  `help:"debug, info, warn or error." default:"info"`
-	Keys
+	PeerTLS
 }
 
 // Resources are what a long-lived program opens at its start.
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -13,8 +13,8 @@
 	"gradetiller.example/internal/peer"
 )
 
-// Keys are the settings of mutual TLS between the system's processes.
-type Keys struct {
+// PeerTLS are the settings of mutual TLS between the system's processes.
+type PeerTLS struct {
 	TLSCert       string `help:"PEM file of this process's certificate; its organizational unit is the role." placeholder:"FILE"`
 	TLSKey        string `help:"PEM file of this process's key." placeholder:"FILE"`
 	TLSCA         string `name:"tls-ca" help:"PEM file of the authority that signs peers' certificates." placeholder:"FILE"`
@@ -23,7 +23,7 @@
 
 // Security reads the keys. Plain text is only allowed on the loopback
 // interface or by the explicit flag.
-func (k Keys) Security(listen Address) (*peer.Security, error) {
+func (k PeerTLS) Security(listen Address) (*peer.Security, error) {
 	s, err := peer.NewSecurity(peer.Files{Certificate: k.TLSCert, Key: k.TLSKey, Authority: k.TLSCA})
 	if err != nil {
 		return nil, err
