--- a/config/check.go
+++ b/config/check.go
@@ -27,18 +27,19 @@
 const (
 	currentFormat = 1
 	maxStages     = 16
-	maxKeep       = time.Minute
-	keyHashBytes  = 32
+	maxLocateKeep = time.Minute
+	keyHashSize   = 32
 )
 
-// checker gathers problems. Places in the file are found by YAML path.
+// checker collects the problems of one file.
 type checker struct {
 	file     string
 	body     ast.Node
 	problems Problems
 }
 
-func (c *checker) at(n ast.Node, code Code, message, fix string) {
+// reportNode adds a problem at the position of a node.
+func (c *checker) reportNode(n ast.Node, code Code, message, fix string) {
 	p := Problem{file: c.file, line: 1, col: 1, code: code, message: message, fix: fix}
 	if n != nil && n.GetToken() != nil {
 		pos := n.GetToken().Position
@@ -47,20 +48,20 @@
 	c.problems = append(c.problems, p)
 }
 
-// add reports a problem at a path; a path that the file leaves out is placed
-// at its nearest parent.
-func (c *checker) add(path string, code Code, message, fix string) {
+// reportPath adds a problem at the position of a YAML path, or of its nearest
+// ancestor that is present in the file.
+func (c *checker) reportPath(path string, code Code, message, fix string) {
 	for at := path; at != "$"; at = parentPath(at) {
 		yp, err := yaml.PathString(at)
 		if err != nil {
 			break
 		}
 		if n, err := yp.FilterNode(c.body); err == nil && n != nil {
-			c.at(n, code, message, fix)
+			c.reportNode(n, code, message, fix)
 			return
 		}
 	}
-	c.at(c.body, code, message, fix)
+	c.reportNode(c.body, code, message, fix)
 }
 
 func parentPath(path string) string {
@@ -113,46 +114,46 @@
 
 func (c *checker) check(f *fileConfig) {
 	if f.Format != currentFormat {
-		c.add("$.format", CodeRange, fmt.Sprintf("format is %d", f.Format), fmt.Sprintf("write format: %d", currentFormat))
+		c.reportPath("$.format", CodeRange, fmt.Sprintf("format is %d", f.Format), fmt.Sprintf("write format: %d", currentFormat))
 	}
-	c.name("$.name", f.Name)
-	if f.Locate.Keep < 0 || f.Locate.Keep > maxKeep {
-		c.add("$.locate.keep", CodeRange, fmt.Sprintf("keep is %v", f.Locate.Keep), "write a duration up to 1m")
+	c.checkName("$.name", f.Name)
+	if f.Locate.Keep < 0 || f.Locate.Keep > maxLocateKeep {
+		c.reportPath("$.locate.keep", CodeRange, fmt.Sprintf("keep is %v", f.Locate.Keep), "write a duration up to 1m")
 	}
 	if f.Locate.Addresses < 1 {
-		c.add("$.locate.addresses", CodeRange, "addresses is below 1", "write 1 or more")
-	}
-	c.policies(f.Policies)
-	c.accounts(f.Accounts)
-	c.pools(f.Pools)
-	c.pipelines(f)
-	c.experiments(f)
-	c.unusedPools(f)
-	c.evacuated(f)
+		c.reportPath("$.locate.addresses", CodeRange, "addresses is below 1", "write 1 or more")
+	}
+	c.checkPolicies(f.Policies)
+	c.checkAccounts(f.Accounts)
+	c.checkPools(f.Pools)
+	c.checkPipelines(f)
+	c.checkExperiments(f)
+	c.checkUnusedPools(f)
+	c.checkEvacuated(f)
 }
 
-func (c *checker) name(path, name string) {
+func (c *checker) checkName(path, name string) {
 	if name == "" {
-		c.add(path, CodeMissing, path+" is missing", "give it a name")
+		c.reportPath(path, CodeMissing, path+" is missing", "give it a name")
 		return
 	}
 	for _, r := range name {
 		if r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-' || r == '_' || r == '.' {
 			continue
 		}
-		c.add(path, CodeRange, fmt.Sprintf("name %q holds %q", name, r), "use a-z, 0-9, '-', '_' and '.'")
+		c.reportPath(path, CodeRange, fmt.Sprintf("name %q contains %q", name, r), "use a-z, 0-9, '-', '_' and '.'")
 		return
 	}
 }
 
-// names checks a list's names and their uniqueness.
-func (c *checker) names(path string, names []string) {
+// checkNames checks that a list's names are valid and unique.
+func (c *checker) checkNames(path string, names []string) {
 	seen := make(map[string]bool)
 	for i, name := range names {
 		at := fmt.Sprintf("%s[%d].name", path, i)
-		c.name(at, name)
+		c.checkName(at, name)
 		if seen[name] && name != "" {
-			c.add(at, CodeDuplicate, fmt.Sprintf("name %q stands twice", name), "rename one of them")
+			c.reportPath(at, CodeDuplicate, fmt.Sprintf("name %q is used twice", name), "rename one of them")
 		}
 		seen[name] = true
 	}
@@ -166,95 +167,95 @@
 	return names
 }
 
-func (c *checker) oneOf(path, value string, allowed []string) {
+func (c *checker) checkOneOf(path, value string, allowed []string) {
 	if value == "" || slices.Contains(allowed, value) {
 		return
 	}
-	c.add(path, CodeUnknownName, fmt.Sprintf("unknown value %q", value), "use one of "+strings.Join(allowed, ", "))
+	c.reportPath(path, CodeUnknownName, fmt.Sprintf("unknown value %q", value), "use one of "+strings.Join(allowed, ", "))
 }
 
-func (c *checker) positive(path string, ok bool, what string) {
+func (c *checker) checkMinimum(path string, ok bool, what string) {
 	if !ok {
-		c.add(path, CodeRange, what+" is below its least value", "write a number above 0")
+		c.reportPath(path, CodeRange, what+" is below its minimum", "write a number above 0")
 	}
 }
 
-func (c *checker) policies(p filePolicies) {
-	c.oneOf("$.policies.order", p.Order, workqueue.Names())
-	c.oneOf("$.policies.place", p.Place, place.Names())
-	c.oneOf("$.policies.retry", p.Retry, []string{RetryBudgeted, RetryPlain})
-	c.oneOf("$.policies.admission", p.Admission, []string{AdmissionEarly, AdmissionNone})
+func (c *checker) checkPolicies(p filePolicies) {
+	c.checkOneOf("$.policies.order", p.Order, workqueue.Names())
+	c.checkOneOf("$.policies.place", p.Place, place.Names())
+	c.checkOneOf("$.policies.retry", p.Retry, []string{RetryBudgeted, RetryPlain})
+	c.checkOneOf("$.policies.admission", p.Admission, []string{AdmissionEarly, AdmissionNone})
 	if *p.Share < 0 || *p.Share > 1 {
-		c.add("$.policies.retry_share", CodeRange, "retry_share is outside 0 to 1", "write a share such as 0.1")
+		c.reportPath("$.policies.retry_share", CodeRange, "retry_share is outside 0 to 1", "write a share such as 0.1")
 	}
 	if p.CostPrice < 0 {
-		c.add("$.policies.cost_price", CodeRange, "cost_price is negative", "write 0 or more")
+		c.reportPath("$.policies.cost_price", CodeRange, "cost_price is negative", "write 0 or more")
 	}
 	if p.Retry == RetryPlain && *p.Share != DefaultRetryShare {
-		c.add("$.policies.retry_share", CodeContradiction, "retry_share has no effect with retry: plain", "remove it or write retry: budgeted")
+		c.reportPath("$.policies.retry_share", CodeContradiction, "retry_share has no effect with retry: plain", "remove it or write retry: budgeted")
 	}
 }
 
-func (c *checker) accounts(accounts []fileAccount) {
-	c.names("$.accounts", namesOf(accounts, func(a fileAccount) string { return a.Name }))
+func (c *checker) checkAccounts(accounts []fileAccount) {
+	c.checkNames("$.accounts", namesOf(accounts, func(a fileAccount) string { return a.Name }))
 	if len(accounts) == 0 {
-		c.add("$.accounts", CodeMissing, "there are no accounts", "list at least one client account")
+		c.reportPath("$.accounts", CodeMissing, "there are no accounts", "list at least one client account")
 	}
 	keys := make(map[string]string)
 	for i, a := range accounts {
 		at := fmt.Sprintf("$.accounts[%d]", i)
-		if b, err := hex.DecodeString(a.KeySHA256); err != nil || len(b) != keyHashBytes {
-			c.add(at+".key_sha256", CodeRange, "key_sha256 is not 64 hexadecimal digits", "write the SHA-256 of the account's key, as `gradetiller hash-key` prints it")
+		if b, err := hex.DecodeString(a.KeySHA256); err != nil || len(b) != keyHashSize {
+			c.reportPath(at+".key_sha256", CodeRange, "key_sha256 is not 64 hexadecimal digits", "write the SHA-256 of the account's key, as `gradetiller hash-key` prints it")
 		} else if other, ok := keys[a.KeySHA256]; ok {
-			c.add(at+".key_sha256", CodeDuplicate, fmt.Sprintf("accounts %q and %q have the same key", other, a.Name), "give each account a key of its own")
+			c.reportPath(at+".key_sha256", CodeDuplicate, fmt.Sprintf("accounts %q and %q have the same key", other, a.Name), "give each account a key of its own")
 		}
 		keys[a.KeySHA256] = a.Name
-		c.positive(at+".share", a.Share > 0, "share")
-		c.positive(at+".rate", a.Rate >= 0, "rate")
-		c.positive(at+".burst", a.Burst >= 1, "burst")
-		c.positive(at+".concurrency", a.Concurrency > 0, "concurrency")
+		c.checkMinimum(at+".share", a.Share > 0, "share")
+		c.checkMinimum(at+".rate", a.Rate >= 0, "rate")
+		c.checkMinimum(at+".burst", a.Burst >= 1, "burst")
+		c.checkMinimum(at+".concurrency", a.Concurrency > 0, "concurrency")
 	}
 }
 
-func (c *checker) pools(pools []filePool) {
-	c.names("$.pools", namesOf(pools, func(p filePool) string { return p.Name }))
+func (c *checker) checkPools(pools []filePool) {
+	c.checkNames("$.pools", namesOf(pools, func(p filePool) string { return p.Name }))
 	endpoints := make(map[string]bool)
 	for i, p := range pools {
 		at := fmt.Sprintf("$.pools[%d]", i)
 		if p.Kind == "" {
-			c.add(at, CodeMissing, "kind is missing", "write kind: engine or kind: service")
+			c.reportPath(at, CodeMissing, "kind is missing", "write kind: engine or kind: service")
 		}
-		c.oneOf(at+".kind", p.Kind, []string{KindEngine, KindService})
-		c.oneOf(at+".order", p.Order, workqueue.Names())
-		c.oneOf(at+".place", p.Place, place.Names())
-		c.positive(at+".queue", p.Queue > 0, "queue")
+		c.checkOneOf(at+".kind", p.Kind, []string{KindEngine, KindService})
+		c.checkOneOf(at+".order", p.Order, workqueue.Names())
+		c.checkOneOf(at+".place", p.Place, place.Names())
+		c.checkMinimum(at+".queue", p.Queue > 0, "queue")
 		if len(p.Endpoints) == 0 {
-			c.add(at, CodeMissing, fmt.Sprintf("pool %q has no endpoints", p.Name), "list at least one endpoint")
+			c.reportPath(at, CodeMissing, fmt.Sprintf("pool %q has no endpoints", p.Name), "list at least one endpoint")
 		}
-		c.names(at+".endpoints", namesOf(p.Endpoints, func(e fileEndpoint) string { return e.Name }))
+		c.checkNames(at+".endpoints", namesOf(p.Endpoints, func(e fileEndpoint) string { return e.Name }))
 		for j, e := range p.Endpoints {
-			c.endpoint(fmt.Sprintf("%s.endpoints[%d]", at, j), e)
+			c.checkEndpoint(fmt.Sprintf("%s.endpoints[%d]", at, j), e)
 			if endpoints[e.Address] {
-				c.add(fmt.Sprintf("%s.endpoints[%d].address", at, j), CodeDuplicate, fmt.Sprintf("address %s stands twice", e.Address), "list each endpoint once")
+				c.reportPath(fmt.Sprintf("%s.endpoints[%d].address", at, j), CodeDuplicate, fmt.Sprintf("address %s is used twice", e.Address), "list each endpoint once")
 			}
 			endpoints[e.Address] = true
 		}
 	}
 }
 
-func (c *checker) endpoint(at string, e fileEndpoint) {
+func (c *checker) checkEndpoint(at string, e fileEndpoint) {
 	if _, err := netip.ParseAddrPort(e.Address); err != nil {
-		c.add(at+".address", CodeAddress, fmt.Sprintf("address %q is not an IP address and port", e.Address), "write it as 10.0.0.1:8000; host names are not looked up")
+		c.reportPath(at+".address", CodeAddress, fmt.Sprintf("address %q is not an IP address and port", e.Address), "write it as 10.0.0.1:8000; host names are not looked up")
 	}
 	if e.Domain == "" {
-		c.add(at, CodeMissing, "failure_domain is missing", "name the endpoint's failure domain")
+		c.reportPath(at, CodeMissing, "failure_domain is missing", "name the endpoint's failure domain")
 	}
-	c.positive(at+".slots", e.Slots > 0, "slots")
-	c.positive(at+".cost", e.Cost > 0, "cost")
+	c.checkMinimum(at+".slots", e.Slots > 0, "slots")
+	c.checkMinimum(at+".cost", e.Cost > 0, "cost")
 }
 
-func (c *checker) pipelines(f *fileConfig) {
-	c.names("$.pipelines", namesOf(f.Pipelines, func(p filePipeline) string { return p.Name }))
+func (c *checker) checkPipelines(f *fileConfig) {
+	c.checkNames("$.pipelines", namesOf(f.Pipelines, func(p filePipeline) string { return p.Name }))
 	poolKinds := make(map[string]string)
 	poolNames := namesOf(f.Pools, func(p filePool) string { return p.Name })
 	for _, p := range f.Pools {
@@ -262,67 +263,67 @@
 	}
 	for i, p := range f.Pipelines {
 		at := fmt.Sprintf("$.pipelines[%d]", i)
-		c.oneOf(at+".objective", p.Objective, []string{ObjectiveAttainment, ObjectiveCost})
-		c.positive(at+".deadline", p.Deadline > 0, "deadline")
+		c.checkOneOf(at+".objective", p.Objective, []string{ObjectiveAttainment, ObjectiveCost})
+		c.checkMinimum(at+".deadline", p.Deadline > 0, "deadline")
 		if len(p.Stages) == 0 || len(p.Stages) > maxStages {
-			c.add(at, CodeRange, fmt.Sprintf("pipeline %q has %d stages", p.Name, len(p.Stages)), fmt.Sprintf("list 1 to %d stages", maxStages))
+			c.reportPath(at, CodeRange, fmt.Sprintf("pipeline %q has %d stages", p.Name, len(p.Stages)), fmt.Sprintf("list 1 to %d stages", maxStages))
 		}
-		c.names(at+".stages", namesOf(p.Stages, func(s fileStage) string { return s.Name }))
+		c.checkNames(at+".stages", namesOf(p.Stages, func(s fileStage) string { return s.Name }))
 		for j, s := range p.Stages {
-			sat := fmt.Sprintf("%s.stages[%d]", at, j)
+			stageAt := fmt.Sprintf("%s.stages[%d]", at, j)
 			if s.Pool == "" {
-				c.add(sat, CodeMissing, "pool is missing", "name the stage's pool")
+				c.reportPath(stageAt, CodeMissing, "pool is missing", "name the stage's pool")
 			}
-			c.oneOf(sat+".pool", s.Pool, poolNames)
-			c.stage(sat, s, poolKinds[s.Pool])
+			c.checkOneOf(stageAt+".pool", s.Pool, poolNames)
+			c.checkStage(stageAt, s, poolKinds[s.Pool])
 		}
 	}
 }
 
-func (c *checker) stage(at string, s fileStage, kind string) {
+func (c *checker) checkStage(at string, s fileStage, kind string) {
 	if s.MaxTokens < 0 {
-		c.add(at+".max_tokens", CodeRange, "max_tokens is negative", "write 0 or more")
+		c.reportPath(at+".max_tokens", CodeRange, "max_tokens is negative", "write 0 or more")
 	}
 	if s.MaxTokens > 0 && kind == KindService {
-		c.add(at+".max_tokens", CodeContradiction, "max_tokens has no meaning in a pool of services", "remove it or use a pool of engines")
+		c.reportPath(at+".max_tokens", CodeContradiction, "max_tokens has no meaning in a pool of services", "remove it or use a pool of engines")
 	}
 	if s.Optional && s.Repeatable != nil && !*s.Repeatable {
-		c.add(at+".optional", CodeContradiction, "a stage that may not be repeated cannot be optional", "remove optional or repeatable: false")
+		c.reportPath(at+".optional", CodeContradiction, "a stage that may not be repeated cannot be optional", "remove optional or repeatable: false")
 	}
 	for i, v := range s.Versions {
-		c.name(fmt.Sprintf("%s.versions[%d].name", at, i), v.Name)
-		c.positive(fmt.Sprintf("%s.versions[%d].weight", at, i), v.Weight >= 0, "weight")
+		c.checkName(fmt.Sprintf("%s.versions[%d].name", at, i), v.Name)
+		c.checkMinimum(fmt.Sprintf("%s.versions[%d].weight", at, i), v.Weight >= 0, "weight")
 	}
 }
 
-func (c *checker) experiments(f *fileConfig) {
-	c.names("$.experiments", namesOf(f.Experiments, func(e fileExperiment) string { return e.Name }))
+func (c *checker) checkExperiments(f *fileConfig) {
+	c.checkNames("$.experiments", namesOf(f.Experiments, func(e fileExperiment) string { return e.Name }))
 	pipelines := namesOf(f.Pipelines, func(p filePipeline) string { return p.Name })
 	taken := make(map[string]string)
 	for i, e := range f.Experiments {
 		at := fmt.Sprintf("$.experiments[%d]", i)
 		if e.Pipeline == "" {
-			c.add(at, CodeMissing, "pipeline is missing", "name the experiment's pipeline")
+			c.reportPath(at, CodeMissing, "pipeline is missing", "name the experiment's pipeline")
 		}
-		c.oneOf(at+".pipeline", e.Pipeline, pipelines)
-		c.oneOf(at+".split_by", e.SplitBy, []string{SplitByRequest, SplitByAccount})
+		c.checkOneOf(at+".pipeline", e.Pipeline, pipelines)
+		c.checkOneOf(at+".split_by", e.SplitBy, []string{SplitByRequest, SplitByAccount})
 		if other, ok := taken[e.Pipeline]; ok {
-			c.add(at+".pipeline", CodeContradiction, fmt.Sprintf("experiments %q and %q split the same pipeline", other, e.Name), "end one of them")
+			c.reportPath(at+".pipeline", CodeContradiction, fmt.Sprintf("experiments %q and %q split the same pipeline", other, e.Name), "end one of them")
 		}
 		taken[e.Pipeline] = e.Name
 		if len(e.Arms) < 2 {
-			c.add(at, CodeMissing, fmt.Sprintf("experiment %q has %d arms", e.Name, len(e.Arms)), "list two arms or more")
+			c.reportPath(at, CodeMissing, fmt.Sprintf("experiment %q has %d arms", e.Name, len(e.Arms)), "list two arms or more")
 		}
-		c.names(at+".arms", namesOf(e.Arms, func(a fileArm) string { return a.Name }))
+		c.checkNames(at+".arms", namesOf(e.Arms, func(a fileArm) string { return a.Name }))
 		for j, a := range e.Arms {
-			c.oneOf(fmt.Sprintf("%s.arms[%d].place", at, j), a.Place, place.Names())
-			c.positive(fmt.Sprintf("%s.arms[%d].share", at, j), a.Share > 0, "share")
+			c.checkOneOf(fmt.Sprintf("%s.arms[%d].place", at, j), a.Place, place.Names())
+			c.checkMinimum(fmt.Sprintf("%s.arms[%d].share", at, j), a.Share > 0, "share")
 		}
 	}
 }
 
-// evacuated checks that the failure domains to be left alone are those of endpoints.
-func (c *checker) evacuated(f *fileConfig) {
+// checkEvacuated checks that each evacuated failure domain has endpoints and is listed once.
+func (c *checker) checkEvacuated(f *fileConfig) {
 	domains := make(map[string]bool)
 	for _, p := range f.Pools {
 		for _, e := range p.Endpoints {
@@ -334,15 +335,15 @@
 		at := fmt.Sprintf("$.evacuated[%d]", i)
 		switch {
 		case domain == "" || !domains[domain]:
-			c.add(at, CodeUnknownName, fmt.Sprintf("no endpoint is in failure domain %q", domain), "use one of "+strings.Join(slices.Sorted(maps.Keys(domains)), ", "))
+			c.reportPath(at, CodeUnknownName, fmt.Sprintf("no endpoint is in failure domain %q", domain), "use one of "+strings.Join(slices.Sorted(maps.Keys(domains)), ", "))
 		case seen[domain]:
-			c.add(at, CodeDuplicate, fmt.Sprintf("failure domain %q stands twice", domain), "remove one of them")
+			c.reportPath(at, CodeDuplicate, fmt.Sprintf("failure domain %q is listed twice", domain), "remove one of them")
 		}
 		seen[domain] = true
 	}
 }
 
-func (c *checker) unusedPools(f *fileConfig) {
+func (c *checker) checkUnusedPools(f *fileConfig) {
 	used := make(map[string]bool)
 	for _, p := range f.Pipelines {
 		for _, s := range p.Stages {
@@ -351,7 +352,7 @@
 	}
 	for i, p := range f.Pools {
 		if !used[p.Name] {
-			c.add(fmt.Sprintf("$.pools[%d].name", i), CodeUnused, fmt.Sprintf("no stage uses pool %q", p.Name), "remove it or use it")
+			c.reportPath(fmt.Sprintf("$.pools[%d].name", i), CodeUnused, fmt.Sprintf("no stage uses pool %q", p.Name), "remove it or use it")
 		}
 	}
 }
--- a/config/config.go
+++ b/config/config.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Defaults of settings that a file may leave out.
+// Defaults of optional fields.
 const (
 	DefaultLocateKeep      = 5 * time.Second
 	DefaultLocateAddresses = 3
@@ -20,31 +20,30 @@
 	DefaultConcurrency     = 256
 )
 
-// Config is one checked configuration. It never changes after Parse, so that
-// any number of goroutines may read it.
+// Config is a valid configuration. It is immutable and safe for concurrent use.
 type Config struct {
-	f         fileConfig
-	data      []byte
-	digest    string
-	accounts  []Account
-	pools     []Pool
-	pipelines []Pipeline
-	byKey     map[string]int
+	f                fileConfig
+	data             []byte
+	digest           string
+	accounts         []Account
+	pools            []Pool
+	pipelines        []Pipeline
+	accountByKeyHash map[string]int
 }
 
 // Name returns the system's name.
 func (c *Config) Name() string { return c.f.Name }
 
-// Data returns the file as it was written.
+// Data returns the file's content. The caller must not modify it.
 func (c *Config) Data() []byte { return c.data }
 
-// Digest returns the SHA-256 of the file in hexadecimal.
+// Digest returns the SHA-256 of the file's content in hexadecimal.
 func (c *Config) Digest() string { return c.digest }
 
-// LocateKeep returns how long a caller may keep a locate answer.
+// LocateKeep returns how long a client may cache a locate response.
 func (c *Config) LocateKeep() time.Duration { return c.f.Locate.Keep }
 
-// LocateAddresses returns how many addresses a locate answer holds.
+// LocateAddresses returns the number of addresses in a locate response.
 func (c *Config) LocateAddresses() int { return c.f.Locate.Addresses }
 
 // Policies returns the system-wide policies.
@@ -59,7 +58,7 @@
 // Pipelines returns all pipelines in the file's order.
 func (c *Config) Pipelines() []Pipeline { return c.pipelines }
 
-// Pipeline finds a pipeline by name.
+// Pipeline returns the pipeline of that name.
 func (c *Config) Pipeline(name string) (*Pipeline, bool) {
 	for i := range c.pipelines {
 		if c.pipelines[i].f.Name == name {
@@ -69,19 +68,19 @@
 	return nil, false
 }
 
-// Evacuated lists the failure domains to whose endpoints nothing further is to be sent.
+// Evacuated returns the failure domains whose endpoints get no new calls or orders.
 func (c *Config) Evacuated() []string { return c.f.Evacuated }
 
-// InService reports whether calls and orders go to an endpoint: its failure domain is not
-// evacuated.
+// InService reports whether calls and orders may be sent to an endpoint, that is, whether its
+// failure domain is not evacuated.
 func (c *Config) InService(e *Endpoint) bool { return !slices.Contains(c.f.Evacuated, e.Domain()) }
 
-// AccountByKey finds the account whose key hash matches the key, and returns
-// its index among Accounts.
+// AccountByKey returns the index in Accounts of the account whose key hash
+// matches the key.
 func (c *Config) AccountByKey(key string) (int, bool) {
 	sum := sha256.Sum256([]byte(key))
 	hash := hex.EncodeToString(sum[:])
-	i, ok := c.byKey[hash]
+	i, ok := c.accountByKeyHash[hash]
 	if !ok || subtle.ConstantTimeCompare([]byte(hash), []byte(c.accounts[i].f.KeySHA256)) != 1 {
 		return 0, false
 	}
@@ -91,21 +90,21 @@
 // Policies are the system-wide policies.
 type Policies struct{ f filePolicies }
 
-// Order names the default order policy.
+// Order returns the name of the default order policy.
 func (p Policies) Order() string { return p.f.Order }
 
-// Place names the default place policy.
+// Place returns the name of the default place policy.
 func (p Policies) Place() string { return p.f.Place }
 
-// PlainRetry reports whether retries are plain: without hedges and without a
-// budget. It is the baseline for comparisons.
+// PlainRetry reports whether retries have neither hedging nor a retry budget.
+// This mode is the baseline for comparisons.
 func (p Policies) PlainRetry() bool { return p.f.Retry == RetryPlain }
 
-// EarlyRefusal reports whether requests that cannot make their deadline are
-// refused at once.
+// EarlyRefusal reports whether admission control rejects requests that cannot
+// meet their deadline.
 func (p Policies) EarlyRefusal() bool { return p.f.Admission != AdmissionNone }
 
-// RetryShare returns the retry budget as a share of fresh calls.
+// RetryShare returns the retry budget as a fraction of first attempts.
 func (p Policies) RetryShare() float64 { return *p.f.Share }
 
 // CostPrice returns how many seconds of delay one unit of cost is worth in
@@ -118,26 +117,28 @@
 // Name returns the account's name.
 func (a *Account) Name() string { return a.f.Name }
 
-// Share returns the account's weight for fair shares.
+// Share returns the account's weight in fair queueing.
 func (a *Account) Share() int { return a.f.Share }
 
-// Rate returns the account's requests a second over the whole system; 0 means
-// no limit.
+// Rate returns the account's rate limit in requests per second over the whole
+// system; 0 means no limit.
 func (a *Account) Rate() float64 { return a.f.Rate }
 
-// Burst returns how many requests may come at once over the whole system.
+// Burst returns the burst size of the rate limit, in requests over the whole
+// system.
 func (a *Account) Burst() float64 { return a.f.Burst }
 
-// Concurrency returns how many requests may be in flight on one node.
+// Concurrency returns the maximum number of the account's requests in flight on
+// one node.
 func (a *Account) Concurrency() int { return a.f.Concurrency }
 
-// Kinds of pools.
+// Values of a pool's kind.
 const (
 	KindEngine  = "engine"
 	KindService = "service"
 )
 
-// Pool is one pool of endpoints.
+// Pool is a pool of endpoints.
 type Pool struct {
 	f         filePool
 	endpoints []Endpoint
@@ -151,19 +152,19 @@
 // Kind returns KindEngine or KindService.
 func (p *Pool) Kind() string { return p.f.Kind }
 
-// Queue returns how many stage calls may wait on one node.
+// Queue returns the maximum number of stage calls queued on one node.
 func (p *Pool) Queue() int { return p.f.Queue }
 
-// Order names the order policy in force for this pool.
+// Order returns the name of the pool's order policy, or of the default.
 func (p *Pool) Order() string { return p.order }
 
-// Place names the place policy in force for this pool.
+// Place returns the name of the pool's place policy, or of the default.
 func (p *Pool) Place() string { return p.place }
 
 // Endpoints returns the pool's endpoints in the file's order.
 func (p *Pool) Endpoints() []Endpoint { return p.endpoints }
 
-// Endpoint is one endpoint of a pool.
+// Endpoint is an endpoint of a pool.
 type Endpoint struct{ f fileEndpoint }
 
 // Name returns the endpoint's name.
@@ -175,25 +176,26 @@
 // Domain returns the endpoint's failure domain.
 func (e *Endpoint) Domain() string { return e.f.Domain }
 
-// Slots returns how many calls the endpoint runs at once.
+// Slots returns the number of calls that the endpoint runs concurrently.
 func (e *Endpoint) Slots() int { return e.f.Slots }
 
-// Cost returns the price of one second of processing.
+// Cost returns the cost of one second of processing.
 func (e *Endpoint) Cost() float64 { return e.f.Cost }
 
-// ChecksOrders reports whether the endpoint checks who gives it an order.
+// ChecksOrders reports whether the endpoint checks the epoch of an order and
+// rejects orders of an earlier lease holder.
 func (e *Endpoint) ChecksOrders() bool { return e.f.ChecksOrders }
 
-// Versions returns the model versions that it holds; empty means any.
+// Versions returns the model versions that the endpoint serves; empty means any.
 func (e *Endpoint) Versions() []string { return e.f.Versions }
 
-// Objectives of pipelines.
+// Values of a pipeline's objective.
 const (
 	ObjectiveAttainment = "attainment"
 	ObjectiveCost       = "cost"
 )
 
-// Pipeline is one pipeline of stages.
+// Pipeline is a sequence of stages.
 type Pipeline struct {
 	f          filePipeline
 	stages     []Stage
@@ -203,19 +205,19 @@
 // Name returns the pipeline's name.
 func (p *Pipeline) Name() string { return p.f.Name }
 
-// Deadline returns the time that a request has unless it brings less.
+// Deadline returns the time limit of a request; a request may set a shorter one.
 func (p *Pipeline) Deadline() time.Duration { return p.f.Deadline }
 
 // Objective returns ObjectiveAttainment or ObjectiveCost.
 func (p *Pipeline) Objective() string { return p.f.Objective }
 
-// Stages returns the stages in their order.
+// Stages returns the stages in the order in which they run.
 func (p *Pipeline) Stages() []Stage { return p.stages }
 
-// Experiment returns the experiment on this pipeline, or nil.
+// Experiment returns the experiment on this pipeline, or nil if there is none.
 func (p *Pipeline) Experiment() *Experiment { return p.experiment }
 
-// Stage is one stage of a pipeline.
+// Stage is a stage of a pipeline.
 type Stage struct {
 	f    fileStage
 	kind string
@@ -227,21 +229,21 @@
 // PoolName returns the name of the stage's pool.
 func (s *Stage) PoolName() string { return s.f.Pool }
 
-// Streams reports whether the stage's pool answers token by token.
+// Streams reports whether the stage's endpoints stream their output by token.
 func (s *Stage) Streams() bool { return s.kind == KindEngine && s.f.MaxTokens > 0 }
 
-// MaxTokens returns the bound on generated tokens; 0 for stages that generate
-// none.
+// MaxTokens returns the maximum number of generated tokens; 0 means that the
+// stage generates none.
 func (s *Stage) MaxTokens() int { return s.f.MaxTokens }
 
-// Repeatable reports whether a call of this stage may be repeated.
+// Repeatable reports whether a call of this stage may be retried or hedged.
 func (s *Stage) Repeatable() bool { return s.f.Repeatable == nil || *s.f.Repeatable }
 
-// Optional reports whether the stage may be skipped when its time is spent.
+// Optional reports whether the stage may be skipped after its soft deadline.
 func (s *Stage) Optional() bool { return s.f.Optional }
 
-// Version picks a model version for a request by its hash and the versions'
-// weights; "" when the stage names none.
+// Version returns the model version for a request hash, chosen in proportion to
+// the versions' weights. It returns "" if the stage has no versions with a weight.
 func (s *Stage) Version(hash uint64) string {
 	total := 0
 	for _, v := range s.f.Versions {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -9,12 +9,13 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestCheck checks each file under testdata/check and compares every problem
-// with the golden file; go test -update renews them.
+// TestCheck parses each file under testdata/check and compares its problems, or
+// the resulting configuration, with the golden file; go test -update rewrites the
+// golden files.
 func TestCheck(t *testing.T) {
 	files, err := filepath.Glob("testdata/check/*.yaml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no files: %v", err)
+		t.Fatalf("no files under testdata/check: %v", err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".yaml")
@@ -38,7 +39,7 @@
 	}
 }
 
-// TestExamples checks that the examples are accepted without a warning.
+// TestExamples checks that the examples are accepted without warnings.
 func TestExamples(t *testing.T) {
 	for _, file := range []string{"../examples/whitmore.yaml", "../examples/pwani.yaml"} {
 		data, err := os.ReadFile(file)
@@ -51,7 +52,7 @@
 	}
 }
 
-// TestVersionWeights checks that a stable hash splits requests by weight.
+// TestVersionWeights checks that Version splits hashes in proportion to the weights.
 func TestVersionWeights(t *testing.T) {
 	s := Stage{f: fileStage{Versions: []fileVersion{{Name: "old", Weight: 9}, {Name: "new", Weight: 1}}}}
 	counts := make(map[string]int)
@@ -63,8 +64,8 @@
 	}
 }
 
-// FuzzParse checks that no input makes Parse panic, and that every problem
-// names a place.
+// FuzzParse checks that Parse does not panic on any input, and that every problem
+// has a position and a fix.
 func FuzzParse(f *testing.F) {
 	for _, file := range []string{"testdata/check/broken.yaml", "../examples/pwani.yaml"} {
 		data, err := os.ReadFile(file)
@@ -81,7 +82,7 @@
 		if problems, ok := err.(Problems); ok {
 			for _, p := range problems {
 				if p.line < 1 || p.col < 1 || p.fix == "" {
-					t.Fatalf("problem without place or fix: %+v", p)
+					t.Fatalf("problem without position or fix: %+v", p)
 				}
 			}
 		}
--- a/config/diff.go
+++ b/config/diff.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Diff returns the lines that differ between two configurations, each as
-// "- path: value" or "+ path: value" with list entries named by their name.
-// A nil old configuration is empty.
+// Diff returns the differences between two configurations, each as
+// "- path: value" or "+ path: value". List entries are identified by their name,
+// or by their index if they have none. A nil configuration is empty.
 func Diff(older, newer *Config) []string {
 	before, after := flatten(older), flatten(newer)
 	var lines []string
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,12 +1,12 @@
-// Package config holds the operators' configuration of a whole gradetiller
-// system: client accounts, pools of endpoints, pipelines of stages, policies
-// and experiments.
+// Package config parses and checks the configuration of a gradetiller system:
+// client accounts, pools of endpoints, pipelines of stages, policies and
+// experiments.
 //
-// A configuration is one YAML file that is accepted in full or not at all.
-// Parse reads it strictly and gathers every problem with file, line, column
-// and fix, sorted by place. Settings of one process (addresses, failure
-// domain, certificates) are no part of it; they come from flags and
-// environment variables.
+// A configuration is one YAML file, which is accepted as a whole or rejected.
+// Parse is strict and reports all problems, each with file, line, column and
+// fix, sorted by position. Settings of a single process (addresses, failure
+// domain, certificates) are not part of the configuration; they come from flags
+// and environment variables.
 //
 // # Usage
 //
--- a/config/evacuate.go
+++ b/config/evacuate.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// ErrBlockList tells that a file lists its evacuated failure domains one a line, where only
-// its author can tell what else stands there.
-var ErrBlockList = errors.New("evacuated is written as a list of lines: change it in the file and apply that")
+// ErrBlockList reports that a file lists its evacuated failure domains as a YAML block list.
+// Evacuate does not rewrite such a list, because it may contain comments or other text.
+var ErrBlockList = errors.New("evacuated is a block list with one failure domain per line: edit the file and apply it")
 
-// evacuatedField begins the line of the file that lists the evacuated failure domains.
-const evacuatedField = "evacuated:"
+// evacuatedPrefix starts the line that lists the evacuated failure domains.
+const evacuatedPrefix = "evacuated:"
 
-// Evacuate returns the file with a failure domain evacuated as well, or, with end, no more.
-// All else stays as it was written.
+// Evacuate returns the file's content with a failure domain added to the evacuated ones or,
+// with end, removed from them. All other lines are unchanged.
 func (c *Config) Evacuate(domain string, end bool) ([]byte, error) {
 	evacuated := slices.Contains(c.f.Evacuated, domain)
 	list := slices.DeleteFunc(slices.Clone(c.f.Evacuated), func(d string) bool { return d == domain })
@@ -31,7 +31,7 @@
 	var out []byte
 	written := false
 	for line := range bytes.Lines(c.data) {
-		rest, found := bytes.CutPrefix(line, []byte(evacuatedField))
+		rest, found := bytes.CutPrefix(line, []byte(evacuatedPrefix))
 		if !found {
 			out = append(out, line...)
 			continue
@@ -51,7 +51,7 @@
 	return out, nil
 }
 
-// evacuatedLine is the line that lists failure domains, or nothing for none.
+// evacuatedLine returns the line that lists the failure domains, or "" if there are none.
 func evacuatedLine(list []string) string {
 	if len(list) == 0 {
 		return ""
@@ -60,5 +60,5 @@
 	for i, d := range list {
 		quoted[i] = fmt.Sprintf("%q", d)
 	}
-	return evacuatedField + " [" + strings.Join(quoted, ", ") + "]\n"
+	return evacuatedPrefix + " [" + strings.Join(quoted, ", ") + "]\n"
 }
--- a/config/evacuate_test.go
+++ b/config/evacuate_test.go
@@ -24,8 +24,8 @@
 	return c
 }
 
-// TestEvacuate evacuates two failure domains and ends that; the rest of the file stays as it
-// is, comments included.
+// TestEvacuate starts and ends the evacuation of two failure domains. The rest of the file,
+// including comments, must not change.
 func TestEvacuate(t *testing.T) {
 	steps := []struct {
 		domain string
@@ -56,25 +56,26 @@
 	for i := range c.Pools()[0].Endpoints() {
 		e := &c.Pools()[0].Endpoints()[i]
 		if c.InService(e) != (e.Domain() == "d2") {
-			t.Errorf("%s takes work: %v", e.Name(), c.InService(e))
+			t.Errorf("%s in service: %v", e.Name(), c.InService(e))
 		}
 	}
 }
 
-// TestEvacuateRefuses tells what can't be changed so.
-func TestEvacuateRefuses(t *testing.T) {
+// TestEvacuateErrors checks that Evacuate rejects a change without effect and a block list,
+// and that Parse rejects invalid lists of evacuated failure domains.
+func TestEvacuateErrors(t *testing.T) {
 	c := mustParse(t, evacuateFile+"\nevacuated: [d1]\n")
 	if _, err := c.Evacuate("d1", false); err == nil {
-		t.Error("a failure domain is evacuated twice")
+		t.Error("starting an evacuation twice: got no error")
 	}
 	if _, err := c.Evacuate("d2", true); err == nil {
-		t.Error("an evacuation ends that was none")
+		t.Error("ending an evacuation that was not started: got no error")
 	}
 	if _, err := mustParse(t, evacuateFile+"\nevacuated:\n  - d1\n").Evacuate("d2", false); !errors.Is(err, ErrBlockList) {
-		t.Errorf("a list of lines: %v", err)
+		t.Errorf("block list: %v", err)
 	}
 	_, err := Parse("small.yaml", []byte(evacuateFile+"\nevacuated: [d3, d1, d1]\n"))
-	for _, want := range []string{`small.yaml:9:`, `no endpoint is in failure domain "d3"`, "use one of d1, d2", `failure domain "d1" stands twice`} {
+	for _, want := range []string{`small.yaml:9:`, `no endpoint is in failure domain "d3"`, "use one of d1, d2", `failure domain "d1" is listed twice`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("got %v, want %q", err, want)
 		}
--- a/config/experiment.go
+++ b/config/experiment.go
@@ -6,13 +6,14 @@
 	SplitByAccount = "account"
 )
 
-// Experiment splits a pipeline's traffic over arms.
+// Experiment splits a pipeline's traffic between arms.
 type Experiment struct{ f fileExperiment }
 
 // Name returns the experiment's name.
 func (e *Experiment) Name() string { return e.f.Name }
 
-// ByAccount reports whether whole accounts are split, not single requests.
+// ByAccount reports whether all requests of an account get the same arm. If not,
+// requests are split one by one.
 func (e *Experiment) ByAccount() bool { return e.f.SplitBy == SplitByAccount }
 
 // Arms returns the arms in the file's order.
@@ -24,7 +25,8 @@
 	return arms
 }
 
-// Arm returns the arm of a request by its stable hash.
+// Arm returns the arm for a request hash, chosen in proportion to the arms'
+// shares. Equal hashes get the same arm.
 func (e *Experiment) Arm(hash uint64) Arm {
 	total := 0
 	for _, a := range e.f.Arms {
@@ -46,8 +48,8 @@
 // Name returns the arm's name.
 func (a Arm) Name() string { return a.f.Name }
 
-// Share returns the arm's part of the traffic, relative to the other arms.
+// Share returns the arm's weight in the split of the traffic.
 func (a Arm) Share() int { return a.f.Share }
 
-// Place names the arm's place policy; "" means the pool's own.
+// Place returns the name of the arm's place policy; "" means the pool's policy.
 func (a Arm) Place() string { return a.f.Place }
--- a/config/file.go
+++ b/config/file.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// The types in this file mirror the YAML file. They have exported fields
-// because the codec needs them; the rest of the system reads the accessors of
-// the public types.
+// The types in this file mirror the YAML format. Their fields are exported for
+// the decoder only; other packages use the accessors of the public types.
 
 type fileConfig struct {
 	Format      int              `yaml:"format"`
--- a/config/parse.go
+++ b/config/parse.go
@@ -14,17 +14,18 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxFileSize bounds a configuration file in bytes.
+// maxFileSize is the maximum size of a configuration file in bytes.
 const maxFileSize = 4 << 20
 
-// Parse reads and checks a file. The error is of type Problems when the
-// content is at fault.
+// Parse parses and checks the content of a configuration file; name is used in
+// problems only. The error is of type Problems.
 func Parse(name string, data []byte) (*Config, error) {
 	cfg, _, err := ParseWithWarnings(name, data)
 	return cfg, err
 }
 
-// ParseWithWarnings is Parse that also returns what is unused but accepted.
+// ParseWithWarnings is like Parse but also returns warnings, which do not cause
+// the file to be rejected.
 func ParseWithWarnings(name string, data []byte) (*Config, Problems, error) {
 	if len(data) > maxFileSize {
 		return nil, nil, Problems{{file: name, line: 1, col: 1, code: CodeRange, message: fmt.Sprintf("file has %d bytes", len(data)), fix: fmt.Sprintf("keep it under %d bytes", maxFileSize)}}
@@ -33,15 +34,15 @@
 	if err != nil {
 		return nil, nil, Problems{syntaxProblem(name, err)}
 	}
-	body, err := singleBody(name, file)
+	body, err := documentBody(name, file)
 	if err != nil {
 		return nil, nil, err
 	}
 	c := &checker{file: name, body: body}
-	c.fields(body, reflect.TypeFor[fileConfig](), "$")
+	c.checkNode(body, reflect.TypeFor[fileConfig](), "$")
 	var f fileConfig
 	if err := yaml.NodeToValue(body, &f); err != nil {
-		// Values of a wrong type are among the problems already.
+		// checkNode has reported values of the wrong type.
 		if len(c.problems) == 0 {
 			c.problems = Problems{syntaxProblem(name, err)}
 		}
@@ -51,14 +52,14 @@
 	fillDefaults(&f)
 	c.check(&f)
 	c.problems.sort()
-	refusing, warnings := c.problems.split()
-	if len(refusing) > 0 {
-		return nil, warnings, refusing
+	rejecting, warnings := c.problems.split()
+	if len(rejecting) > 0 {
+		return nil, warnings, rejecting
 	}
 	return build(f, data), warnings, nil
 }
 
-func singleBody(name string, file *ast.File) (ast.Node, error) {
+func documentBody(name string, file *ast.File) (ast.Node, error) {
 	if len(file.Docs) == 1 && file.Docs[0].Body != nil {
 		return file.Docs[0].Body, nil
 	}
@@ -77,9 +78,10 @@
 	return p
 }
 
-// fields walks the node along the Go type and gathers unknown fields and
-// values of the wrong type, all of them and not only the first.
-func (c *checker) fields(n ast.Node, t reflect.Type, path string) {
+// checkNode compares a node with the Go type that it is decoded into and reports
+// every unknown field and every value of the wrong type. The decoder would report
+// only the first.
+func (c *checker) checkNode(n ast.Node, t reflect.Type, path string) {
 	if t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -90,53 +92,53 @@
 		n = a.Value
 	}
 	if _, ok := n.(*ast.AliasNode); ok {
-		c.at(n, CodeSyntax, path+" is an alias", "write the value out; aliases are not read")
+		c.reportNode(n, CodeSyntax, path+" is an alias", "write the value out; aliases are not read")
 		return
 	}
 	switch t.Kind() {
 	case reflect.Struct:
-		c.mapping(n, t, path)
+		c.checkMapping(n, t, path)
 	case reflect.Slice:
-		c.sequence(n, t, path)
+		c.checkSequence(n, t, path)
 	default:
-		c.scalar(n, t, path)
+		c.checkScalar(n, t, path)
 	}
 }
 
-func (c *checker) mapping(n ast.Node, t reflect.Type, path string) {
+func (c *checker) checkMapping(n ast.Node, t reflect.Type, path string) {
 	m, ok := n.(ast.MapNode)
 	if !ok {
-		c.at(n, CodeType, path+" is not a mapping", "write it as name: value lines")
+		c.reportNode(n, CodeType, path+" is not a mapping", "write it as name: value lines")
 		return
 	}
 	for it := m.MapRange(); it.Next(); {
 		key := strings.Trim(it.Key().String(), `"'`)
 		field, ok := fieldByKey(t, key)
 		if !ok {
-			c.at(it.Key(), CodeUnknownField, fmt.Sprintf("%s has no field %q", path, key), "use one of "+strings.Join(fieldKeys(t), ", "))
+			c.reportNode(it.Key(), CodeUnknownField, fmt.Sprintf("%s has no field %q", path, key), "use one of "+strings.Join(fieldKeys(t), ", "))
 			continue
 		}
-		c.fields(it.Value(), field.Type, path+"."+key)
+		c.checkNode(it.Value(), field.Type, path+"."+key)
 	}
 }
 
-func (c *checker) sequence(n ast.Node, t reflect.Type, path string) {
+func (c *checker) checkSequence(n ast.Node, t reflect.Type, path string) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
-		c.at(n, CodeType, path+" is not a list", "write it as lines that start with - ")
+		c.reportNode(n, CodeType, path+" is not a list", "write it as lines that start with - ")
 		return
 	}
 	for i, v := range s.Values {
-		c.fields(v, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
+		c.checkNode(v, t.Elem(), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-func (c *checker) scalar(n ast.Node, t reflect.Type, path string) {
+func (c *checker) checkScalar(n ast.Node, t reflect.Type, path string) {
 	v := reflect.New(t)
 	if err := yaml.NodeToValue(n, v.Interface()); err == nil && scalarFits(n, t) {
 		return
 	}
-	c.at(n, CodeType, fmt.Sprintf("%s: %q is not %s", path, n.String(), typeName(t)), "write "+typeName(t))
+	c.reportNode(n, CodeType, fmt.Sprintf("%s: %q is not %s", path, n.String(), typeName(t)), "write "+typeName(t))
 }
 
 func scalarFits(n ast.Node, t reflect.Type) bool {
@@ -160,7 +162,7 @@
 	case t.Kind() == reflect.Float64:
 		return "a number"
 	}
-	return "a text"
+	return "a string"
 }
 
 func fieldByKey(t reflect.Type, key string) (reflect.StructField, bool) {
@@ -182,10 +184,10 @@
 
 func build(f fileConfig, data []byte) *Config {
 	sum := sha256.Sum256(data)
-	c := &Config{f: f, data: data, digest: hex.EncodeToString(sum[:]), byKey: make(map[string]int)}
+	c := &Config{f: f, data: data, digest: hex.EncodeToString(sum[:]), accountByKeyHash: make(map[string]int)}
 	for i, a := range f.Accounts {
 		c.accounts = append(c.accounts, Account{f: a})
-		c.byKey[a.KeySHA256] = i
+		c.accountByKeyHash[a.KeySHA256] = i
 	}
 	poolIndex := make(map[string]int)
 	for i, p := range f.Pools {
@@ -212,15 +214,15 @@
 	return p
 }
 
-func buildPipeline(f filePipeline, whole fileConfig, poolIndex map[string]int) Pipeline {
+func buildPipeline(f filePipeline, file fileConfig, poolIndex map[string]int) Pipeline {
 	p := Pipeline{f: f}
 	for _, s := range f.Stages {
 		i := poolIndex[s.Pool]
-		p.stages = append(p.stages, Stage{f: s, kind: whole.Pools[i].Kind})
+		p.stages = append(p.stages, Stage{f: s, kind: file.Pools[i].Kind})
 	}
-	for i := range whole.Experiments {
-		if whole.Experiments[i].Pipeline == f.Name {
-			p.experiment = &Experiment{f: whole.Experiments[i]}
+	for i := range file.Experiments {
+		if file.Experiments[i].Pipeline == f.Name {
+			p.experiment = &Experiment{f: file.Experiments[i]}
 		}
 	}
 	return p
--- a/config/problem.go
+++ b/config/problem.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Code is the closed list of configuration problems.
+// Code classifies a problem. The constants below are all codes.
 type Code string
 
-// The codes.
+// Codes of problems.
 const (
 	CodeSyntax        Code = "syntax"
 	CodeUnknownField  Code = "unknown_field"
@@ -24,7 +24,7 @@
 	CodeUnused        Code = "unused"
 )
 
-// Problem is one thing wrong with a file.
+// Problem is an error or a warning at a position in a configuration file.
 type Problem struct {
 	file      string
 	line, col int
@@ -39,7 +39,7 @@
 // Code returns the problem's code.
 func (p Problem) Code() Code { return p.code }
 
-// Warning reports whether the file is accepted all the same.
+// Warning reports whether the file is accepted despite the problem.
 func (p Problem) Warning() bool { return p.code == CodeUnused }
 
 // Error implements the error interface.
@@ -47,10 +47,10 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s; fix: %s", p.file, p.line, p.col, p.code, p.message, p.fix)
 }
 
-// Problems is a sorted list of problems.
+// Problems is a list of problems sorted by position.
 type Problems []Problem
 
-// Error implements the error interface; one problem a line.
+// Error implements the error interface. Each problem is on a line of its own.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -65,14 +65,15 @@
 	})
 }
 
-// split parts the problems that refuse the file from the warnings.
-func (ps Problems) split() (refusing, warnings Problems) {
+// split separates the problems that cause the file to be rejected from the
+// warnings.
+func (ps Problems) split() (rejecting, warnings Problems) {
 	for _, p := range ps {
 		if p.Warning() {
 			warnings = append(warnings, p)
 			continue
 		}
-		refusing = append(refusing, p)
+		rejecting = append(rejecting, p)
 	}
-	return refusing, warnings
+	return rejecting, warnings
 }
