--- a/internal/policy/registry.go
+++ b/internal/policy/registry.go
@@ -1,9 +1,9 @@
-// Package policy holds the registry through which scheduling and placement
-// policies are found by the name that a configuration gives.
+// Package policy provides a registry of scheduling and placement policies, which
+// the configuration refers to by name.
 //
 // # Usage
 //
-// A new policy is one file in its package and one line of registration:
+// A policy is implemented in a file of its own and registered by its name:
 //
 //	var policies = policy.NewRegistry[Policy]()
 //	func init() { policies.Register("fifo", fifo) }
@@ -14,8 +14,8 @@
 	"slices"
 )
 
-// Registry maps names to policies of one sort. It is filled by init functions
-// and only read afterwards, so that it needs no lock.
+// Registry maps names to policies of one kind. Only init functions may call
+// Register; afterwards the registry is only read and needs no lock.
 type Registry[P any] struct {
 	byName map[string]P
 }
@@ -25,7 +25,7 @@
 	return &Registry[P]{byName: make(map[string]P)}
 }
 
-// Register adds a policy. Registering a name twice is a programming error.
+// Register adds a policy. It panics if the name is already registered.
 func (r *Registry[P]) Register(name string, p P) {
 	if _, ok := r.byName[name]; ok {
 		panic(fmt.Sprintf("policy %q is registered twice", name))
@@ -39,7 +39,7 @@
 	return p, ok
 }
 
-// Names returns all names in alphabetical order.
+// Names returns the registered names in alphabetical order.
 func (r *Registry[P]) Names() []string {
 	names := make([]string, 0, len(r.byName))
 	for name := range r.byName {
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -10,7 +10,7 @@
 	"gradetiller.example/internal/platform"
 )
 
-// Common are the settings of both long-lived programs.
+// Common holds the settings that the control and entry programs share.
 type Common struct {
 	System        string  `help:"Name of the system; processes of other systems are refused." required:""`
 	Node          string  `help:"Name of this instance; unique in the system." required:""`
@@ -22,36 +22,36 @@
 	PeerTLS
 }
 
-// Resources are what a long-lived program opens at its start.
+// Resources holds what a control or entry program opens at startup.
 type Resources struct {
-	log      *zap.Logger
-	flush    func()
-	security *peer.Security
-	platform *platform.HTTP
-	callers  net.Listener
-	peers    net.Listener
+	log          *zap.Logger
+	flush        func()
+	security     *peer.Security
+	platform     *platform.HTTP
+	listener     net.Listener
+	peerListener net.Listener
 }
 
-// Log returns the log.
+// Log returns the logger.
 func (r *Resources) Log() *zap.Logger { return r.log }
 
-// Security returns the keys for connections between processes.
+// Security returns the TLS material for connections between processes.
 func (r *Resources) Security() *peer.Security { return r.security }
 
-// Platform returns the adapter to the platform.
+// Platform returns the client of the platform's services.
 func (r *Resources) Platform() *platform.HTTP { return r.platform }
 
-// Listener returns the listener for callers or operators.
-func (r *Resources) Listener() net.Listener { return r.callers }
+// Listener returns the listener for clients (entry) or operators (control).
+func (r *Resources) Listener() net.Listener { return r.listener }
 
-// PeerListener returns the listener for other processes.
-func (r *Resources) PeerListener() net.Listener { return r.peers }
+// PeerListener returns the listener for the system's other processes.
+func (r *Resources) PeerListener() net.Listener { return r.peerListener }
 
-// Close writes out what is buffered of the log.
+// Close flushes the log.
 func (r *Resources) Close() { r.flush() }
 
-// Open checks the settings and opens what the program needs; listen is the
-// address for callers or operators.
+// Open checks the settings and opens the program's listeners and log; listen is
+// the address for clients or operators.
 func (c *Common) Open(listen Address) (*Resources, error) {
 	r := &Resources{}
 	var err error
@@ -61,18 +61,18 @@
 	if r.platform, err = platform.NewHTTP(c.Platform); err != nil {
 		return nil, err
 	}
-	if r.callers, err = Listen(listen); err != nil {
+	if r.listener, err = Listen(listen); err != nil {
 		return nil, err
 	}
-	if r.peers, err = Listen(c.PeerListen); err != nil {
+	if r.peerListener, err = Listen(c.PeerListen); err != nil {
 		return nil, err
 	}
 	r.log, r.flush, err = logging.New(c.LogLevel)
 	return r, err
 }
 
-// Run is the main function of a program without subcommands: it reads the
-// settings, runs f and reports its error.
+// Run is the main function of a program without subcommands: it parses the
+// settings into cli and calls f. On an error it exits with ExitUsage.
 func Run(cli any, name, help string, f func() error) {
 	Parse(cli, name, help)
 	if err := f(); err != nil {
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -13,7 +13,7 @@
 	"gradetiller.example/internal/peer"
 )
 
-// PeerTLS are the settings of mutual TLS between the system's processes.
+// PeerTLS holds the settings of mutual TLS between the system's processes.
 type PeerTLS struct {
 	TLSCert       string `help:"PEM file of this process's certificate; its organizational unit is the role." placeholder:"FILE"`
 	TLSKey        string `help:"PEM file of this process's key." placeholder:"FILE"`
@@ -21,36 +21,36 @@
 	InsecurePeers bool   `help:"Allow plain text between processes beyond the loopback interface."`
 }
 
-// Security reads the keys. Plain text is only allowed on the loopback
-// interface or by the explicit flag.
+// Security loads the certificate and keys. Without them, it returns an error
+// unless listen is a loopback address or InsecurePeers is set.
 func (k PeerTLS) Security(listen Address) (*peer.Security, error) {
 	s, err := peer.NewSecurity(peer.Files{Certificate: k.TLSCert, Key: k.TLSKey, Authority: k.TLSCA})
 	if err != nil {
 		return nil, err
 	}
 	if !s.Enabled() && !k.InsecurePeers && !listen.Loopback() {
-		return nil, fmt.Errorf("peers on %s would speak plain text: set --tls-cert, --tls-key and --tls-ca, or --insecure-peers", listen)
+		return nil, fmt.Errorf("connections from peers to %s would not be encrypted: set --tls-cert, --tls-key and --tls-ca, or --insecure-peers", listen)
 	}
 	return s, nil
 }
 
-// Incarnation returns a number that is higher for each later start of a
-// process, as long as the clock does not step back; peers correct it if it
-// does.
+// Incarnation returns the start time in milliseconds, which increases with each
+// restart of a process unless the clock steps back. In that case the membership
+// protocol raises the incarnation.
 func Incarnation() uint64 { return uint64(time.Now().UnixMilli()) }
 
-// Signals returns a context that ends with the first SIGTERM or SIGINT, and
-// one that ends with the second.
+// Signals returns a context that is canceled by the first SIGTERM or SIGINT, and
+// one that is canceled by the second.
 func Signals() (first, second context.Context) {
-	first, stop := context.WithCancel(context.Background())
-	second, kill := context.WithCancel(context.Background())
+	first, cancelFirst := context.WithCancel(context.Background())
+	second, cancelSecond := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-ch
-		stop()
+		cancelFirst()
 		<-ch
-		kill()
+		cancelSecond()
 	}()
 	return first, second
 }
@@ -69,7 +69,8 @@
 	return l, nil
 }
 
-// NewServer returns an HTTP server with bounds on slow clients.
+// NewServer returns an HTTP server with time limits for reading request headers
+// and for idle connections.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the types of command-line flags and environment
-// variables, and the one way in which programs report unusable ones.
+// Package settings parses the command-line flags and environment variables of
+// the programs and reports invalid ones.
 //
 // # Usage
 //
@@ -17,10 +17,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// ExitUsage is the exit status for unusable settings.
+// ExitUsage is the exit status for invalid settings.
 const ExitUsage = 2
 
-// Address is an IP number and port.
+// Address is an IP address and port. Host names are not accepted.
 type Address string
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -35,13 +35,13 @@
 // String returns the address as host:port.
 func (a Address) String() string { return string(a) }
 
-// Loopback reports whether the address can't be reached from other instances.
+// Loopback reports whether the address is a loopback address.
 func (a Address) Loopback() bool {
 	p, err := netip.ParseAddrPort(string(a))
 	return err == nil && p.Addr().IsLoopback()
 }
 
-// Strings returns addresses as texts.
+// Strings converts addresses to strings.
 func Strings(list []Address) []string {
 	out := make([]string, len(list))
 	for i, a := range list {
@@ -50,8 +50,8 @@
 	return out
 }
 
-// Parse reads flags and GRADETILLER_… variables into cli. An unusable setting
-// ends the process with ExitUsage and one line.
+// Parse reads flags and GRADETILLER_… environment variables into cli. On an
+// invalid setting it prints one line and exits with ExitUsage.
 func Parse(cli any, name, help string) *kong.Context {
 	parser := kong.Must(cli, kong.Name(name), kong.Description(help), kong.DefaultEnvars("GRADETILLER"), kong.UsageOnError())
 	ctx, err := parser.Parse(os.Args[1:])
@@ -62,7 +62,7 @@
 	return ctx
 }
 
-// Fail ends the process because of a setting.
+// Fail prints an error and exits with ExitUsage.
 func Fail(name string, err error) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 	os.Exit(ExitUsage)
