--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -47,7 +47,7 @@
 	At       time.Time `json:"at"`
 }
 
-// ErrorResponse is the body of every response with an error status.
+// ErrorResponse is the body of an error response.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
