--- a/cmd/gradetiller-entry/cmd/main.go
+++ b/cmd/gradetiller-entry/cmd/main.go
@@ -81,9 +81,9 @@
 	defer cancelLast()
 	if err := server.Shutdown(last); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		log.Warn("stopped before all answers were out", zap.Error(err))
-		node.LogCut()
+		node.LogAborted()
 	}
-	node.Settle(last)
+	node.AwaitRecords(last)
 	log.Info("stopped", zap.Int("in_flight", node.InFlight()))
 	return nil
 }
--- a/internal/endpoints/caller.go
+++ b/internal/endpoints/caller.go
@@ -18,8 +18,8 @@
 	// Token takes token number index and reports false when the call's tokens
 	// are not wanted any more.
 	Token(index int, text string) bool
-	// Have returns how many tokens the run has.
-	Have() int
+	// Count returns the number of tokens that the run has received.
+	Count() int
 	// Output returns all tokens of the run as one text.
 	Output() []byte
 }
--- a/internal/endpoints/http.go
+++ b/internal/endpoints/http.go
@@ -222,14 +222,14 @@
 	if line.RequestID != call.RequestID {
 		return broken(sink, fmt.Sprintf("stream is for request %q", line.RequestID))
 	}
-	if line.Count != sink.Have() {
-		return broken(sink, fmt.Sprintf("stream ended with %d tokens, %d came", line.Count, sink.Have()))
+	if line.Count != sink.Count() {
+		return broken(sink, fmt.Sprintf("stream ended with %d tokens, %d came", line.Count, sink.Count()))
 	}
 	return run.CallResult{Event: attempt.Complete, Output: sink.Output(), Tokens: line.Count}
 }
 
 func broken(sink Sink, reason string) run.CallResult {
 	end := ending(attempt.NoResponse, reason)
-	end.Tokens = sink.Have()
+	end.Tokens = sink.Count()
 	return end
 }
--- a/internal/endpoints/http_test.go
+++ b/internal/endpoints/http_test.go
@@ -24,7 +24,7 @@
 	return true
 }
 
-func (s *sink) Have() int      { return len(s.text) }
+func (s *sink) Count() int     { return len(s.text) }
 func (s *sink) Output() []byte { return []byte(strings.Join(s.text, "")) }
 
 // TestAnswersAreChecked checks what becomes of answers that are whole, of
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -63,10 +63,10 @@
 	return true
 }
 
-// Settle waits behind Drain for what it left to the store, until ctx ends. A
+// AwaitRecords waits behind Drain for what it left to the store, until ctx ends. A
 // request whose record is not taken back by then stays as started for all
 // nodes, although its caller may have been told "not run"; the log names it.
-func (n *Node) Settle(ctx context.Context) {
+func (n *Node) AwaitRecords(ctx context.Context) {
 	if n.settle(ctx) {
 		return
 	}
--- a/internal/entry/drain_test.go
+++ b/internal/entry/drain_test.go
@@ -170,7 +170,7 @@
 	close(store.released)
 	ctx, cancel := context.WithTimeout(context.Background(), longStop)
 	defer cancel()
-	s.nodes[0].Settle(ctx)
+	s.nodes[0].AwaitRecords(ctx)
 	if output, err := s.runAt(1, "x"); err != nil {
 		t.Fatalf("asking another node again: %q, %v", output, err)
 	}
--- a/internal/entry/exchanges.go
+++ b/internal/entry/exchanges.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// LogCut names in the log each request whose connection the end of the process
+// LogAborted names in the log each request whose connection the end of the process
 // cuts, since its caller has not sent it whole or does not read its answer.
-func (n *Node) LogCut() {
+func (n *Node) LogAborted() {
 	for _, id := range n.exchanges.requests() {
 		n.log.Warn("cut off by the stop", zap.String("request", id))
 	}
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -80,7 +80,7 @@
 				l.node.log.Error("snapshot refused", zap.Error(err))
 			}
 		case *wire.Story:
-			if err := conn.Send(wire.StoryAnswer{ID: m.ID, Lines: l.node.Story(m.Subject)}); err != nil {
+			if err := conn.Send(wire.StoryAnswer{ID: m.ID, Lines: l.node.Decisions(m.Subject)}); err != nil {
 				return err
 			}
 		}
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -249,8 +249,8 @@
 	return ok
 }
 
-// Story returns the decisions about a subject as lines.
-func (n *Node) Story(subject string) []string {
+// Decisions returns the decisions about a subject as lines.
+func (n *Node) Decisions(subject string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	events := n.story.BySubject(subject)
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -107,8 +107,8 @@
 	return s.stream.add(s.call.Attempt, index, text)
 }
 
-// Have implements endpoints.Sink.
-func (s *attemptSink) Have() int {
+// Count implements endpoints.Sink.
+func (s *attemptSink) Count() int {
 	if !s.owns {
 		return 0
 	}
