--- a/internal/entry/api_test.go
+++ b/internal/entry/api_test.go
@@ -12,8 +12,8 @@
 
 const apiPage = "../../docs/API.md"
 
-// TestAPIPage runs every shell example of the API page against a node and
-// looks for the text behind "# => " in its output.
+// TestAPIPage runs every shell example of the API documentation against a node
+// and checks that the output contains the text after "# => ".
 func TestAPIPage(t *testing.T) {
 	page, err := os.ReadFile(apiPage)
 	if err != nil {
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestAPITable checks that the page's table is the table of the code.
+// TestAPITable checks that the API documentation lists every failure kind with
+// the code, status, ran and again values of package failure.
 func TestAPITable(t *testing.T) {
 	page, err := os.ReadFile(apiPage)
 	if err != nil {
--- a/internal/entry/apply.go
+++ b/internal/entry/apply.go
@@ -14,9 +14,9 @@
 	"gradetiller.example/internal/wire"
 )
 
-// Apply puts a control process's snapshot in force. A configuration of a
-// version that is not above the present one is ignored, so that nothing
-// reverts.
+// Apply applies a snapshot of a control process. A configuration is ignored
+// unless its version is higher than the active one, so that a stale control
+// process cannot roll it back.
 func (n *Node) Apply(s wire.Snapshot) error {
 	cfg := n.cfg.Load()
 	version := n.Version()
@@ -31,7 +31,7 @@
 		s.Entries = n.Entries()
 	}
 	if cfg == nil {
-		// Later snapshots may leave the entries out as the same.
+		// Later snapshots may omit unchanged entries, so store them now.
 		n.setEntries(s.Entries)
 		return nil
 	}
@@ -65,7 +65,7 @@
 func (n *Node) configureEngine(cfg *config.Config, version uint64, entries []wire.Entry) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.engine.Configure(time.Now(), cfg, serving(entries)); err != nil {
+	if err := n.engine.Configure(time.Now(), cfg, countServing(entries)); err != nil {
 		return err
 	}
 	n.entries = entries
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// mergeEntries adds what is new to what is known and takes nothing away.
+// mergeEntries returns the fresh entries and those known entries that fresh
+// does not contain.
 func mergeEntries(known, fresh []wire.Entry) []wire.Entry {
 	merged := slices.Clone(fresh)
 	for _, k := range known {
@@ -89,7 +90,7 @@
 	return merged
 }
 
-func serving(entries []wire.Entry) int {
+func countServing(entries []wire.Entry) int {
 	count := 0
 	for _, e := range entries {
 		if !e.Leaving {
@@ -99,7 +100,7 @@
 	return count
 }
 
-// Version returns the version of the configuration in force; 0 means none.
+// Version returns the version of the active configuration; 0 means none.
 func (n *Node) Version() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -112,17 +113,17 @@
 	n.entries = entries
 }
 
-// Entries returns the entries of the whole system as last heard.
+// Entries returns all entries of the system, as of the last snapshot.
 func (n *Node) Entries() []wire.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.entries
 }
 
-// rebuildTable computes the locate answers anew. The node itself is always
-// among the entries unless it is leaving, also when its control process is
-// gone. It takes tens of milliseconds at thousands of accounts, so it must not
-// hold the lock.
+// rebuildTable recomputes the locate answers. They include the node itself
+// unless it is leaving, even if its control process is unreachable. A rebuild
+// takes tens of milliseconds with thousands of accounts, so n.mu must not be
+// held meanwhile.
 func (n *Node) rebuildTable() {
 	n.tableMu.Lock()
 	defer n.tableMu.Unlock()
@@ -154,8 +155,8 @@
 	n.engine.SetRateShares(time.Now(), func(i int) float64 { return shares[i] })
 }
 
-// Leave takes this node out of its own locate answers at once, and tells its
-// control process with the next status.
+// Leave removes this node from its own locate answers immediately. The control
+// process learns of it from the next status.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	n.rebuildTable()
@@ -164,8 +165,9 @@
 // Leaving reports whether Leave was called.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Close refuses new requests as draining. When it returns, InFlight does not
-// grow any more: the engine decides under the lock that Submit takes.
+// Close makes the node refuse new requests as draining. After Close returns,
+// InFlight does not increase, because Submit admits requests under the lock
+// that Close has held.
 func (n *Node) Close() {
 	n.closed.Store(true)
 	n.stopAt(time.Now())
@@ -177,7 +179,7 @@
 	n.engine.StopAt(ends)
 }
 
-// Self returns this node's record for the other nodes.
+// Self returns this node's entry, as announced to the other nodes.
 func (n *Node) Self() wire.Entry {
 	return wire.Entry{
 		Node: n.id.Node, Incarnation: n.id.Incarnation, Address: n.id.Address, PeerAddress: n.id.PeerAddress,
--- a/internal/entry/apply_test.go
+++ b/internal/entry/apply_test.go
@@ -6,10 +6,10 @@
 	"gradetiller.example/internal/wire"
 )
 
-// TestEntriesOutliveTheWaitForAConfiguration sends a node the other entries
-// before there is a configuration, and then the configuration with a snapshot
-// that says that the entries are the same: the node knows them.
-func TestEntriesOutliveTheWaitForAConfiguration(t *testing.T) {
+// TestEntriesBeforeConfigurationAreKept checks that a node keeps the entries
+// that it received before its first configuration. The snapshot with the
+// configuration says only that the entries are the same.
+func TestEntriesBeforeConfigurationAreKept(t *testing.T) {
 	s := newSystem(t, 1)
 	n := NewNode(Identity{Node: "late", Address: "127.0.0.1:1", Region: "r"})
 	others := []wire.Entry{{Node: "late", Address: "127.0.0.1:1", Region: "r"}, {Node: "other", Address: "127.0.0.1:2", Region: "r"}}
@@ -27,8 +27,9 @@
 	}
 }
 
-// TestNothingReverts sends an older configuration after a newer one.
-func TestNothingReverts(t *testing.T) {
+// TestOlderConfigurationIsIgnored checks that a configuration with a lower
+// version than the active one is not applied.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	s := newSystem(t, 1)
 	n := s.nodes[0]
 	s.apply(5)
@@ -38,9 +39,10 @@
 	}
 }
 
-// TestUnsettledViewTakesNothingAway sends the view of a control process that
-// has just started and knows few of its peers.
-func TestUnsettledViewTakesNothingAway(t *testing.T) {
+// TestUnsettledSnapshotRemovesNoEntries checks that a snapshot of a control
+// process that has just started, and knows only some of its peers, removes no
+// entries, and that a settled snapshot does.
+func TestUnsettledSnapshotRemovesNoEntries(t *testing.T) {
 	s := newSystem(t, 3)
 	n := s.nodes[0]
 	if err := n.Apply(wire.Snapshot{Entries: []wire.Entry{n.Self()}}); err != nil {
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -19,7 +19,7 @@
 	"gradetiller.example/internal/wire"
 )
 
-// post makes one exchange over a kept connection.
+// post sends one request over a keep-alive connection and discards the answer.
 func post(b *testing.B, c *http.Client, url, id string, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -42,8 +42,9 @@
 	}
 }
 
-// BenchmarkAddedTime runs a one-stage request through a node and directly at
-// the same stand-in, in turn, and reports both medians and what the node adds.
+// BenchmarkAddedTime alternates between a one-stage request through a node and
+// a call sent directly to the same stand-in, and reports both median latencies
+// and their difference.
 func BenchmarkAddedTime(b *testing.B) {
 	s := newSystem(b, 1)
 	desk := s.cfg.Pools()[1].Endpoints()[0]
@@ -65,7 +66,8 @@
 	b.ReportMetric(median(n)-median(d), "added-µs")
 }
 
-// tokenCaller is an engine without a network: it gives tokens at once.
+// tokenCaller simulates an engine without a network: it returns its tokens
+// immediately.
 type tokenCaller struct{ tokens int }
 
 func (c tokenCaller) Call(_ context.Context, call run.Call, sink endpoints.Sink) run.CallResult {
@@ -77,8 +79,8 @@
 	return run.CallResult{Event: attempt.Complete, Output: sink.Output(), Tokens: c.tokens}
 }
 
-// BenchmarkToken is the processor time that the engine and the stream add to
-// a token, without the network on either side.
+// BenchmarkToken measures the time that run.Engine and the stream add to each
+// token, without the network on either side.
 func BenchmarkToken(b *testing.B) {
 	s := newSystem(b, 1)
 	const tokens = 1000
@@ -95,7 +97,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/tokens, "ns/token")
 }
 
-// bigConfig is the size of two years from now.
+// bigConfig returns a configuration with the given numbers of accounts and
+// endpoints, and 18 pipelines of four stages.
 func bigConfig(b *testing.B, accounts, endpoints int) *config.Config {
 	var text bytes.Buffer
 	text.WriteString("format: 1\nname: big\naccounts:\n")
@@ -117,8 +120,8 @@
 	return cfg
 }
 
-// BenchmarkNodeMemory reports the memory of a node with all its accounts
-// active once, at three sizes.
+// BenchmarkNodeMemory reports the heap of a node after one request of each
+// account, for three sizes.
 func BenchmarkNodeMemory(b *testing.B) {
 	for _, size := range []struct{ accounts, endpoints, nodes int }{{5, 45, 7}, {400, 60, 40}, {3900, 600, 380}} {
 		b.Run(fmt.Sprintf("%d-accounts", size.accounts), func(b *testing.B) {
--- a/internal/entry/codec.go
+++ b/internal/entry/codec.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	maxRequest    = 1 << 20
-	maxIDLength   = 128
-	prefixLength  = 64
-	headerRequest = "X-Request-Id"
-	contentJSON   = "application/json"
-	contentLines  = "application/x-ndjson"
+	maxBodyBytes    = 1 << 20
+	maxIDLength     = 128
+	prefixLength    = 64
+	headerRequestID = "X-Request-Id"
+	contentJSON     = "application/json"
+	contentNDJSON   = "application/x-ndjson"
 )
 
 type runBody struct {
@@ -40,16 +40,16 @@
 }
 
 func decodeRun(_ context.Context, r *http.Request) (any, error) {
-	id := r.Header.Get(headerRequest)
+	id := r.Header.Get(headerRequestID)
 	if id == "" || len(id) > maxIDLength {
-		return nil, badRequest("expected the header %s with 1 to %d bytes", headerRequest, maxIDLength)
+		return nil, badRequest("expected the header %s with 1 to %d bytes", headerRequestID, maxIDLength)
 	}
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxRequest+1))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil {
 		return nil, badRequest("read body: %v", err)
 	}
-	if len(data) > maxRequest {
-		return nil, failure.New(failure.TooLarge, fmt.Sprintf("the body exceeds %d bytes", maxRequest))
+	if len(data) > maxBodyBytes {
+		return nil, failure.New(failure.TooLarge, fmt.Sprintf("the body exceeds %d bytes", maxBodyBytes))
 	}
 	var body runBody
 	if err := json.Unmarshal(data, &body); err != nil {
@@ -66,24 +66,26 @@
 			RequestID:  id,
 			Timeout:    time.Duration(body.DeadlineMS) * time.Millisecond,
 			Repeatable: body.Repeatable == nil || *body.Repeatable,
-			Class:      class(body.Class),
+			Class:      normalizeClass(body.Class),
 			Input:      []byte(body.Input),
 			Prefix:     prefixHash(body.Input),
 		},
 	}, nil
 }
 
-// classes is the closed list of request classes, which bounds the metrics.
+// classes lists the known request classes. Other names are counted as
+// "default", which bounds the number of metric series.
 var classes = map[string]bool{"interactive": true, "batch": true, "booking": true}
 
-func class(name string) string {
+func normalizeClass(name string) string {
 	if classes[name] {
 		return name
 	}
 	return "default"
 }
 
-// prefixHash names the start of a long prompt, which engines cache.
+// prefixHash returns the hash of the first prefixLength bytes of a prompt, by
+// which engines with a cached prefix are found. It returns 0 for a shorter one.
 func prefixHash(input string) uint64 {
 	if len(input) < prefixLength {
 		return 0
@@ -140,7 +142,7 @@
 	Skipped  bool    `json:"skipped,omitempty"`
 }
 
-type wholeBody struct {
+type answerBody struct {
 	RequestID string      `json:"request_id"`
 	Ran       string      `json:"ran"`
 	OnTime    bool        `json:"on_time"`
@@ -151,8 +153,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func wholeBodyOf(f *run.Finish) wholeBody {
-	body := wholeBody{
+func answerBodyOf(f *run.Finish) answerBody {
+	body := answerBody{
 		RequestID: f.Summary.RequestID, Ran: string(failure.RanYes), OnTime: f.Summary.OnTime,
 		TookMS: milliseconds(f.Summary.Took), Output: string(f.Output),
 	}
@@ -162,8 +164,8 @@
 	return body
 }
 
-// encodeRun waits for the run and writes its answer, whole or streamed. A
-// caller that goes away cancels the run.
+// encodeRun waits for the run and writes its answer, either complete or
+// streamed. The run is canceled if the client disconnects.
 func (n *Node) encodeRun(ctx context.Context, w http.ResponseWriter, response any) error {
 	resp := response.(runResponse)
 	if resp.streamed {
@@ -183,14 +185,14 @@
 			encodeError(ctx, end.Err, w)
 			return nil
 		default:
-			writeJSON(w, http.StatusOK, wholeBodyOf(end))
+			writeJSON(w, http.StatusOK, answerBodyOf(end))
 			return nil
 		}
 	}
 }
 
 // streamEvent is one line of a streamed answer. The last line has End or
-// Error; a stream without one was cut.
+// Error; a stream without such a line is truncated.
 type streamEvent struct {
 	Text   string     `json:"text,omitempty"`
 	End    bool       `json:"end,omitempty"`
@@ -200,7 +202,8 @@
 	Error  *errorBody `json:"error,omitempty"`
 }
 
-// streamWriter writes events and keeps the length and digest of the text.
+// streamWriter writes stream events and tracks the length and digest of their
+// text.
 type streamWriter struct {
 	w       http.ResponseWriter
 	flush   *http.ResponseController
@@ -209,10 +212,10 @@
 	digest  hash.Hash
 }
 
-func (s *streamWriter) event(e streamEvent) error {
+func (s *streamWriter) writeEvent(e streamEvent) error {
 	if !s.started {
 		s.started = true
-		s.w.Header().Set("Content-Type", contentLines)
+		s.w.Header().Set("Content-Type", contentNDJSON)
 		s.w.WriteHeader(http.StatusOK)
 	}
 	line, err := json.Marshal(e)
@@ -225,10 +228,10 @@
 	return s.flush.Flush()
 }
 
-func (s *streamWriter) text(fresh []byte) error {
+func (s *streamWriter) writeText(fresh []byte) error {
 	s.length += len(fresh)
 	_, _ = s.digest.Write(fresh)
-	return s.event(streamEvent{Text: string(fresh)})
+	return s.writeEvent(streamEvent{Text: string(fresh)})
 }
 
 func (n *Node) encodeStream(ctx context.Context, w http.ResponseWriter, resp runResponse) error {
@@ -242,42 +245,42 @@
 		}
 		fresh, end := resp.stream.take()
 		if end != nil && end.Err != nil {
-			return out.fail(ctx, end.Err)
+			return out.writeError(ctx, end.Err)
 		}
 		if len(fresh) > 0 {
-			if err := out.text(fresh); err != nil {
+			if err := out.writeText(fresh); err != nil {
 				n.Cancel(resp.stream.run)
 				return nil
 			}
 		}
 		if end != nil {
-			return out.end(end)
+			return out.writeEnd(end)
 		}
 	}
 }
 
-// fail ends the stream with an error: as the answer itself while nothing was
-// written, else as the last event.
-func (s *streamWriter) fail(ctx context.Context, err error) error {
+// writeError ends the stream with an error. If no event was written yet, the
+// error is the HTTP answer, otherwise the last event.
+func (s *streamWriter) writeError(ctx context.Context, err error) error {
 	if !s.started {
 		encodeError(ctx, err, s.w)
 		return nil
 	}
 	body, _, _ := errorBodyOf(err)
-	_ = s.event(streamEvent{Error: &body})
+	_ = s.writeEvent(streamEvent{Error: &body})
 	return nil
 }
 
-// end writes the last event. A pipeline whose last stage does not stream has
-// its whole output still to write.
-func (s *streamWriter) end(f *run.Finish) error {
+// writeEnd writes the last event, after any output that was not streamed: if
+// the last stage does not stream, that is the complete output.
+func (s *streamWriter) writeEnd(f *run.Finish) error {
 	if rest := f.Output[min(s.length, len(f.Output)):]; len(rest) > 0 {
-		if err := s.text(rest); err != nil {
+		if err := s.writeText(rest); err != nil {
 			return nil
 		}
 	}
 	onTime := f.Summary.OnTime
-	_ = s.event(streamEvent{End: true, Length: s.length, SHA256: hex.EncodeToString(s.digest.Sum(nil)), OnTime: &onTime})
+	_ = s.writeEvent(streamEvent{End: true, Length: s.length, SHA256: hex.EncodeToString(s.digest.Sum(nil)), OnTime: &onTime})
 	return nil
 }
 
--- a/internal/entry/decision.go
+++ b/internal/entry/decision.go
@@ -7,7 +7,8 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// decisionText gives a decision's inputs as key=value pairs.
+// decisionText formats the configuration version and a decision's non-empty
+// fields as key=value pairs.
 func decisionText(d run.Decision, version uint64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "config=%d", version)
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -10,75 +10,78 @@
 )
 
 const (
-	// spreadBound is how long the news that this node leaves may take to
-	// reach every node that names it in locate answers.
-	spreadBound   = 3 * time.Second
-	drainInterval = 20 * time.Millisecond
+	// maxPropagationDelay bounds the time until every node that names this node
+	// in locate answers knows that it is leaving.
+	maxPropagationDelay = 3 * time.Second
+	drainPollInterval   = 20 * time.Millisecond
 )
 
-// Drain carries out a planned stop: leave the locate answers, serve until
-// every answer that named this node has run out, refuse new requests as not
-// run, and wait for those in flight and for the store to take back the records
-// of those that did not run.
+// Drain performs a graceful shutdown: it removes the node from locate answers,
+// serves until every locate answer that named this node has expired, refuses
+// new requests as not run, and waits for the runs in flight and for the store
+// to mark the records of requests answered as "not run" as abandoned.
 //
-// The process may end when ctx does. Requests that may need longer than ctx's
-// deadline are refused from the start, and what is in flight when ctx ends is
-// ended with an answer; so no run is under way when Drain returns. The answers
-// are then still on their way out, and Settle waits for the records.
+// The process may exit once ctx is done. Requests that may need longer than
+// ctx's deadline are refused from the start, and runs in flight when ctx is
+// done are ended with an answer, so that no run is left when Drain returns.
+// Answers may then still be in transmission, and store operations outstanding;
+// AwaitRecords waits for the latter.
 func (n *Node) Drain(ctx context.Context) {
 	if ends, ok := ctx.Deadline(); ok {
-		// Before it leaves, so that the end is known to whoever sees it leave.
+		// Set before Leave, so that the bound already holds when another process
+		// sees this node as leaving.
 		n.stopAt(ends)
 	}
-	n.serveOut(ctx)
-	n.end()
+	n.leaveAndDrain(ctx)
+	n.terminate()
 }
 
-// serveOut serves until nothing more comes and nothing is in flight, or ctx
-// ends.
-func (n *Node) serveOut(ctx context.Context) {
+// leaveAndDrain serves until locate answers that name this node have expired
+// and no run is in flight, or until ctx is done.
+func (n *Node) leaveAndDrain(ctx context.Context) {
 	n.Leave()
-	keep := spreadBound
+	keep := maxPropagationDelay
 	if cfg := n.Config(); cfg != nil {
 		keep += cfg.LocateKeep()
 	}
 	n.log.Info("leaving", zap.Duration("serve_until", keep))
-	if !pause(ctx, keep) {
+	if !sleep(ctx, keep) {
 		return
 	}
 	n.Close()
 	n.log.Info("draining", zap.Int("in_flight", n.InFlight()))
-	n.settle(ctx)
+	n.awaitIdle(ctx)
 }
 
-// settle waits until nothing is in flight and every record of a request that
-// was told "not run" is taken back, and reports false when ctx ends first. The
-// runs come first: only they give the records more to do.
-func (n *Node) settle(ctx context.Context) bool {
-	for n.InFlight() > 0 || !n.records.settled() {
-		if !pause(ctx, drainInterval) {
+// awaitIdle waits until no run is in flight and every record of a request that
+// was answered as "not run" is marked abandoned. It reports false if ctx is
+// done first. Runs are checked before records, because only runs add records.
+func (n *Node) awaitIdle(ctx context.Context) bool {
+	for n.InFlight() > 0 || !n.records.flushed() {
+		if !sleep(ctx, drainPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// AwaitRecords waits behind Drain for what it left to the store, until ctx ends. A
-// request whose record is not taken back by then stays as started for all
-// nodes, although its caller may have been told "not run"; the log names it.
+// AwaitRecords waits for the store operations that were outstanding when Drain
+// returned, until ctx is done. A record that is not marked abandoned by then
+// makes every node treat its request as started, although the client may have
+// been told "not run"; such records are logged.
 func (n *Node) AwaitRecords(ctx context.Context) {
-	if n.settle(ctx) {
+	if n.awaitIdle(ctx) {
 		return
 	}
-	for _, key := range n.records.repairs() {
+	for _, key := range n.records.pendingRepairs() {
 		n.log.Warn("record not taken back", zap.String("record", key))
 	}
-	n.log.Warn("stopped before the store had answered", zap.Int64("under_way", n.records.underway.Load()))
+	n.log.Warn("stopped before the store had answered", zap.Int64("under_way", n.records.pending.Load()))
 }
 
-// end ends what is in flight. Each of these callers gets an answer that tells
-// whether the request may have run, and the log names each.
-func (n *Node) end() {
+// terminate ends all runs in flight and logs each. Their clients get an answer
+// that states whether the request may have run.
+func (n *Node) terminate() {
 	n.closed.Store(true)
 	n.step(func(now time.Time) []run.Action {
 		actions := n.engine.Terminate(now)
@@ -92,7 +95,7 @@
 	})
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/entry/drain_test.go
+++ b/internal/entry/drain_test.go
@@ -13,20 +13,15 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// longStop is a planned stop that no test waits out.
-const longStop = time.Minute
+// longDrain is a drain timeout that no test reaches.
+const longDrain = time.Minute
 
-// TestStopTakesWhatItCanEnd asks a node that has been told to stop.
-//
-// What a caller sees: its request is taken, and the connection is closed
-// without an answer when the process ends.
-// How it comes about: the stop has a last moment, and the request's deadline
-// lies behind it.
-// The cause: until the node closes it takes every request, although it knows
-// when it ends.
-// What proves it: of two requests alike, the node refuses as draining the one
-// that it can't finish, runs no stage of it, and takes the other.
-func TestStopTakesWhatItCanEnd(t *testing.T) {
+// TestDrainingNodeAdmitsOnlyWhatItCanFinish guards against a draining node that
+// admits a request whose deadline is after the end of the process: the client's
+// connection is then closed without an answer. The node must refuse such a
+// request as draining, run no stage of it, and still admit a request that ends
+// in time.
+func TestDrainingNodeAdmitsOnlyWhatItCanFinish(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		stop   time.Duration
@@ -34,7 +29,7 @@
 	}{
 		// Requests have 2 s.
 		{"ends before the deadline", time.Second, true},
-		{"ends after the deadline", longStop, false},
+		{"ends after the deadline", longDrain, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSystem(t, 1)
@@ -42,17 +37,17 @@
 			if _, err := caller.Run(context.Background(), request("plan", "before")); err != nil {
 				t.Fatal(err)
 			}
-			s.startStop(c.stop)
+			s.startDrain(c.stop)
 			_, err := caller.Run(context.Background(), request("plan", "late"))
 			if !c.refuse {
 				if err != nil {
-					t.Fatalf("a request that ends in time: %v", err)
+					t.Fatalf("request that ends in time: %v", err)
 				}
 				return
 			}
 			var f *failure.Error
 			if !errors.As(err, &f) || f.Kind() != failure.Draining || f.RetryAfter() <= 0 {
-				t.Fatalf("answer %v, want %v and a time to come back", err, failure.Draining)
+				t.Fatalf("answer %v, want %v and a retry delay", err, failure.Draining)
 			}
 			if n := s.runs("prep", "late"); n != 0 {
 				t.Fatalf("ran %d times although it was refused", n)
@@ -61,9 +56,9 @@
 	}
 }
 
-// startStop has the first node begin a planned stop that lasts at most d, and
-// ends it with the test.
-func (s *system) startStop(d time.Duration) {
+// startDrain starts draining the first node with a timeout of d, and cancels
+// the drain when the test ends.
+func (s *system) startDrain(d time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	done := make(chan struct{})
 	go func() {
@@ -79,105 +74,101 @@
 	}
 }
 
-// doubtfulStore loses the answer of every write, and fails its first reads.
-type doubtfulStore struct {
+// lossyStore loses the answer of every write, and fails its first reads.
+type lossyStore struct {
 	Store
-	fails atomic.Int64 // reads that fail yet
+	failingReads atomic.Int64 // remaining reads that fail
 }
 
-func (d *doubtfulStore) Write(ctx context.Context, puts []ledger.Put) ledger.WriteResult {
-	d.Store.Write(ctx, puts)
+func (s *lossyStore) Write(ctx context.Context, puts []ledger.Put) ledger.WriteResult {
+	s.Store.Write(ctx, puts)
 	return ledger.WriteResult{Kind: ledger.WriteUnknown}
 }
 
-func (d *doubtfulStore) Read(ctx context.Context, keys []string) ([]ledger.Row, error) {
-	if d.fails.Add(-1) >= 0 {
+func (s *lossyStore) Read(ctx context.Context, keys []string) ([]ledger.Row, error) {
+	if s.failingReads.Add(-1) >= 0 {
 		return nil, errors.New("the store does not answer")
 	}
-	return d.Store.Read(ctx, keys)
+	return s.Store.Read(ctx, keys)
 }
 
-// TestStopKeepsNotRun stops a node that has told "not run" of a request that
-// must run at most once.
-//
-// What a caller sees: it asks another node for the request again, as it may,
-// and is told that it was started before. It never runs.
-// How it comes about: the started record got into the store, its answer did
-// not come, and the mark that takes it back waits for the store.
-// The cause: the stop waits for requests in flight, and ends the process while
-// marks wait.
-// What proves it: when the stop has ended, another node runs the request.
-func TestStopKeepsNotRun(t *testing.T) {
+// TestDrainAwaitsAbandonedMarks guards against a drain that ends before the
+// store has the abandoned mark of an at-most-once request answered as "not
+// run". The started record is in the store, the answer of its write was lost,
+// and the mark waits for the store. If the process exits then, the client's
+// retry on another node is refused as already started, and the request never
+// runs. After the drain, another node must run it.
+func TestDrainAwaitsAbandonedMarks(t *testing.T) {
 	s := newSystem(t, 2)
-	store := &doubtfulStore{Store: s.nodes[0].records.store}
-	// One read belongs to the request, and a mark is tried again each second:
-	// the store answers only after the node is closed.
-	store.fails.Store(6)
+	store := &lossyStore{Store: s.nodes[0].records.store}
+	// The request makes one read, and the mark is retried every second, so the
+	// store answers only after the node is closed.
+	store.failingReads.Store(6)
 	s.nodes[0].records.store = store
-	_, err := s.runAt(0, "x")
+	_, err := s.submitAt(0, "x")
 	if failure.KindOf(err) != failure.StoreAway {
 		t.Fatalf("answer %v, want %v", err, failure.StoreAway)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), longStop)
+	ctx, cancel := context.WithTimeout(context.Background(), longDrain)
 	defer cancel()
 	s.nodes[0].Drain(ctx)
-	// The process is gone from here on.
-	store.fails.Store(1 << 30)
-	if output, err := s.runAt(1, "x"); err != nil {
-		t.Fatalf("asking another node again: %q, %v", output, err)
+	// The process has exited: the node writes nothing from here on.
+	store.failingReads.Store(1 << 30)
+	if output, err := s.submitAt(1, "x"); err != nil {
+		t.Fatalf("retry on another node: %q, %v", output, err)
 	}
 	if n := s.runs("desk", "x"); n != 1 {
 		t.Fatalf("ran %d times", n)
 	}
 }
 
-// slowStore holds its answers back until it is released.
+// slowStore delays the answers of writes until released is closed.
 type slowStore struct {
 	Store
 	asked    chan struct{}
 	released chan struct{}
 }
 
-func (d *slowStore) Write(ctx context.Context, puts []ledger.Put) ledger.WriteResult {
-	result := d.Store.Write(ctx, puts)
+func (s *slowStore) Write(ctx context.Context, puts []ledger.Put) ledger.WriteResult {
+	result := s.Store.Write(ctx, puts)
 	select {
-	case d.asked <- struct{}{}:
+	case s.asked <- struct{}{}:
 	default:
 	}
-	<-d.released
+	<-s.released
 	return result
 }
 
-// TestSettleTakesRecordsBack ends a stop while the started record of a request
-// is being stored. The caller is told "not run" at once; when Settle returns,
-// another node runs the request.
-func TestSettleTakesRecordsBack(t *testing.T) {
+// TestAwaitRecordsAbandonsRecords checks that a drain that times out while a
+// started record is being written answers "not run" immediately, and that
+// another node can run the request after AwaitRecords returns.
+func TestAwaitRecordsAbandonsRecords(t *testing.T) {
 	s := newSystem(t, 2)
 	store := &slowStore{Store: s.nodes[0].records.store, asked: make(chan struct{}, 1), released: make(chan struct{})}
 	s.nodes[0].records.store = store
 	result := make(chan error, 1)
 	go func() {
-		_, err := s.runAt(0, "x")
+		_, err := s.submitAt(0, "x")
 		result <- err
 	}()
 	<-store.asked
-	over, cancel := context.WithCancel(context.Background())
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.nodes[0].Drain(over)
+	s.nodes[0].Drain(expired)
 	if err := <-result; failure.KindOf(err) != failure.Draining {
 		t.Fatalf("answer %v, want %v", err, failure.Draining)
 	}
 	close(store.released)
-	ctx, cancel := context.WithTimeout(context.Background(), longStop)
+	ctx, cancel := context.WithTimeout(context.Background(), longDrain)
 	defer cancel()
 	s.nodes[0].AwaitRecords(ctx)
-	if output, err := s.runAt(1, "x"); err != nil {
-		t.Fatalf("asking another node again: %q, %v", output, err)
+	if output, err := s.submitAt(1, "x"); err != nil {
+		t.Fatalf("retry on another node: %q, %v", output, err)
 	}
 }
 
-// runAt asks one node for a request that must run at most once.
-func (s *system) runAt(node int, id string) (string, error) {
+// submitAt submits an at-most-once request to one node and waits for the result.
+func (s *system) submitAt(node int, id string) (string, error) {
 	w := s.nodes[node].Submit(run.Request{Account: "a", Pipeline: "sell", RequestID: id, Input: []byte("req=" + id + ";text")})
 	for range w.wake {
 		if _, end := w.take(); end != nil {
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -11,16 +11,17 @@
 	"gradetiller.example/internal/standin"
 )
 
-var closingPoints = []standin.Fault{
+var closeFaults = []standin.Fault{
 	standin.FaultCloseHeaders, standin.FaultCloseBody, standin.FaultCloseWork, standin.FaultCloseAnswer,
 }
 
-// TestOnceIsNeverRepeated closes the connection at every point of a call that
-// may not be repeated, on a fresh and on a reused connection. The endpoint
-// runs it at most once, and the caller is never told "not run".
-func TestOnceIsNeverRepeated(t *testing.T) {
+// TestNonRepeatableCallIsNeverRepeated closes the connection at every point of
+// a call that is not repeatable, on a new and on a reused connection. The
+// endpoint must run the call at most once, and the client must never be told
+// "not run".
+func TestNonRepeatableCallIsNeverRepeated(t *testing.T) {
 	for _, warm := range []bool{false, true} {
-		for _, point := range closingPoints {
+		for _, point := range closeFaults {
 			id := fmt.Sprintf("%s-%v", point, warm)
 			t.Run(id, func(t *testing.T) {
 				s := newSystem(t, 1)
@@ -43,10 +44,10 @@
 	}
 }
 
-// TestRepeatableSurvives closes the connection at every point of a call that
-// may be repeated: the caller gets its whole answer.
-func TestRepeatableSurvives(t *testing.T) {
-	for i, point := range closingPoints {
+// TestRepeatableCallIsRetried closes the connection at every point of a
+// repeatable call. The client must get the complete answer.
+func TestRepeatableCallIsRetried(t *testing.T) {
+	for i, point := range closeFaults {
 		s := newSystem(t, 1)
 		c := s.client(0, client.WithRetries(0))
 		id := fmt.Sprint("p", i)
@@ -55,16 +56,16 @@
 		if err != nil {
 			t.Fatalf("%s: %v", point, err)
 		}
-		if answer.Output() != wholeText(id) {
+		if answer.Output() != fullText(id) {
 			t.Errorf("%s: answer %q", point, answer.Output())
 		}
 	}
 }
 
-// TestUnreachableIsNotRun stops the only endpoint before it accepts: the
-// request is refused as not run, also one that may not be repeated, and may
-// be asked for again with the same id.
-func TestUnreachableIsNotRun(t *testing.T) {
+// TestUnreachableEndpointIsNotRun checks that an at-most-once request whose only
+// endpoint accepts no connections is refused as not run, and that a retry with
+// the same id runs once the endpoint is back.
+func TestUnreachableEndpointIsNotRun(t *testing.T) {
 	s := newSystem(t, 1)
 	s.fault("desk1", standin.FaultRefuse, 0)
 	c := s.client(0, client.WithRetries(0))
@@ -79,7 +80,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("asking again: %v", err)
+			t.Fatalf("retry: %v", err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -88,8 +89,8 @@
 	}
 }
 
-// TestStreamResumes breaks a stream in its middle: the caller gets every
-// token once.
+// TestStreamResumes checks that the client gets every token exactly once if
+// the endpoint's stream breaks midway.
 func TestStreamResumes(t *testing.T) {
 	s := newSystem(t, 1)
 	c := s.client(0, client.WithRetries(0))
@@ -98,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if answer.Output() != wholeText("st") {
+	if answer.Output() != fullText("st") {
 		t.Fatalf("answer %q", answer.Output())
 	}
 	// Each of the two engines broke its first stream.
@@ -107,8 +108,8 @@
 	}
 }
 
-// TestStoreAwayIsNotRun takes the store away: a request that may run at most
-// once is refused as not run at once, others are served.
+// TestStoreAwayIsNotRun checks that without the store an at-most-once request is
+// refused as not run without delay, and that other requests are served.
 func TestStoreAwayIsNotRun(t *testing.T) {
 	for _, fault := range []standin.Fault{standin.FaultOutage, standin.FaultHang, standin.FaultLoseAnswer} {
 		t.Run(string(fault), func(t *testing.T) {
@@ -117,7 +118,7 @@
 			s.fault("platform", fault, 0)
 			_, err := c.Run(context.Background(), request("sell", "x"))
 			if fault == standin.FaultLoseAnswer {
-				// The row is read back, so the request runs all the same.
+				// The row is read back, so the request runs nevertheless.
 				if err != nil || s.runs("desk", "x") != 1 {
 					t.Fatalf("answer %v, ran %d times", err, s.runs("desk", "x"))
 				}
@@ -127,7 +128,7 @@
 				t.Fatalf("answer %v, want %v", err, failure.StoreAway)
 			}
 			if n := s.runs("desk", "x"); n != 0 {
-				t.Fatalf("ran %d times although it was told not run", n)
+				t.Fatalf("ran %d times although the answer was not run", n)
 			}
 			if _, err := c.Run(context.Background(), request("plan", "y")); err != nil {
 				t.Fatalf("a request that needs no store: %v", err)
@@ -136,9 +137,9 @@
 	}
 }
 
-// TestOnceAcrossNodes asks for the same request on several nodes at once: it
-// runs once.
-func TestOnceAcrossNodes(t *testing.T) {
+// TestAtMostOnceAcrossNodes checks that an at-most-once request sent to several
+// nodes concurrently runs on one of them.
+func TestAtMostOnceAcrossNodes(t *testing.T) {
 	s := newSystem(t, 3)
 	results := make(chan error, len(s.nodes))
 	for i := range s.nodes {
@@ -148,24 +149,24 @@
 			results <- err
 		}()
 	}
-	whole := 0
+	complete := 0
 	for range s.nodes {
 		err := <-results
 		switch {
 		case err == nil:
-			whole++
+			complete++
 		case failure.KindOf(err) != failure.AlreadyStarted:
 			t.Errorf("answer %v, want %v", err, failure.AlreadyStarted)
 		}
 	}
-	if n := s.runs("desk", "same"); n != 1 || whole != 1 {
-		t.Fatalf("ran %d times, %d whole answers", n, whole)
+	if n := s.runs("desk", "same"); n != 1 || complete != 1 {
+		t.Fatalf("ran %d times, %d complete answers", n, complete)
 	}
 }
 
-// TestLeavingEndpointGetsNothing has one of two endpoints leave: after the
-// first call that it refuses it gets no new work.
-func TestLeavingEndpointGetsNothing(t *testing.T) {
+// TestDrainingEndpointGetsNoCalls checks that an endpoint gets no new calls
+// after it has refused one because it is draining.
+func TestDrainingEndpointGetsNoCalls(t *testing.T) {
 	s := newSystem(t, 1)
 	c := s.client(0)
 	s.fault("s1", standin.FaultLeaving, 0)
@@ -175,13 +176,13 @@
 		}
 	}
 	if n := s.nodes[0].Counters().Retries; n > 1 {
-		t.Fatalf("%d calls went to an endpoint that is leaving", n)
+		t.Fatalf("%d calls were sent to a draining endpoint and retried, want at most 1", n)
 	}
 }
 
-// TestHangingEndpointIsAvoided has one of two endpoints hang: requests are
-// hedged and the answers stay on time.
-func TestHangingEndpointIsAvoided(t *testing.T) {
+// TestHangingEndpointIsHedged checks that calls to a hanging endpoint are
+// hedged, so that no request fails.
+func TestHangingEndpointIsHedged(t *testing.T) {
 	s := newSystem(t, 1)
 	c := s.client(0)
 	for i := range 20 {
@@ -190,8 +191,8 @@
 		}
 	}
 	s.fault("s1", standin.FaultHang, 0)
-	// The choice is the policy's; at the latest when what it measured has aged
-	// it tries the hanging endpoint.
+	// The policy chooses the endpoint. It may avoid the hanging one until its
+	// measurements have expired, so send requests until one is hedged.
 	for i := 0; s.nodes[0].Counters().Hedges == 0; i++ {
 		if i == 1000 {
 			t.Fatal("no call was hedged")
@@ -202,7 +203,7 @@
 	}
 }
 
-// TestCancel cancels a request under way by its id.
+// TestCancel checks that a request in flight can be canceled by its id.
 func TestCancel(t *testing.T) {
 	s := newSystem(t, 1)
 	s.fault("desk1", standin.FaultHang, 0)
@@ -223,9 +224,9 @@
 	}
 }
 
-// TestLeavingNodeIsNotNamed checks that a node drops out of its own locate
-// answers at once, serves on, and refuses as not run once it is closed.
-func TestLeavingNodeIsNotNamed(t *testing.T) {
+// TestLeavingNodeIsNotLocated checks that a leaving node removes itself from its
+// own locate answers immediately and continues to serve.
+func TestLeavingNodeIsNotLocated(t *testing.T) {
 	s := newSystem(t, 2)
 	s.nodes[0].Leave()
 	for _, e := range s.nodes[0].table.Load().Entries("a", "r", "d1") {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -10,11 +10,11 @@
 	"gradetiller.example/internal/wire"
 )
 
-// forwardTimeout bounds the wait for a writer: its gap between transactions,
-// one transaction and one read-back.
+// forwardTimeout bounds the wait for a writer. It covers the writer's interval
+// between transactions, one transaction and one read-back.
 const forwardTimeout = time.Second
 
-// forwarder asks other entries to store records.
+// forwarder sends records to other entries, which store them.
 type forwarder struct {
 	mu       sync.Mutex
 	ctx      context.Context
@@ -23,25 +23,25 @@
 	writers  map[string]*writer
 }
 
-// writer is the connection to one other entry.
+// writer is the connection to another entry that writes records.
 type writer struct {
 	mu      sync.Mutex
 	conn    *peer.Conn
-	last    uint64
-	waiting map[uint64]chan ledger.Result
+	lastID  uint64
+	pending map[uint64]chan ledger.Result
 }
 
-// open allows forwarding until ctx ends.
-func (f *forwarder) open(ctx context.Context, hello wire.Hello, s *peer.Security) {
+// enable allows forwarding until ctx is done.
+func (f *forwarder) enable(ctx context.Context, hello wire.Hello, s *peer.Security) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ctx, f.hello, f.security, f.writers = ctx, hello, s, make(map[string]*writer)
 }
 
-// start asks the entry at an address to store a record. It reports false when
-// no answer came, which leaves open what happened.
-func (f *forwarder) start(address, key, token string) (ledger.Result, bool) {
-	w, ctx := f.writer(address)
+// store asks the entry at an address to store a record. It reports false if
+// there was no answer; the record may be stored nevertheless.
+func (f *forwarder) store(address, key, token string) (ledger.Result, bool) {
+	w, ctx := f.writerAt(address)
 	if w == nil {
 		return 0, false
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (f *forwarder) writer(address string) (*writer, context.Context) {
+func (f *forwarder) writerAt(address string) (*writer, context.Context) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.ctx == nil {
@@ -67,7 +67,7 @@
 	}
 	w, ok := f.writers[address]
 	if !ok {
-		w = &writer{waiting: make(map[uint64]chan ledger.Result)}
+		w = &writer{pending: make(map[uint64]chan ledger.Result)}
 		f.writers[address] = w
 	}
 	return w, f.ctx
@@ -85,18 +85,18 @@
 		context.AfterFunc(f.ctx, func() { _ = conn.Close() })
 		go w.receive(conn)
 	}
-	w.last++
+	w.lastID++
 	answer := make(chan ledger.Result, 1)
-	w.waiting[w.last] = answer
-	if err := w.conn.Send(wire.Start{ID: w.last, Key: key, Token: token}); err != nil {
+	w.pending[w.lastID] = answer
+	if err := w.conn.Send(wire.Start{ID: w.lastID, Key: key, Token: token}); err != nil {
 		_ = w.conn.Close()
 		return nil, false
 	}
 	return answer, true
 }
 
-// receive passes answers on until the connection ends; whoever still waits
-// then gets no answer.
+// receive delivers answers until the connection ends, and then closes the
+// channels of all pending requests.
 func (w *writer) receive(conn *peer.Conn) {
 	for {
 		m, err := conn.Receive()
@@ -104,24 +104,24 @@
 			break
 		}
 		if s, ok := m.(*wire.Started); ok {
-			w.answered(s)
+			w.deliver(s)
 		}
 	}
 	_ = conn.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.conn = nil
-	for id, answer := range w.waiting {
-		delete(w.waiting, id)
+	for id, answer := range w.pending {
+		delete(w.pending, id)
 		close(answer)
 	}
 }
 
-func (w *writer) answered(s *wire.Started) {
+func (w *writer) deliver(s *wire.Started) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if answer, ok := w.waiting[s.ID]; ok {
-		delete(w.waiting, s.ID)
+	if answer, ok := w.pending[s.ID]; ok {
+		delete(w.pending, s.ID)
 		answer <- ledger.Result(s.Result)
 	}
 }
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -10,10 +10,9 @@
 	"gradetiller.example/internal/core/ledger"
 )
 
-// TestRecordsAreForwarded runs more nodes than there are shards: requests that
-// may run at most once are recorded by their shards' writers, and when every
-// writer's peer port is gone each node writes for itself. A request id runs
-// once in either case.
+// TestRecordsAreForwarded checks that a request id runs only once with more
+// nodes than shards, where records are forwarded to the writer of their shard,
+// and also if no writer is reachable, where each node writes its own records.
 func TestRecordsAreForwarded(t *testing.T) {
 	s := newSystem(t, ledger.Shards+4)
 	forwarded := 0
@@ -39,7 +38,8 @@
 	}
 }
 
-// sellTwice asks for a request on one node and again on another.
+// sellTwice sends the same at-most-once request to two nodes, and checks that
+// the second refuses it.
 func (s *system) sellTwice(id string) {
 	s.t.Helper()
 	if _, err := s.client(0, client.WithRetries(0)).Run(context.Background(), request("sell", id)); err != nil {
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -13,10 +13,10 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// Handler serves callers: locate, run, cancel, metrics and health.
+// Handler returns the HTTP API: locate, run, cancel, metrics and health.
 //
-// go-kit calls a remote procedure "endpoint"; it is imported as rpc here,
-// because an endpoint in this system is a back end.
+// go-kit's package endpoint is imported as rpc, because in this project an
+// endpoint is a back end.
 func (n *Node) Handler() http.Handler {
 	options := []transport.ServerOption{transport.ServerErrorEncoder(encodeError)}
 	server := func(e rpc.Endpoint, dec transport.DecodeRequestFunc, enc transport.EncodeResponseFunc) http.Handler {
@@ -24,7 +24,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle("GET /v1/locate", server(n.locateEndpoint, decodeLocate, encodeJSON))
-	mux.Handle("POST /v1/pipelines/{pipeline}/run", n.follow(server(n.runEndpoint, decodeRun, n.encodeRun)))
+	mux.Handle("POST /v1/pipelines/{pipeline}/run", n.trackOpen(server(n.runEndpoint, decodeRun, n.encodeRun)))
 	mux.Handle("DELETE /v1/requests/{request}", server(n.cancelEndpoint, decodeCancel, encodeJSON))
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { n.metrics.write(w) })
 	mux.HandleFunc("GET /healthz", n.health)
@@ -37,8 +37,9 @@
 	}
 }
 
-// keyed requests carry the account's key; the middleware fills the account.
-type keyed interface {
+// keyedRequest is a request that carries an account's key. The authentication
+// middleware sets the account.
+type keyedRequest interface {
 	key() string
 	setAccount(name string)
 }
@@ -62,7 +63,7 @@
 		if cfg == nil {
 			return nil, failure.New(failure.NotReady, "this node has no configuration yet", failure.WithRetryAfter(time.Second))
 		}
-		k := request.(keyed)
+		k := request.(keyedRequest)
 		i, ok := cfg.AccountByKey(k.key())
 		if !ok {
 			return nil, failure.New(failure.Unauthorized, "the account's key is missing or unknown; send it as Authorization: Bearer KEY")
@@ -100,7 +101,7 @@
 	stream  bool
 }
 
-// runResponse is a run under way; the encoder waits for it.
+// runResponse refers to a run in flight; the encoder waits for its result.
 type runResponse struct {
 	stream    *stream
 	requestID string
--- a/internal/entry/link.go
+++ b/internal/entry/link.go
@@ -12,14 +12,15 @@
 
 const (
 	statusInterval = 500 * time.Millisecond
-	// linkTimeout is how long a silent control process is kept.
-	linkTimeout  = 3 * time.Second
-	redialPause  = 200 * time.Millisecond
-	homeAttempts = 5
+	// linkTimeout is the time without a message after which the connection to a
+	// control process is closed.
+	linkTimeout    = 3 * time.Second
+	redialInterval = 200 * time.Millisecond
+	localAttempts  = 5
 )
 
-// Link keeps a connection to a control process: this instance's own while it
-// answers, else one of the others.
+// Link maintains a connection to a control process. It prefers the control
+// process of this instance and falls back to those of other instances.
 type Link struct {
 	node     *Node
 	controls []string
@@ -27,8 +28,8 @@
 	security *peer.Security
 }
 
-// NewLink returns a link to the first control address that answers; the first
-// one is this instance's own.
+// NewLink returns a link that connects to one of the control addresses. The
+// first address is that of this instance's control process.
 func NewLink(n *Node, system string, controls []string, s *peer.Security) *Link {
 	return &Link{
 		node: n, controls: controls, security: s,
@@ -36,18 +37,18 @@
 	}
 }
 
-// Run keeps the link until ctx ends. While no control process answers, the
-// node goes on with its last snapshot.
+// Run connects and reconnects until ctx is done. While no control process is
+// reachable, the node continues to serve with the last snapshot.
 func (l *Link) Run(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		address := l.controls[0]
-		if i >= homeAttempts && i%2 == 1 {
+		if i >= localAttempts && i%2 == 1 {
 			address = l.controls[(i/2)%len(l.controls)]
 		}
 		conn, err := peer.Dial(ctx, address, l.hello, l.security)
 		if err == nil {
 			l.node.log.Info("linked to control", zap.String("address", address))
-			err = l.follow(ctx, conn)
+			err = l.serve(ctx, conn)
 			_ = conn.Close()
 			i = 0
 		}
@@ -56,18 +57,19 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialPause):
+		case <-time.After(redialInterval):
 		}
 	}
 }
 
-// follow sends statuses and applies snapshots until the connection ends.
-func (l *Link) follow(ctx context.Context, conn *peer.Conn) error {
+// serve sends statuses, applies snapshots and answers queries for decisions
+// until the connection ends.
+func (l *Link) serve(ctx context.Context, conn *peer.Conn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	go l.report(ctx, conn)
+	go l.sendStatus(ctx, conn)
 	for {
 		conn.SetReceiveTimeout(linkTimeout)
 		m, err := conn.Receive()
@@ -87,7 +89,7 @@
 	}
 }
 
-func (l *Link) report(ctx context.Context, conn *peer.Conn) {
+func (l *Link) sendStatus(ctx context.Context, conn *peer.Conn) {
 	t := time.NewTicker(statusInterval)
 	defer t.Stop()
 	for {
@@ -106,16 +108,16 @@
 func (n *Node) status() wire.EntryStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return wire.EntryStatus{Entry: n.Self(), ConfigVersion: n.version, InFlight: n.engine.InFlight(), Impaired: n.impaired()}
+	return wire.EntryStatus{Entry: n.Self(), ConfigVersion: n.version, InFlight: n.engine.InFlight(), Impaired: n.impairments()}
 }
 
-// impaired lists what keeps this node from serving as it should.
-func (n *Node) impaired() []string {
+// impairments lists the conditions that limit this node's service.
+func (n *Node) impairments() []string {
 	var list []string
 	if n.version == 0 {
 		list = append(list, "no configuration")
 	}
-	if len(n.records.repairs()) > 0 {
+	if len(n.records.pendingRepairs()) > 0 {
 		list = append(list, "started records wait for the store")
 	}
 	if n.leaving.Load() {
@@ -124,8 +126,8 @@
 	return list
 }
 
-func (r *records) repairs() []string {
+func (r *records) pendingRepairs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.book.PendingRepairs()
+	return r.batcher.PendingRepairs()
 }
--- a/internal/entry/meters.go
+++ b/internal/entry/meters.go
@@ -10,8 +10,8 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// maxAccountSeries bounds the accounts with histograms of their own; further
-// ones share the series of account "other".
+// maxAccountSeries is the maximum number of accounts with their own series.
+// Further accounts share the series of account "other".
 const maxAccountSeries = 1000
 
 // meters holds the node's metrics.
@@ -46,7 +46,7 @@
 	}
 }
 
-func (m *meters) gauges(n *Node) {
+func (m *meters) registerGauges(n *Node) {
 	m.set.NewGauge("gradetiller_in_flight", func() float64 { return float64(n.InFlight()) })
 	m.set.NewGauge("gradetiller_config_version", func() float64 {
 		n.mu.Lock()
@@ -68,8 +68,9 @@
 	}
 }
 
-// account returns the account's label, which is "other" above the bound.
-func (m *meters) account(name string) string {
+// accountLabel returns the label of an account, or "other" if maxAccountSeries
+// accounts already have their own.
+func (m *meters) accountLabel(name string) string {
 	if label, ok := m.accounts[name]; ok {
 		return label
 	}
@@ -80,7 +81,7 @@
 	return name
 }
 
-func (m *meters) finished(f run.Finish) {
+func (m *meters) observeFinish(f run.Finish) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := f.Summary
@@ -89,7 +90,7 @@
 		result = f.Err.Kind().String()
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf("gradetiller_answers_total{result=%q}", result)).Inc()
-	series := m.request(seriesKey{m.account(s.Account), s.Class, s.Arm})
+	series := m.requestSeriesFor(seriesKey{m.accountLabel(s.Account), s.Class, s.Arm})
 	if s.OnTime {
 		series.onTime.Inc()
 	} else {
@@ -100,7 +101,7 @@
 	}
 }
 
-func (m *meters) request(key seriesKey) *requestSeries {
+func (m *meters) requestSeriesFor(key seriesKey) *requestSeries {
 	if s, ok := m.requests[key]; ok {
 		return s
 	}
@@ -114,7 +115,7 @@
 	return s
 }
 
-func (m *meters) spend(a run.CallCost) {
+func (m *meters) observeCall(a run.CallCost) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := seriesKey{a.Pipeline, a.Stage, a.Arm}
@@ -131,7 +132,7 @@
 	s.cost.Add(a.Cost)
 }
 
-func (m *meters) decided(d run.Decision) {
+func (m *meters) countDecision(d run.Decision) {
 	if d.Name == run.DecidePlace {
 		return
 	}
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -16,10 +16,10 @@
 	"gradetiller.example/internal/wire"
 )
 
-// storySize is how many decisions the node remembers.
-const storySize = 8192
+// decisionLogSize is the number of decisions that the node keeps.
+const decisionLogSize = 8192
 
-// Identity is what a node knows of itself from its settings.
+// Identity describes a node as given by its settings.
 type Identity struct {
 	Node        string
 	Incarnation uint64
@@ -36,20 +36,20 @@
 	caller  endpoints.Caller
 	records *records
 	metrics *meters
-	// exchanges has a lock of its own, which no other is taken under.
-	exchanges *exchanges
+	// open has its own lock; no other lock is acquired while it is held.
+	open *openRequests
 
-	mu        sync.Mutex
-	engine    *run.Engine
-	story     *decisionlog.Ring
-	waiters   map[run.ID]*stream
-	calls     map[run.AttemptID]context.CancelFunc
-	byRequest map[requestKey]run.ID
-	timer     *time.Timer
-	entries   []wire.Entry
-	version   uint64
+	mu          sync.Mutex
+	engine      *run.Engine
+	decisionLog *decisionlog.Ring
+	streams     map[run.ID]*stream
+	cancels     map[run.AttemptID]context.CancelFunc
+	byRequest   map[requestKey]run.ID
+	timer       *time.Timer
+	entries     []wire.Entry
+	version     uint64
 
-	tableMu sync.Mutex // orders rebuilds of table
+	tableMu sync.Mutex // serializes rebuilds of table
 	cfg     atomic.Pointer[config.Config]
 	table   atomic.Pointer[assignment.Table]
 	leaving atomic.Bool
@@ -61,43 +61,43 @@
 // Option sets an optional part of a Node.
 type Option func(*Node)
 
-// WithLog sets the log; the default is silent.
+// WithLog sets the logger; by default nothing is logged.
 func WithLog(log *zap.Logger) Option { return func(n *Node) { n.log = log } }
 
-// WithCaller sets the adapter to endpoints; the default speaks HTTP.
+// WithCaller sets the adapter that calls endpoints; the default uses HTTP.
 func WithCaller(c endpoints.Caller) Option { return func(n *Node) { n.caller = c } }
 
-// WithStore sets where started records are kept. Without it, requests that
-// may run at most once are refused as not run.
+// WithStore sets the store of started records. Without a store, at-most-once
+// requests are refused as not run.
 func WithStore(s Store) Option { return func(n *Node) { n.records.store = s } }
 
-// NewNode returns a node without configuration.
+// NewNode returns a node without a configuration.
 func NewNode(id Identity, opts ...Option) *Node {
 	n := &Node{
-		id:        id,
-		log:       zap.NewNop(),
-		caller:    endpoints.NewHTTP(),
-		metrics:   newMeters(),
-		exchanges: newExchanges(),
-		engine:    run.New(id.Incarnation),
-		story:     decisionlog.NewRing(storySize),
-		waiters:   make(map[run.ID]*stream),
-		calls:     make(map[run.AttemptID]context.CancelFunc),
-		byRequest: make(map[requestKey]run.ID),
+		id:          id,
+		log:         zap.NewNop(),
+		caller:      endpoints.NewHTTP(),
+		metrics:     newMeters(),
+		open:        newOpenRequests(),
+		engine:      run.New(id.Incarnation),
+		decisionLog: decisionlog.NewRing(decisionLogSize),
+		streams:     make(map[run.ID]*stream),
+		cancels:     make(map[run.AttemptID]context.CancelFunc),
+		byRequest:   make(map[requestKey]run.ID),
 	}
-	n.records = newRecords(id, n.recorded)
+	n.records = newRecords(id, n.recordDone)
 	for _, opt := range opts {
 		opt(n)
 	}
 	n.timer = time.AfterFunc(time.Hour, n.tick)
-	n.metrics.gauges(n)
+	n.metrics.registerGauges(n)
 	return n
 }
 
-// Config returns the configuration in force, or nil.
+// Config returns the active configuration, or nil.
 func (n *Node) Config() *config.Config { return n.cfg.Load() }
 
-// InFlight returns the number of requests under way.
+// InFlight returns the number of unfinished runs.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,20 +111,20 @@
 	return n.engine.Counters()
 }
 
-// step gives the engine one event and carries its actions out. Every action
-// is carried out under the lock and none of them blocks, so that their order
-// holds across goroutines.
+// step passes one event to the engine and executes the returned actions.
+// Actions are executed while the lock is held, so that their order is the same
+// for all goroutines; none of them blocks.
 func (n *Node) step(event func(now time.Time) []run.Action) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	for _, a := range event(now) {
-		n.carryOut(now, a)
+		n.execute(now, a)
 	}
-	n.arm(now)
+	n.resetTimer(now)
 }
 
-func (n *Node) arm(now time.Time) {
+func (n *Node) resetTimer(now time.Time) {
 	at, ok := n.engine.NextTimer()
 	if !ok {
 		return
@@ -134,14 +134,14 @@
 
 func (n *Node) tick() { n.step(n.engine.Tick) }
 
-func (n *Node) carryOut(now time.Time, a run.Action) {
+func (n *Node) execute(now time.Time, a run.Action) {
 	switch a := a.(type) {
 	case run.Call:
 		ctx, cancel := context.WithCancel(context.Background())
-		n.calls[a.Attempt] = cancel
-		go n.call(ctx, cancel, a, n.waiters[a.Run])
+		n.cancels[a.Attempt] = cancel
+		go n.call(ctx, cancel, a, n.streams[a.Run])
 	case run.CancelCall:
-		if cancel, ok := n.calls[a.Attempt]; ok {
+		if cancel, ok := n.cancels[a.Attempt]; ok {
 			cancel()
 		}
 	case run.Record:
@@ -151,19 +151,19 @@
 	case run.Finish:
 		n.finish(a)
 	case run.CallCost:
-		n.metrics.spend(a)
+		n.metrics.observeCall(a)
 	case run.Decision:
-		n.decided(now, a)
+		n.logDecision(now, a)
 	}
 }
 
 func (n *Node) finish(f run.Finish) {
-	n.metrics.finished(f)
-	w, ok := n.waiters[f.Run]
+	n.metrics.observeFinish(f)
+	w, ok := n.streams[f.Run]
 	if !ok {
 		return
 	}
-	delete(n.waiters, f.Run)
+	delete(n.streams, f.Run)
 	key := requestKey{w.account, f.Summary.RequestID}
 	if n.byRequest[key] == f.Run {
 		delete(n.byRequest, key)
@@ -171,9 +171,9 @@
 	w.finish(f)
 }
 
-func (n *Node) decided(now time.Time, d run.Decision) {
-	n.metrics.decided(d)
-	n.story.Add(decisionlog.Event{
+func (n *Node) logDecision(now time.Time, d run.Decision) {
+	n.metrics.countDecision(d)
+	n.decisionLog.Add(decisionlog.Event{
 		At:       now,
 		Subjects: [3]string{d.RequestID, d.Endpoint, d.Stage},
 		Name:     string(d.Name),
@@ -187,7 +187,7 @@
 		zap.String("endpoint", d.Endpoint), zap.String("reason", d.Reason))
 }
 
-// call sends one stage call and reports its end.
+// call sends one stage call and reports its result to the engine.
 func (n *Node) call(ctx context.Context, cancel context.CancelFunc, c run.Call, w *stream) {
 	defer cancel()
 	ctx, stop := context.WithDeadline(ctx, c.Deadline.Add(deadlineGrace))
@@ -195,20 +195,21 @@
 	sink := &attemptSink{node: n, stream: w, call: c}
 	end := n.caller.Call(ctx, c, sink)
 	n.step(func(now time.Time) []run.Action {
-		delete(n.calls, c.Attempt)
+		delete(n.cancels, c.Attempt)
 		return n.engine.CallEnded(now, c.Attempt, end)
 	})
 }
 
-// deadlineGrace is how long after the deadline a call may live that nobody
-// canceled; it is only a backstop.
+// deadlineGrace is the time after the deadline at which a call is canceled if
+// the engine has not done so.
 const deadlineGrace = time.Second
 
-func (n *Node) recorded(id run.ID, result run.RecordResult) {
+func (n *Node) recordDone(id run.ID, result run.RecordResult) {
 	n.step(func(now time.Time) []run.Action { return n.engine.Recorded(now, id, result) })
 }
 
-// Submit gives a request to the engine. The stream tells how it goes on.
+// Submit passes a request to the engine. The returned stream delivers the
+// run's output and result.
 func (n *Node) Submit(req run.Request) *stream {
 	w := newStream(req.Account)
 	n.mu.Lock()
@@ -217,28 +218,28 @@
 	id, actions := n.engine.Submit(now, req)
 	w.run = id
 	if id != 0 {
-		n.waiters[id] = w
+		n.streams[id] = w
 		n.byRequest[requestKey{req.Account, req.RequestID}] = id
 	}
 	for _, a := range actions {
 		if f, ok := a.(run.Finish); ok && id == 0 {
-			n.metrics.finished(f)
+			n.metrics.observeFinish(f)
 			w.finish(f)
 			continue
 		}
-		n.carryOut(now, a)
+		n.execute(now, a)
 	}
-	n.arm(now)
+	n.resetTimer(now)
 	return w
 }
 
-// Cancel ends a run whose caller went away.
+// Cancel ends a run because its client disconnected.
 func (n *Node) Cancel(id run.ID) {
 	n.step(func(now time.Time) []run.Action { return n.engine.Cancel(now, id) })
 }
 
-// CancelRequest ends a run by the caller's request id, and reports false when
-// there is none.
+// CancelRequest ends the run with the client's request id. It reports whether
+// there was one.
 func (n *Node) CancelRequest(account, requestID string) bool {
 	n.mu.Lock()
 	id, ok := n.byRequest[requestKey{account, requestID}]
@@ -249,11 +250,11 @@
 	return ok
 }
 
-// Decisions returns the decisions about a subject as lines.
+// Decisions returns the recorded decisions about a subject, one line each.
 func (n *Node) Decisions(subject string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	events := n.story.BySubject(subject)
+	events := n.decisionLog.BySubject(subject)
 	lines := make([]string, len(events))
 	for i, e := range events {
 		lines[i] = e.String()
--- a/internal/entry/serve.go
+++ b/internal/entry/recordserver.go
@@ -11,19 +11,19 @@
 	"gradetiller.example/internal/wire"
 )
 
-// RunRecords serves other entries' started records and forwards this node's
-// to their writers until ctx ends.
+// RunRecords stores started records for other entries, and enables forwarding
+// of this node's records to their writers, until ctx is done.
 func (n *Node) RunRecords(ctx context.Context, system string, l net.Listener, s *peer.Security) {
 	hello := wire.Hello{Version: wire.Version, System: system, Role: wire.RoleEntry, Node: n.id.Node, Incarnation: n.id.Incarnation}
 	server := peer.NewServer(l, hello, s, []wire.Role{wire.RoleEntry}, n.serveRecords,
 		func(err error) { n.log.Warn("peer connection refused", zap.Error(err)) })
-	n.records.forward.open(ctx, hello, s)
+	n.records.forwarder.enable(ctx, hello, s)
 	if err := server.Serve(ctx); err != nil {
 		n.log.Error("peer listener ended", zap.Error(err))
 	}
 }
 
-// serveRecords stores the records of one other entry.
+// serveRecords stores the records that another entry sends over conn.
 func (n *Node) serveRecords(conn *peer.Conn) {
 	for {
 		m, err := conn.Receive()
@@ -35,7 +35,7 @@
 			n.log.Warn("message not allowed for role", zap.String("node", conn.Hello().Node))
 			return
 		}
-		n.records.startFor(s.Key, s.Token, func(result ledger.Result) {
+		n.records.startForwarded(s.Key, s.Token, func(result ledger.Result) {
 			_ = conn.Send(wire.Started{ID: s.ID, Result: uint8(result)})
 		})
 	}
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -10,10 +10,10 @@
 	"gradetiller.example/internal/platform"
 )
 
-// TableStore keeps started records in the platform's table.
+// TableStore is a Store in the platform's table.
 type TableStore struct{ table platform.Table }
 
-// NewTableStore returns a Store on the table.
+// NewTableStore returns a Store that uses the table.
 func NewTableStore(t platform.Table) *TableStore { return &TableStore{table: t} }
 
 // Write implements Store.
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -7,12 +7,12 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// stream holds the tokens of a run's streaming stage until the caller has
-// taken them, and the run's end.
+// stream buffers the tokens of a run's current streaming stage for the client,
+// and holds the run's result.
 //
-// Only the attempt that owns the stream may add a token, and only the next
-// one; so a late attempt, or one of an earlier stage, can neither double nor
-// skip a token.
+// Only the owning attempt can append a token, and only the one with the next
+// index. A superseded attempt, or one of an earlier stage, can therefore
+// neither duplicate nor skip a token.
 type stream struct {
 	account string
 	run     run.ID
@@ -20,13 +20,14 @@
 	mu    sync.Mutex
 	owner run.AttemptID
 	stage string
-	// visible is true while the text belongs to the pipeline's last stage.
-	visible bool
-	text    []byte
-	count   int
-	taken   int
-	end     *run.Finish
-	wake    chan struct{}
+	// visible is true if the text is that of the pipeline's last stage, which
+	// is delivered to the client.
+	visible   bool
+	text      []byte
+	tokens    int
+	delivered int
+	end       *run.Finish
+	wake      chan struct{}
 }
 
 func newStream(account string) *stream {
@@ -47,9 +48,9 @@
 	s.signal()
 }
 
-// own gives the stream to an attempt. The first attempt of a stage starts
-// from nothing; a later one goes on behind the tokens that are there.
-func (s *stream) own(c run.Call) {
+// setOwner makes an attempt the owner. The first attempt of a stage clears the
+// text; a later attempt of the same stage continues after the existing tokens.
+func (s *stream) setOwner(c run.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.owner = c.Attempt
@@ -57,64 +58,65 @@
 		return
 	}
 	s.stage, s.visible = c.Stage, c.LastStage
-	s.text, s.count, s.taken = nil, 0, 0
+	s.text, s.tokens, s.delivered = nil, 0, 0
 }
 
-func (s *stream) add(id run.AttemptID, index int, text string) bool {
+func (s *stream) appendToken(id run.AttemptID, index int, text string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.owner != id || index != s.count || s.end != nil {
+	if s.owner != id || index != s.tokens || s.end != nil {
 		return false
 	}
 	s.text = append(s.text, text...)
-	s.count++
+	s.tokens++
 	if s.visible {
 		s.signal()
 	}
 	return true
 }
 
-// take returns what came since the last take, and the end once there is one.
+// take returns the text appended since the last take, and the run's result once
+// it has ended.
 func (s *stream) take() ([]byte, *run.Finish) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.visible {
 		return nil, s.end
 	}
-	fresh := s.text[s.taken:]
-	s.taken = len(s.text)
+	fresh := s.text[s.delivered:]
+	s.delivered = len(s.text)
 	return fresh, s.end
 }
 
-// attemptSink passes one attempt's tokens to the run's stream.
+// attemptSink appends the tokens of one attempt to the run's stream.
 type attemptSink struct {
-	node   *Node
-	stream *stream
-	call   run.Call
-	owns   bool
+	node    *Node
+	stream  *stream
+	call    run.Call
+	isOwner bool
 }
 
-// Token implements endpoints.Sink. The first token asks the engine whether
-// the attempt is wanted; later ones do not take the node's lock.
+// Token implements endpoints.Sink. On the first token the engine decides
+// whether the attempt's tokens are used; later tokens do not lock the node.
 func (s *attemptSink) Token(index int, text string) bool {
-	if !s.owns {
-		if !s.node.answering(s.call.Attempt) {
+	if !s.isOwner {
+		if !s.node.firstToken(s.call.Attempt) {
 			return false
 		}
-		s.stream.own(s.call)
-		s.owns = true
+		s.stream.setOwner(s.call)
+		s.isOwner = true
 	}
-	return s.stream.add(s.call.Attempt, index, text)
+	return s.stream.appendToken(s.call.Attempt, index, text)
 }
 
 // Count implements endpoints.Sink.
 func (s *attemptSink) Count() int {
-	if !s.owns {
+	if !s.isOwner {
 		return 0
 	}
 	s.stream.mu.Lock()
 	defer s.stream.mu.Unlock()
-	return s.stream.count
+	return s.stream.tokens
 }
 
 // Output implements endpoints.Sink.
@@ -124,7 +126,7 @@
 	return append([]byte(nil), s.stream.text...)
 }
 
-func (n *Node) answering(id run.AttemptID) bool {
+func (n *Node) firstToken(id run.AttemptID) bool {
 	accepted := false
 	n.step(func(now time.Time) []run.Action {
 		var actions []run.Action
--- a/internal/entry/stream_test.go
+++ b/internal/entry/stream_test.go
@@ -6,24 +6,25 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// TestTokensComeOnceAndInOrder has three attempts of one stage, and one of an
-// earlier stage, add tokens: only the owner's next token is taken.
-func TestTokensComeOnceAndInOrder(t *testing.T) {
+// TestTokensAreDeliveredOnceInOrder checks that a stream accepts only the next
+// token of its owner: not a repeated or skipped one, nor one of a superseded
+// attempt of the same stage or of an earlier stage.
+func TestTokensAreDeliveredOnceInOrder(t *testing.T) {
 	s := newStream("a")
 	add := func(id run.AttemptID, index int, text string, want bool) {
 		t.Helper()
-		if got := s.add(id, index, text); got != want {
+		if got := s.appendToken(id, index, text); got != want {
 			t.Errorf("attempt %d, token %d: taken %v, want %v", id, index, got, want)
 		}
 	}
-	s.own(run.Call{Attempt: 1, Stage: "draft"})
+	s.setOwner(run.Call{Attempt: 1, Stage: "draft"})
 	add(1, 0, "draft ", true)
-	s.own(run.Call{Attempt: 2, Stage: "final", LastStage: true})
+	s.setOwner(run.Call{Attempt: 2, Stage: "final", LastStage: true})
 	add(1, 1, "late ", false)
 	add(2, 0, "a ", true)
 	add(2, 0, "a ", false)
 	add(2, 2, "c ", false)
-	s.own(run.Call{Attempt: 3, Stage: "final", LastStage: true})
+	s.setOwner(run.Call{Attempt: 3, Stage: "final", LastStage: true})
 	add(2, 1, "b ", false)
 	add(3, 1, "b ", true)
 	s.finish(run.Finish{})
--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -25,7 +25,8 @@
 	tokenCount = 12
 )
 
-// system is a few nodes on stand-ins, all in one process, over loopback HTTP.
+// system is a set of nodes and stand-ins in one process, connected by HTTP over
+// the loopback interface.
 type system struct {
 	t     testing.TB
 	world *standin.World
@@ -34,7 +35,7 @@
 	cfg   *config.Config
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a listener on a free loopback port, and its address.
 func freeAddress(t testing.TB) (net.Listener, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,8 +44,9 @@
 	return l, l.Addr().String()
 }
 
-// newSystem starts nodes and stand-ins for two services, two engines and a
-// one-endpoint pool whose calls may not be repeated.
+// newSystem starts nodes, and stand-ins for a pool of two services, a pool of
+// two engines and a pool of one service, whose calls are not repeatable in the
+// pipeline "sell".
 func newSystem(t testing.TB, nodes int) *system {
 	var listeners []net.Listener
 	listen := func() string {
@@ -117,7 +119,7 @@
 	s.urls = append(s.urls, address)
 }
 
-// apply gives every node the configuration and the list of entries.
+// apply applies the configuration and the list of entries to every node.
 func (s *system) apply(version uint64) {
 	var entries []wire.Entry
 	for _, n := range s.nodes {
@@ -146,7 +148,7 @@
 	}
 }
 
-// runs returns how often the stand-ins ran a request in a pool.
+// runs returns the number of times that the stand-ins of a pool ran a request.
 func (s *system) runs(pool, id string) int {
 	for _, c := range s.world.Counts().All() {
 		if c.Pool == pool && c.RequestID == id {
@@ -156,7 +158,7 @@
 	return 0
 }
 
-func wholeText(marker string) string {
+func fullText(marker string) string {
 	var b strings.Builder
 	for i := range tokenCount {
 		b.WriteString(standin.Token(marker, i))
--- a/internal/entry/token_bench_test.go
+++ b/internal/entry/token_bench_test.go
@@ -14,7 +14,7 @@
 	"gradetiller.example/internal/wire"
 )
 
-// pacedEngine streams tokens with a flush each, as an engine does.
+// pacedEngine streams tokens and flushes after each, as an engine does.
 func pacedEngine(tokens int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var body struct {
@@ -26,7 +26,7 @@
 			fmt.Fprintf(w, "{\"i\":%d,\"t\":\"token \"}\n", i)
 			_ = flush.Flush()
 			if i%8 == 7 {
-				// Single tokens a little apart, so that they are not read as one.
+				// Pause, so that tokens are read singly and not in one block.
 				time.Sleep(50 * time.Microsecond)
 			}
 		}
@@ -34,20 +34,20 @@
 	})
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// drainStream reads a stream to its end and returns the processor time of the
-// whole process.
+// drainStream reads a stream to its end and returns the CPU time that the
+// process used meanwhile.
 func drainStream(b *testing.B, url string, body any) time.Duration {
 	data, err := json.Marshal(body)
 	if err != nil {
 		b.Fatal(err)
 	}
-	before := processorTime()
+	before := cpuTime()
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(data))
 	if err != nil {
 		b.Fatal(err)
@@ -63,12 +63,12 @@
 	for lines.Scan() {
 		continue
 	}
-	return processorTime() - before
+	return cpuTime() - before
 }
 
-// BenchmarkStreamedToken is the processor time of a streamed token over
-// loopback HTTP: read directly from an engine, and through a node. The node's
-// own part is what it adds, both its sides of the network included.
+// BenchmarkStreamedToken measures the CPU time of a streamed token over loopback
+// HTTP, read directly from an engine and through a node. The difference is the
+// node's own cost, including both of its connections.
 func BenchmarkStreamedToken(b *testing.B) {
 	const tokens = 4000
 	engine := httptest.NewServer(pacedEngine(tokens))
