--- a/internal/endpoints/caller.go
+++ b/internal/endpoints/caller.go
@@ -6,20 +6,22 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// Caller sends stage calls; HTTP is the one adapter so far.
+// Caller sends stage calls to endpoints. HTTP implements it.
 type Caller interface {
-	// Call sends a call and returns how it ended. Tokens of a stream go to
-	// the sink as they come.
+	// Call sends a call and returns its result. The tokens of a stream are
+	// passed to the sink as they arrive.
 	Call(ctx context.Context, call run.Call, sink Sink) run.CallResult
 }
 
-// Sink receives the tokens of a stream.
+// Sink receives the tokens of a streamed call.
 type Sink interface {
-	// Token takes token number index and reports false when the call's tokens
-	// are not wanted any more.
+	// Token passes in the token with the given index. It reports false if the
+	// token is rejected, because another call superseded this one or the index
+	// is out of order.
 	Token(index int, text string) bool
-	// Count returns the number of tokens that the run has received.
+	// Count returns the number of tokens that the run has received, including
+	// those of earlier calls. It is 0 until a token of this call is accepted.
 	Count() int
-	// Output returns all tokens of the run as one text.
+	// Output returns the concatenated tokens of the run.
 	Output() []byte
 }
--- a/internal/endpoints/doc.go
+++ b/internal/endpoints/doc.go
@@ -1,13 +1,13 @@
-// Package endpoints sends stage calls to model engines and plain services
-// over HTTP.
+// Package endpoints sends stage calls to model engines and services over HTTP,
+// reads their state and sends load orders to engines.
 //
-// The standard library's client repeats some requests by itself. No call here
-// can be repeated that way: the body has no GetBody, no idempotency header is
-// set, redirects are not followed because the transport is used directly, and
-// calls that may not be repeated open a connection of their own.
+// net/http retries some requests by itself. It never does so for a call of this
+// package: the request has no GetBody and no idempotency header, redirects are
+// not followed because the transport is used directly, and calls that are not
+// repeatable use a new connection each.
 //
 // # Usage
 //
 //	h := endpoints.NewHTTP()
-//	ending := h.Call(ctx, call, sink)
+//	result := h.Call(ctx, call, sink)
 package endpoints
--- a/internal/endpoints/http.go
+++ b/internal/endpoints/http.go
@@ -21,45 +21,45 @@
 )
 
 const (
-	dialTimeout  = time.Second
-	maxAnswer    = 8 << 20
-	maxLine      = 64 << 10
-	idlePerHost  = 64
-	idleTimeout  = 30 * time.Second
-	headerRun    = "X-Not-Run"
-	headerLoad   = "X-Load"
-	headerLeave  = "X-Leaving"
-	contentJSON  = "application/json"
-	pathCall     = "/v1/call"
-	reasonMaxLen = 200
+	dialTimeout     = time.Second
+	maxAnswerBytes  = 8 << 20
+	maxLineBytes    = 64 << 10
+	maxIdlePerHost  = 64
+	idleTimeout     = 30 * time.Second
+	headerNotRun    = "X-Not-Run"
+	headerLoad      = "X-Load"
+	headerLeaving   = "X-Leaving"
+	contentJSON     = "application/json"
+	pathCall        = "/v1/call"
+	maxReasonLength = 200
 )
 
 // HTTP calls endpoints over HTTP/1.1.
 type HTTP struct {
-	reuse *http.Transport
-	fresh *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
-// NewHTTP returns an adapter with connections of its own.
+// NewHTTP returns an adapter with its own connection pool.
 func NewHTTP() *HTTP {
-	return &HTTP{reuse: newTransport(false), fresh: newTransport(true)}
+	return &HTTP{pooled: newTransport(false), unpooled: newTransport(true)}
 }
 
-func newTransport(fresh bool) *http.Transport {
+func newTransport(disableKeepAlives bool) *http.Transport {
 	return &http.Transport{
 		Proxy:               nil,
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   disableKeepAlives,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 	}
 }
 
 // Close closes idle connections.
 func (h *HTTP) Close() {
-	h.reuse.CloseIdleConnections()
-	h.fresh.CloseIdleConnections()
+	h.pooled.CloseIdleConnections()
+	h.unpooled.CloseIdleConnections()
 }
 
 // callBody is the JSON body of a call.
@@ -107,50 +107,51 @@
 		Repeatable: call.Repeatable,
 	})
 	if err != nil {
-		return ending(attempt.NotSent, "encode call: "+err.Error())
+		return newResult(attempt.NotSent, "encode call: "+err.Error())
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, "http://"+call.Address+pathCall, unrepeatable(body))
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, "http://"+call.Address+pathCall, withoutGetBody(body))
 	if err != nil {
-		return ending(attempt.NotSent, "build call: "+err.Error())
+		return newResult(attempt.NotSent, "build call: "+err.Error())
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", contentJSON)
 	resp, err := h.transport(call).RoundTrip(req)
 	if err != nil {
 		if !connected.Load() {
-			return ending(attempt.NotSent, err.Error())
+			return newResult(attempt.NotSent, err.Error())
 		}
-		return ending(attempt.NoResponse, err.Error())
+		return newResult(attempt.NoResponse, err.Error())
 	}
 	defer resp.Body.Close()
-	end := read(resp, call, sink, cancel)
-	end.Load = loadOf(resp)
-	end.Draining = resp.Header.Get(headerLeave) != ""
+	end := readAnswer(resp, call, sink, cancel)
+	end.Load = parseLoad(resp)
+	end.Draining = resp.Header.Get(headerLeaving) != ""
 	return end
 }
 
 func (h *HTTP) transport(call run.Call) *http.Transport {
 	if call.Repeatable {
-		return h.reuse
+		return h.pooled
 	}
-	return h.fresh
+	return h.unpooled
 }
 
-// unrepeatable hides the reader's type, so that the request gets no GetBody.
-func unrepeatable(body []byte) io.Reader { return struct{ io.Reader }{bytes.NewReader(body)} }
+// withoutGetBody returns a reader whose type net/http does not recognize, so
+// that it sets no GetBody and cannot send the request twice.
+func withoutGetBody(body []byte) io.Reader { return struct{ io.Reader }{bytes.NewReader(body)} }
 
-func ending(e attempt.Event, reason string) run.CallResult {
-	if len(reason) > reasonMaxLen {
-		reason = reason[:reasonMaxLen]
+func newResult(e attempt.Event, reason string) run.CallResult {
+	if len(reason) > maxReasonLength {
+		reason = reason[:maxReasonLength]
 	}
 	return run.CallResult{Event: e, Reason: reason}
 }
 
-func loadOf(resp *http.Response) place.Load {
+func parseLoad(resp *http.Response) place.Load {
 	busy, err := strconv.ParseFloat(resp.Header.Get(headerLoad), 64)
 	if err != nil || busy < 0 {
 		return place.Load{}
@@ -158,35 +159,35 @@
 	return place.Load{Calls: busy, ReceivedAt: time.Now()}
 }
 
-func read(resp *http.Response, call run.Call, sink Sink, cancel context.CancelFunc) run.CallResult {
+func readAnswer(resp *http.Response, call run.Call, sink Sink, cancel context.CancelFunc) run.CallResult {
 	switch {
-	case resp.Header.Get(headerRun) != "":
-		return ending(attempt.Rejected, fmt.Sprintf("endpoint %s did not run the call", call.Endpoint))
+	case resp.Header.Get(headerNotRun) != "":
+		return newResult(attempt.Rejected, fmt.Sprintf("endpoint %s did not run the call", call.Endpoint))
 	case resp.StatusCode != http.StatusOK:
-		return ending(attempt.Fail, fmt.Sprintf("endpoint %s answered status %d", call.Endpoint, resp.StatusCode))
+		return newResult(attempt.Fail, fmt.Sprintf("endpoint %s answered status %d", call.Endpoint, resp.StatusCode))
 	case call.Streams:
 		return readStream(resp.Body, call, sink, cancel)
 	}
-	return readWhole(resp.Body, call)
+	return readBody(resp.Body, call)
 }
 
-func readWhole(r io.Reader, call run.Call) run.CallResult {
-	data, err := io.ReadAll(io.LimitReader(r, maxAnswer))
+func readBody(r io.Reader, call run.Call) run.CallResult {
+	data, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes))
 	if err != nil {
-		return ending(attempt.NoResponse, "answer broke off: "+err.Error())
+		return newResult(attempt.NoResponse, "answer broke off: "+err.Error())
 	}
 	var answer callAnswer
 	if err := json.Unmarshal(data, &answer); err != nil {
-		return ending(attempt.NoResponse, "answer is not JSON: "+err.Error())
+		return newResult(attempt.NoResponse, "answer is not JSON: "+err.Error())
 	}
 	if answer.RequestID != call.RequestID {
-		return ending(attempt.NoResponse, fmt.Sprintf("answer is for request %q", answer.RequestID))
+		return newResult(attempt.NoResponse, fmt.Sprintf("answer is for request %q", answer.RequestID))
 	}
 	return run.CallResult{Event: attempt.Complete, Output: []byte(answer.Output)}
 }
 
-// readStream passes tokens on and accepts the end only when it names this
-// request and the right number of tokens.
+// readStream passes tokens to the sink. The stream is complete only if its end
+// line has this request's id and the number of tokens received.
 func readStream(r io.Reader, call run.Call, sink Sink, cancel context.CancelFunc) run.CallResult {
 	var idle *time.Timer
 	if call.IdleTimeout > 0 {
@@ -195,41 +196,41 @@
 		idle.Stop()
 	}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 4<<10), maxLine)
+	lines.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	for lines.Scan() {
 		if idle != nil {
 			idle.Reset(call.IdleTimeout)
 		}
 		var line streamLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return broken(sink, "stream line is not JSON: "+err.Error())
+			return brokenStream(sink, "stream line is not JSON: "+err.Error())
 		}
 		if line.Done {
-			return streamEnd(line, call, sink)
+			return checkStreamEnd(line, call, sink)
 		}
 		if !sink.Token(line.Index, line.Text) {
-			return broken(sink, "tokens are not wanted any more, or out of order")
+			return brokenStream(sink, "tokens are not wanted any more, or out of order")
 		}
 	}
 	err := lines.Err()
 	if err == nil {
 		err = errors.New("no end line")
 	}
-	return broken(sink, "stream broke off: "+err.Error())
+	return brokenStream(sink, "stream broke off: "+err.Error())
 }
 
-func streamEnd(line streamLine, call run.Call, sink Sink) run.CallResult {
+func checkStreamEnd(line streamLine, call run.Call, sink Sink) run.CallResult {
 	if line.RequestID != call.RequestID {
-		return broken(sink, fmt.Sprintf("stream is for request %q", line.RequestID))
+		return brokenStream(sink, fmt.Sprintf("stream is for request %q", line.RequestID))
 	}
 	if line.Count != sink.Count() {
-		return broken(sink, fmt.Sprintf("stream ended with %d tokens, %d came", line.Count, sink.Count()))
+		return brokenStream(sink, fmt.Sprintf("stream ended with %d tokens, %d came", line.Count, sink.Count()))
 	}
 	return run.CallResult{Event: attempt.Complete, Output: sink.Output(), Tokens: line.Count}
 }
 
-func broken(sink Sink, reason string) run.CallResult {
-	end := ending(attempt.NoResponse, reason)
+func brokenStream(sink Sink, reason string) run.CallResult {
+	end := newResult(attempt.NoResponse, reason)
 	end.Tokens = sink.Count()
 	return end
 }
--- a/internal/endpoints/http_test.go
+++ b/internal/endpoints/http_test.go
@@ -13,7 +13,7 @@
 	"gradetiller.example/internal/core/run"
 )
 
-// sink takes tokens in order.
+// sink accepts tokens in order.
 type sink struct{ text []string }
 
 func (s *sink) Token(index int, text string) bool {
@@ -27,9 +27,9 @@
 func (s *sink) Count() int     { return len(s.text) }
 func (s *sink) Output() []byte { return []byte(strings.Join(s.text, "")) }
 
-// TestAnswersAreChecked checks what becomes of answers that are whole, of
-// another request, cut, out of order, doubled or refused.
-func TestAnswersAreChecked(t *testing.T) {
+// TestAnswersAreValidated checks that an answer counts as complete only if it
+// is well-formed, of the right request, and has all tokens in order.
+func TestAnswersAreValidated(t *testing.T) {
 	const whole = `{"i":0,"t":"a"}` + "\n" + `{"i":1,"t":"b"}` + "\n"
 	for _, c := range []struct {
 		name    string
@@ -70,8 +70,9 @@
 	}
 }
 
-// TestNothingListens checks that a call which could not be sent says so.
-func TestNothingListens(t *testing.T) {
+// TestConnectionRefusedIsNotSent checks that a call to an endpoint that does
+// not listen is reported as not sent.
+func TestConnectionRefusedIsNotSent(t *testing.T) {
 	server := httptest.NewServer(nil)
 	address := server.Listener.Addr().String()
 	server.Close()
--- a/internal/endpoints/order.go
+++ b/internal/endpoints/order.go
@@ -9,16 +9,18 @@
 	"net/http"
 )
 
-// LoadOrder asks an engine to hold exactly a set of versions.
+// LoadOrder instructs an engine to hold exactly the given model versions.
 type LoadOrder struct {
-	// Op is the same for the same wish; an engine carries it out once.
+	// Op identifies the operation. An engine executes an operation once, however
+	// often it receives the order.
 	Op string `json:"op"`
-	// Epoch is the holder's; engines that check refuse a lower one than seen.
+	// Epoch is the epoch of the sender's lease. Engines that check it refuse an
+	// order with a lower epoch than they have seen.
 	Epoch    uint64   `json:"epoch"`
 	Versions []string `json:"versions"`
 }
 
-// Orderer gives orders to engines; HTTP is the one adapter so far.
+// Orderer sends load orders to engines. HTTP implements it.
 type Orderer interface {
 	Order(ctx context.Context, address string, o LoadOrder) error
 }
@@ -34,12 +36,12 @@
 		return err
 	}
 	req.Header.Set("Content-Type", contentJSON)
-	resp, err := h.fresh.RoundTrip(req)
+	resp, err := h.unpooled.RoundTrip(req)
 	if err != nil {
 		return fmt.Errorf("order to %s: %w", address, err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxState))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxStateBytes))
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("order to %s: status %d", address, resp.StatusCode)
 	}
--- a/internal/endpoints/state.go
+++ b/internal/endpoints/state.go
@@ -8,24 +8,24 @@
 	"net/http"
 )
 
-// State is what an endpoint tells of itself.
+// State is the state that an endpoint reports.
 type State struct {
-	// Leaving endpoints take no new work.
+	// Leaving is true if the endpoint is draining and accepts no new calls.
 	Leaving bool `json:"leaving"`
-	// Busy is the number of calls that run or wait there.
+	// Busy is the number of calls that are running or queued at the endpoint.
 	Busy float64 `json:"busy"`
-	// Versions are the models that an engine holds or loads.
+	// Versions are the model versions that an engine holds or is loading.
 	Versions []string `json:"versions"`
-	// Loading is true while an engine carries an order out.
+	// Loading is true while an engine executes a load order.
 	Loading bool `json:"loading"`
 }
 
-// StateReader asks endpoints for their state; HTTP is the one adapter so far.
+// StateReader reads the state of endpoints. HTTP implements it.
 type StateReader interface {
 	State(ctx context.Context, address string) (State, error)
 }
 
-const maxState = 64 << 10
+const maxStateBytes = 64 << 10
 
 // State implements StateReader.
 func (h *HTTP) State(ctx context.Context, address string) (State, error) {
@@ -33,12 +33,12 @@
 	if err != nil {
 		return State{}, err
 	}
-	resp, err := h.reuse.RoundTrip(req)
+	resp, err := h.pooled.RoundTrip(req)
 	if err != nil {
 		return State{}, fmt.Errorf("state of %s: %w", address, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxState))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxStateBytes))
 	if err != nil {
 		return State{}, fmt.Errorf("state of %s: %w", address, err)
 	}
