--- a/client/client.go
+++ b/client/client.go
@@ -20,9 +20,9 @@
 const (
 	dialTimeout    = 500 * time.Millisecond
 	locateTimeout  = 2 * time.Second
-	idlePerHost    = 64
-	maxAnswer      = 8 << 20
-	leastPause     = 5 * time.Millisecond
+	maxIdlePerHost = 64
+	maxAnswerBytes = 8 << 20
+	minRetryDelay  = 5 * time.Millisecond
 	defaultRetries = 8
 )
 
@@ -35,26 +35,27 @@
 	retries   int
 	transport *http.Transport
 
-	mu        sync.Mutex
-	addresses []string
-	until     time.Time
-	next      int
+	mu              sync.Mutex
+	addresses       []string
+	addressesExpire time.Time
+	next            int
 }
 
 // Option sets an optional part of a Client.
 type Option func(*Client)
 
-// WithPlace tells the caller's region and failure domain, whose addresses are
-// preferred.
+// WithPlace sets the region and failure domain of the caller. Addresses there
+// are preferred.
 func WithPlace(region, domain string) Option {
 	return func(c *Client) { c.region, c.domain = region, domain }
 }
 
-// WithRetries bounds how often a request is sent again; 0 sends it once.
+// WithRetries sets the maximum number of retries of a request; 0 disables
+// retries.
 func WithRetries(n int) Option { return func(c *Client) { c.retries = n } }
 
-// New returns a client for an account's key that first asks the given
-// addresses.
+// New returns a client that authenticates with an account's key. It asks the
+// given addresses for those to use.
 func New(key string, addresses []string, opts ...Option) (*Client, error) {
 	if len(addresses) == 0 {
 		return nil, errors.New("client: expected at least one address")
@@ -64,7 +65,7 @@
 		transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 			DisableCompression:  true,
-			MaxIdleConnsPerHost: idlePerHost,
+			MaxIdleConnsPerHost: maxIdlePerHost,
 			IdleConnTimeout:     30 * time.Second,
 		},
 	}
@@ -77,21 +78,21 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Request is one request.
+// Request describes a request to run a pipeline.
 type Request struct {
 	Pipeline string
 	Input    string
-	// ID names the request; empty means a new random one. Asking again for a
-	// request that may run at most once needs the same ID.
+	// ID identifies the request; if it is empty, a random one is used. A caller
+	// that sends an at-most-once request again must use the same ID.
 	ID string
-	// Deadline is the time left from now on; 0 means the pipeline's own.
+	// Deadline is the time until the deadline; 0 means the pipeline's deadline.
 	Deadline time.Duration
 	// Once is true for a request that must run at most once.
 	Once  bool
 	Class string
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	requestID string
 	output    string
@@ -105,10 +106,10 @@
 // Output returns the last stage's output.
 func (a *Answer) Output() string { return a.output }
 
-// OnTime reports whether the system finished within the deadline.
+// OnTime reports whether the request finished within its deadline.
 func (a *Answer) OnTime() bool { return a.onTime }
 
-// Tries returns how often the request was sent.
+// Tries returns the number of times that the request was tried.
 func (a *Answer) Tries() int { return a.tries }
 
 type locateBody struct {
@@ -116,12 +117,12 @@
 	KeepMS    int64    `json:"keep_ms"`
 }
 
-// address returns the next address to use, and asks the system when the last
-// answer has run out.
+// address returns the next address to use. It locates addresses first if the
+// cached ones have expired, and falls back to the expired ones if that fails.
 func (c *Client) address(ctx context.Context) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.addresses) == 0 || time.Now().After(c.until) {
+	if len(c.addresses) == 0 || time.Now().After(c.addressesExpire) {
 		if err := c.locate(ctx); err != nil && len(c.addresses) == 0 {
 			return "", err
 		}
@@ -130,8 +131,8 @@
 	return c.addresses[c.next%len(c.addresses)], nil
 }
 
-// gone drops an address that can't be reached.
-func (c *Client) gone(address string) {
+// dropAddress removes an address that is unreachable or draining.
+func (c *Client) dropAddress(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := make([]string, 0, len(c.addresses))
@@ -143,7 +144,8 @@
 	c.addresses = kept
 }
 
-// locate asks known addresses first, then the seeds, each once.
+// locate asks the known addresses and then the seeds, each once, until one
+// returns the addresses to use.
 func (c *Client) locate(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, locateTimeout)
 	defer cancel()
@@ -156,20 +158,20 @@
 		if i >= start {
 			address = c.seeds[(i-start+offset)%len(c.seeds)]
 		}
-		body, err := c.askLocate(ctx, address)
+		body, err := c.fetchAddresses(ctx, address)
 		if err != nil {
 			last = err
 			continue
 		}
 		c.addresses = body.Addresses
-		c.until = time.Now().Add(time.Duration(body.KeepMS) * time.Millisecond)
+		c.addressesExpire = time.Now().Add(time.Duration(body.KeepMS) * time.Millisecond)
 		c.next = mathrand.IntN(len(body.Addresses))
 		return nil
 	}
 	return fmt.Errorf("locate: %w", last)
 }
 
-func (c *Client) askLocate(ctx context.Context, address string) (*locateBody, error) {
+func (c *Client) fetchAddresses(ctx context.Context, address string) (*locateBody, error) {
 	query := url.Values{}
 	if c.region != "" {
 		query.Set("region", c.region)
@@ -187,12 +189,12 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, errorOf(data, resp.StatusCode)
+		return nil, decodeError(data, resp.StatusCode)
 	}
 	var body locateBody
 	if err := json.Unmarshal(data, &body); err != nil || len(body.Addresses) == 0 {
@@ -201,13 +203,14 @@
 	return &body, nil
 }
 
-// Run sends a request and returns its whole answer.
+// Run sends a request and returns the complete answer.
 func (c *Client) Run(ctx context.Context, req Request) (*Answer, error) {
 	return c.run(ctx, req, nil)
 }
 
-// Stream sends a request and passes its text on as it comes. The answer holds
-// the whole text. A request whose text has begun to come is not sent again.
+// Stream sends a request and calls text with each part of the output as it
+// arrives. The returned answer has the complete output. A request is not retried
+// once its answer has begun to stream.
 func (c *Client) Stream(ctx context.Context, req Request, text func(string)) (*Answer, error) {
 	return c.run(ctx, req, text)
 }
@@ -216,25 +219,25 @@
 	if req.ID == "" {
 		req.ID = rand.Text()
 	}
-	var until time.Time
+	var deadline time.Time
 	if req.Deadline > 0 {
-		until = time.Now().Add(req.Deadline)
+		deadline = time.Now().Add(req.Deadline)
 	}
 	var last error
 	for try := range c.retries + 1 {
-		if !until.IsZero() {
-			req.Deadline = time.Until(until)
+		if !deadline.IsZero() {
+			req.Deadline = time.Until(deadline)
 			if req.Deadline <= 0 {
 				break
 			}
 		}
-		answer, again, err := c.tryWithin(ctx, req, text)
+		answer, retryable, err := c.tryWithTimeout(ctx, req, text)
 		if err == nil {
 			answer.tries = try + 1
 			return answer, nil
 		}
-		last = ofAllTries(last, err)
-		if !again || !pause(ctx, last, until) {
+		last = combineErrors(last, err)
+		if !retryable || !waitToRetry(ctx, last, deadline) {
 			return nil, last
 		}
 	}
@@ -244,10 +247,10 @@
 	return nil, last
 }
 
-// ofAllTries returns what is true of a request whose tries up to the last but
-// one ended with before, which is nil for none, and the last with err: "not run"
-// holds only if no earlier try may have run.
-func ofAllTries(before, err error) error {
+// combineErrors returns the error of a request whose last try failed with err.
+// before is the combined error of the earlier tries, or nil. The result is "not
+// run" only if no earlier try may have run.
+func combineErrors(before, err error) error {
 	if before == nil || !notRun(err) || notRun(before) {
 		return err
 	}
@@ -261,11 +264,12 @@
 
 func notRun(err error) bool { return failure.KindOf(err).Answer().Ran() == failure.RanNo }
 
-// answerGrace is how long after the deadline an answer is waited for: the
-// system answers by the deadline, so a node that has not is gone or paused.
+// answerGrace is the time after the deadline for which the client waits for an
+// answer. The system answers by the deadline, so a node that has not answered
+// by then has failed or is paused.
 const answerGrace = 250 * time.Millisecond
 
-func (c *Client) tryWithin(ctx context.Context, req Request, text func(string)) (*Answer, bool, error) {
+func (c *Client) tryWithTimeout(ctx context.Context, req Request, text func(string)) (*Answer, bool, error) {
 	if req.Deadline > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, req.Deadline+answerGrace)
@@ -274,15 +278,15 @@
 	return c.try(ctx, req, text)
 }
 
-// pause waits as the error asks, and reports false when the deadline comes
-// first.
-func pause(ctx context.Context, err error, until time.Time) bool {
-	wait := leastPause
+// waitToRetry waits for the error's retry delay, at least minRetryDelay. It
+// reports false if the deadline or the end of ctx comes first.
+func waitToRetry(ctx context.Context, err error, deadline time.Time) bool {
+	wait := minRetryDelay
 	var f *failure.Error
 	if errors.As(err, &f) {
 		wait = max(wait, f.RetryAfter())
 	}
-	if !until.IsZero() && time.Until(until) <= wait {
+	if !deadline.IsZero() && time.Until(deadline) <= wait {
 		return false
 	}
 	select {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,14 +16,16 @@
 	"gradetiller.example/failure"
 )
 
-// system is a locate answer and a handler of runs at one or more addresses.
+// system is a server that answers locate requests with addresses and counts the
+// run requests that it receives.
 type system struct {
 	t         *testing.T
 	runs      atomic.Int32
 	addresses []string
 }
 
-// newSystem starts a server that names the given further addresses and itself.
+// newSystem starts a server whose locate answers contain the further addresses
+// and its own.
 func newSystem(t *testing.T, run http.HandlerFunc, further ...string) *system {
 	s := &system{t: t}
 	mux := http.NewServeMux()
@@ -56,38 +58,38 @@
 	return c
 }
 
-func whole(w http.ResponseWriter, r *http.Request) {
+func answerComplete(w http.ResponseWriter, r *http.Request) {
 	fmt.Fprintf(w, `{"request_id":%q,"output":"out","on_time":true}`, r.Header.Get("X-Request-Id"))
 }
 
-func cut(w http.ResponseWriter, _ *http.Request) {
+func closeConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, _ := http.NewResponseController(w).Hijack()
 	_ = conn.Close()
 }
 
-func refused(code string, status int) http.HandlerFunc {
+func refuse(code string, status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		fmt.Fprintf(w, `{"error":{"code":%q,"retry_after_ms":1}}`, code)
 	}
 }
 
-// TestAsksAgainOnlyIfSafe checks how often a request is sent for each kind of
-// failure, by whether it may be repeated.
-func TestAsksAgainOnlyIfSafe(t *testing.T) {
+// TestRetriesOnlyIfSafe checks the number of times that a request is sent for
+// each kind of failure, for at-most-once and for repeatable requests.
+func TestRetriesOnlyIfSafe(t *testing.T) {
 	const all = defaultRetries + 1
 	for _, c := range []struct {
 		name         string
 		run          http.HandlerFunc
 		once, repeat int32
 	}{
-		{"whole", whole, 1, 1},
-		{"not run", refused("overloaded", 503), all, all},
-		{"not run, but asking again can't help", refused("bad_request", 400), 1, 1},
-		{"failed", refused("stage_failed", 502), 1, 1},
-		{"unknown", refused("stage_unknown", 502), 1, all},
-		{"connection cut", cut, 1, all},
-		{"unreadable answer", refused("", 500), 1, 1},
+		{"whole", answerComplete, 1, 1},
+		{"not run", refuse("overloaded", 503), all, all},
+		{"not run, but a retry can't help", refuse("bad_request", 400), 1, 1},
+		{"failed", refuse("stage_failed", 502), 1, 1},
+		{"unknown", refuse("stage_unknown", 502), 1, all},
+		{"connection cut", closeConnection, 1, all},
+		{"unreadable answer", refuse("", 500), 1, 1},
 		{"answer of another request", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"request_id":"other"}`) }, 1, all},
 	} {
 		for _, once := range []bool{true, false} {
@@ -104,10 +106,10 @@
 	}
 }
 
-// TestGoesToTheNextAddress names an address that nobody listens on: requests
-// that may run at most once are served all the same.
-func TestGoesToTheNextAddress(t *testing.T) {
-	s := newSystem(t, whole, "127.0.0.1:1")
+// TestUnreachableAddressIsSkipped checks that at-most-once requests succeed if
+// one of the located addresses refuses connections.
+func TestUnreachableAddressIsSkipped(t *testing.T) {
+	s := newSystem(t, answerComplete, "127.0.0.1:1")
 	c := s.client()
 	for i := range 10 {
 		if _, err := c.Run(context.Background(), Request{Pipeline: "p", Once: true, Deadline: 5 * time.Second}); err != nil {
@@ -116,9 +118,9 @@
 	}
 }
 
-// TestStreamEnd checks that a stream is whole only with its end event, whose
-// length and digest fit, and that a stream is never asked for again once its
-// text has begun.
+// TestStreamEnd checks that a stream is complete only with an end event whose
+// length and digest match, and that a request is never retried once its text has
+// begun to stream.
 func TestStreamEnd(t *testing.T) {
 	sum := sha256.Sum256([]byte("ab"))
 	good := hex.EncodeToString(sum[:])
@@ -143,7 +145,7 @@
 			t.Errorf("%s: output %q", c.name, answer.Output())
 		}
 		if !c.whole && failure.KindOf(err).Answer().Ran() == failure.RanNo {
-			t.Errorf("%s: told not run", c.name)
+			t.Errorf("%s: reported as not run", c.name)
 		}
 		if n := s.runs.Load(); n != 1 {
 			t.Errorf("%s: sent %d times", c.name, n)
@@ -151,9 +153,9 @@
 	}
 }
 
-// inTurn answers the first run with the first handler, and each later one with
-// the second.
-func inTurn(first, later http.HandlerFunc) http.HandlerFunc {
+// firstThen returns a handler that serves the first request with first, and every
+// further one with later.
+func firstThen(first, later http.HandlerFunc) http.HandlerFunc {
 	var runs atomic.Int32
 	return func(w http.ResponseWriter, r *http.Request) {
 		if runs.Add(1) == 1 {
@@ -164,55 +166,42 @@
 	}
 }
 
-func slow(_ http.ResponseWriter, r *http.Request) {
+func neverAnswer(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
-// TestNotRunIsTrueOfAllTries has the first of a request's tries end with an
-// answer that promises nothing, and the last with one that promises "not run".
-//
-// What a caller sees: an error whose kind tells that the request did not run.
-// It may have run.
-// How it comes about: the connection of a request that may be repeated breaks;
-// the client asks again, and the system refuses that, or the time is over.
-// The cause: the error of the last try was given for the whole request.
-// What proves it: the error promises nothing, for each such end; and a request
-// whose tries were all refused still is told as not run.
-func TestNotRunIsTrueOfAllTries(t *testing.T) {
+// TestNotRunAppliesToAllTries guards against an error of kind "not run" for a
+// request that may have run. The connection of a repeatable request breaks, and
+// the retry is refused as not run. The error must not be that of the last try:
+// it is "not run" only if every try was refused.
+func TestNotRunAppliesToAllTries(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		first, last http.HandlerFunc
 		ran         failure.Ran
 	}{
-		{"cut, then refused for now", cut, refused("overloaded", 503), failure.RanUnknown},
-		{"cut, then refused for good", cut, refused("unauthorized", 401), failure.RanUnknown},
-		{"unknown, then refused", refused("stage_unknown", 502), refused("draining", 503), failure.RanUnknown},
-		{"another's answer, then refused", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }, refused("overloaded", 503), failure.RanUnknown},
-		{"refused, then cut", refused("overloaded", 503), cut, failure.RanUnknown},
-		{"cut, then failed", cut, refused("stage_failed", 502), failure.RanYes},
-		{"refused, then refused", refused("overloaded", 503), refused("draining", 503), failure.RanNo},
+		{"cut, then refused for now", closeConnection, refuse("overloaded", 503), failure.RanUnknown},
+		{"cut, then refused for good", closeConnection, refuse("unauthorized", 401), failure.RanUnknown},
+		{"unknown, then refused", refuse("stage_unknown", 502), refuse("draining", 503), failure.RanUnknown},
+		{"another's answer, then refused", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{}`) }, refuse("overloaded", 503), failure.RanUnknown},
+		{"refused, then cut", refuse("overloaded", 503), closeConnection, failure.RanUnknown},
+		{"cut, then failed", closeConnection, refuse("stage_failed", 502), failure.RanYes},
+		{"refused, then refused", refuse("overloaded", 503), refuse("draining", 503), failure.RanNo},
 	} {
-		s := newSystem(t, inTurn(c.first, c.last))
+		s := newSystem(t, firstThen(c.first, c.last))
 		_, err := s.client().Run(context.Background(), Request{Pipeline: "p", Deadline: 5 * time.Second})
 		if ran := failure.KindOf(err).Answer().Ran(); ran != c.ran {
-			t.Errorf("%s: told %q, want %q: %v", c.name, ran, c.ran, err)
+			t.Errorf("%s: got ran %q, want %q: %v", c.name, ran, c.ran, err)
 		}
 	}
 }
 
-// TestStreamWithTextRan has a stream end with an error that promises "not run"
-// after text has come.
-//
-// What a caller sees: text, and then an error whose kind tells that the request
-// did not run.
-// How it comes about: a node of another version, or with a fault, writes such an
-// event.
-// The cause: the client passed the event's kind on without a look at what it had
-// read itself.
-// What proves it: the error promises nothing after text, and still is "not run"
-// before it.
-func TestStreamWithTextRan(t *testing.T) {
+// TestErrorAfterTextIsUnknown guards against an error of kind "not run" for a
+// stream that has delivered text. A faulty node, or one of another version, may
+// send such an error event after text. The client must report "not run" only if
+// no text came before the event.
+func TestErrorAfterTextIsUnknown(t *testing.T) {
 	for lines, ran := range map[string]failure.Ran{
 		`{"text":"a"}` + "\n": failure.RanUnknown,
 		"":                    failure.RanNo,
@@ -222,31 +211,27 @@
 		})
 		_, err := s.client().Stream(context.Background(), Request{Pipeline: "p", Deadline: 5 * time.Second}, func(string) {})
 		if got := failure.KindOf(err).Answer().Ran(); got != ran {
-			t.Errorf("after %q: told %q, want %q: %v", lines, got, ran, err)
+			t.Errorf("after %q: got ran %q, want %q: %v", lines, got, ran, err)
 		}
 	}
 }
 
-// hang waits for a connection that never comes, as the transport's dial does to
-// an address that does not answer.
-func hang(ctx context.Context, _, _ string) (net.Conn, error) {
+// hangDial blocks until ctx is done, like a dial to an address that does not
+// respond.
+func hangDial(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// TestUnsentIsNotRun checks what is told of a request that had no connection,
-// and that the same end of one that had is told as unknown.
-//
-// What a caller sees: "stage_unknown" for a request that never left its machine;
-// one that may run at most once is not asked again, though it could be.
-// How it comes about: the caller cancels, or the deadline passes, while the
-// client still waits for a connection; or the request can't be written.
-// The cause: only a dial that failed by itself was taken as unsent.
-// What proves it: each such end is told as not run, and only those.
+// TestUnsentIsNotRun guards against "stage_unknown" for a request that was never
+// sent, because an at-most-once request is then not retried although it could
+// be. A request is unsent if it is canceled or its deadline passes while the
+// client waits for a connection, or if it cannot be written. Those cases must be
+// reported as not run; the same cases with a connection as unknown.
 func TestUnsentIsNotRun(t *testing.T) {
 	const (
 		enough = 5 * time.Second
-		// A busy machine has long connected by then.
+		// Long enough to connect even on a busy machine.
 		short = time.Second
 	)
 	canceled := func(c context.Context) (context.Context, context.CancelFunc) {
@@ -268,20 +253,20 @@
 		{"canceled while waiting", canceled, "r", enough, false, failure.StageUnknown},
 		{"deadline while waiting", context.WithCancel, "r", short, false, failure.StageUnknown},
 	} {
-		s := newSystem(t, slow)
+		s := newSystem(t, neverAnswer)
 		client := s.client()
 		if _, err := client.address(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		client.transport.CloseIdleConnections()
 		if c.unsent {
-			client.transport.DialContext = hang
+			client.transport.DialContext = hangDial
 		}
 		ctx, cancel := c.within(context.Background())
 		_, err := client.Run(ctx, Request{Pipeline: "p", ID: c.id, Once: true, Deadline: c.deadline})
 		cancel()
 		if kind := failure.KindOf(err); kind != c.kind {
-			t.Errorf("%s: told %v, want %v: %v", c.name, kind, c.kind, err)
+			t.Errorf("%s: got kind %v, want %v: %v", c.name, kind, c.kind, err)
 		}
 	}
 }
--- a/client/doc.go
+++ b/client/doc.go
@@ -1,11 +1,12 @@
-// Package client is the Go library for callers.
+// Package client is the Go client library of gradetiller.
 //
-// A Client asks the system which addresses to use, keeps that answer for the
-// time it is given, spreads its requests over the addresses, and goes on to
-// the next when one is gone. It asks again by itself only when the request is
-// proven not to have run, or may be repeated; and it accepts a stream only
-// with its explicit end, whose length and digest it checks. Its error holds for
-// all tries of a request: "not run" means that none of them ran.
+// A Client asks the system which addresses to use, caches the answer for the
+// time that the system specifies, distributes its requests over the addresses,
+// and fails over to the next address if one is unreachable. It retries a request
+// only if the request is proven not to have run, or is repeatable. It accepts a
+// streamed answer only with an explicit end event, whose length and digest it
+// verifies. An error applies to all tries of a request: "not run" means that
+// none of them ran.
 //
 // # Usage
 //
--- a/client/try.go
+++ b/client/try.go
@@ -36,7 +36,7 @@
 	} `json:"error"`
 }
 
-type wholeBody struct {
+type answerBody struct {
 	RequestID string `json:"request_id"`
 	OnTime    bool   `json:"on_time"`
 	Output    string `json:"output"`
@@ -51,9 +51,9 @@
 	errorBody
 }
 
-// errorOf reads an answer's error. An answer without one came from something
-// else than the system, so it promises nothing.
-func errorOf(data []byte, status int) error {
+// decodeError decodes the error of an answer. An answer without an error code does
+// not come from the system, so that it is unknown whether the request ran.
+func decodeError(data []byte, status int) error {
 	var body errorBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Code == "" {
 		return failure.New(failure.Internal, fmt.Sprintf("unreadable answer with status %d", status))
@@ -67,8 +67,8 @@
 		failure.WithRetryAfter(time.Duration(b.Error.RetryAfterMS)*time.Millisecond))
 }
 
-// again reports whether a request may be sent once more after err.
-func again(req Request, err error) bool {
+// mayRetry reports whether a request may be sent again after err.
+func mayRetry(req Request, err error) bool {
 	answer := failure.KindOf(err).Answer()
 	if answer.Ran() == failure.RanNo {
 		return answer.Again()
@@ -76,7 +76,7 @@
 	return !req.Once && answer.Ran() == failure.RanUnknown && failure.KindOf(err) == failure.StageUnknown
 }
 
-// try sends the request once and reports whether it may be sent again.
+// try sends the request once and reports whether it may be retried.
 func (c *Client) try(ctx context.Context, req Request, text func(string)) (*Answer, bool, error) {
 	address, err := c.address(ctx)
 	if err != nil {
@@ -84,40 +84,42 @@
 		return nil, true, f
 	}
 	connected := false
-	resp, err := c.send(withConnected(ctx, &connected), address, req, text != nil)
+	resp, err := c.send(traceConnected(ctx, &connected), address, req, text != nil)
 	if err != nil {
-		c.gone(address)
+		c.dropAddress(address)
 		if connected {
-			return unknown(req, "the connection broke", err)
+			return unknownOutcome(req, "the connection broke", err)
 		}
-		return nil, true, unsent(ctx, err)
+		return nil, true, unsentError(ctx, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-		err := errorOf(data, resp.StatusCode)
+		data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+		err := decodeError(data, resp.StatusCode)
 		if failure.KindOf(err) == failure.Draining {
-			c.gone(address)
+			c.dropAddress(address)
 		}
-		return nil, again(req, err), err
+		return nil, mayRetry(req, err), err
 	}
 	if text != nil {
 		return readStream(resp.Body, req, text)
 	}
-	return readWhole(resp.Body, req)
+	return readAnswer(resp.Body, req)
 }
 
-// withConnected sets connected once a request of the context has a connection.
-// Before, no byte of it is sent; the kind of an error does not tell, since a
-// cancel while dialing is the same error as one while waiting.
-func withConnected(ctx context.Context, connected *bool) context.Context {
+// traceConnected sets connected once a request of the context has a connection;
+// until then no byte of it is sent. The error alone does not show that, because
+// a cancellation while dialing and one while waiting for the answer give the
+// same error.
+func traceConnected(ctx context.Context, connected *bool) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { *connected = true },
 	})
 }
 
-// unsent returns the failure of a request that had no connection.
-func unsent(ctx context.Context, err error) error {
+// unsentError returns the error of a request that failed before it had a
+// connection, and so was not sent.
+func unsentError(ctx context.Context, err error) error {
 	switch ctx.Err() {
 	case context.Canceled:
 		return failure.New(failure.CanceledNotRun, "canceled before there was a connection", failure.WithCause(err))
@@ -134,7 +136,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The wrapped reader keeps the transport from sending the request twice.
+	// The wrapper hides the reader's type from net/http, so that it sets no
+	// GetBody and the transport cannot send the request twice.
 	hreq, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		"http://"+address+"/v1/pipelines/"+url.PathEscape(req.Pipeline)+"/run", struct{ io.Reader }{bytes.NewReader(body)})
 	if err != nil {
@@ -147,27 +150,27 @@
 	return c.transport.RoundTrip(hreq)
 }
 
-func unknown(req Request, message string, cause error) (*Answer, bool, error) {
+func unknownOutcome(req Request, message string, cause error) (*Answer, bool, error) {
 	return nil, !req.Once, failure.New(failure.StageUnknown, message, failure.WithCause(cause))
 }
 
-func readWhole(r io.Reader, req Request) (*Answer, bool, error) {
-	data, err := io.ReadAll(io.LimitReader(r, maxAnswer))
+func readAnswer(r io.Reader, req Request) (*Answer, bool, error) {
+	data, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes))
 	if err != nil {
-		return unknown(req, "the answer broke off", err)
+		return unknownOutcome(req, "the answer broke off", err)
 	}
-	var body wholeBody
+	var body answerBody
 	if err := json.Unmarshal(data, &body); err != nil {
-		return unknown(req, "the answer is not JSON", err)
+		return unknownOutcome(req, "the answer is not JSON", err)
 	}
 	if body.RequestID != req.ID {
-		return unknown(req, fmt.Sprintf("the answer is for request %q", body.RequestID), nil)
+		return unknownOutcome(req, fmt.Sprintf("the answer is for request %q", body.RequestID), nil)
 	}
 	return &Answer{requestID: body.RequestID, output: body.Output, onTime: body.OnTime}, false, nil
 }
 
-// streamFailure returns the failure of a stream's error event. Text that has
-// come shows that the request ran, whatever the event promises.
+// streamFailure returns the error of a stream's error event. If the stream had
+// text, the request has run, even if the event says "not run".
 func streamFailure(e *streamEvent, text bool) error {
 	err := e.failure()
 	if text && notRun(err) {
@@ -176,12 +179,13 @@
 	return err
 }
 
-// readStream accepts a stream only with its end event.
+// readStream passes the parts of a stream to text. The stream is complete only
+// with an end event whose length and digest match the parts received.
 func readStream(r io.Reader, req Request, text func(string)) (*Answer, bool, error) {
-	var whole strings.Builder
+	var output strings.Builder
 	digest := sha256.New()
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxAnswer)
+	lines.Buffer(nil, maxAnswerBytes)
 	for lines.Scan() {
 		var e streamEvent
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
@@ -189,14 +193,14 @@
 		}
 		switch {
 		case e.Error.Code != "":
-			return nil, false, streamFailure(&e, whole.Len() > 0)
+			return nil, false, streamFailure(&e, output.Len() > 0)
 		case e.End:
-			if e.Length != whole.Len() || e.SHA256 != hex.EncodeToString(digest.Sum(nil)) {
+			if e.Length != output.Len() || e.SHA256 != hex.EncodeToString(digest.Sum(nil)) {
 				return nil, false, failure.New(failure.StageUnknown, "the stream's end does not match its text")
 			}
-			return &Answer{requestID: req.ID, output: whole.String(), onTime: e.OnTime}, false, nil
+			return &Answer{requestID: req.ID, output: output.String(), onTime: e.OnTime}, false, nil
 		}
-		whole.WriteString(e.Text)
+		output.WriteString(e.Text)
 		digest.Write([]byte(e.Text))
 		text(e.Text)
 	}
