--- a/compare/compare_test.go
+++ b/compare/compare_test.go
@@ -8,7 +8,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestReport compares the report on two nodes' metrics with its golden file.
+// TestReport compares the report on the metrics of two nodes with a golden file.
 func TestReport(t *testing.T) {
 	var texts []string
 	for _, file := range []string{"testdata/node-1.txt", "testdata/node-2.txt"} {
@@ -21,8 +21,8 @@
 	goldie.New(t).Assert(t, "report", []byte(Report(Read(texts, "trial"))))
 }
 
-// TestInterval checks that the interval covers the true share in about 95 of
-// 100 experiments, and that arms without a difference are mostly called noise.
+// TestInterval checks that the 95% interval contains the true share in 93% to
+// 97% of simulated experiments.
 func TestInterval(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	draw := func(p float64) *Arm {
@@ -45,6 +45,6 @@
 		}
 	}
 	if share := float64(covered) / trials; share < 0.93 || share > 0.97 {
-		t.Fatalf("the interval covers the truth in %.3f of the trials", share)
+		t.Fatalf("the interval contains the true share in %.3f of the trials, want 0.93 to 0.97", share)
 	}
 }
--- a/failure/doc.go
+++ b/failure/doc.go
@@ -1,9 +1,9 @@
-// Package failure holds the closed list of error kinds that gradetiller gives
-// to callers, and the one table from a kind to its answer.
+// Package failure defines the kinds of errors that gradetiller returns to
+// clients, and the answer for each kind.
 //
 // Every kind states whether the request ran: no, yes, or unknown. "No" is a
-// promise: no byte of any stage call left the node, or every call that left is
-// proven not to have run, so the caller may safely ask again.
+// guarantee: no byte of any stage call was sent, or every call that was sent is
+// proven not to have run, so that the client can safely send the request again.
 //
 // # Usage
 //
--- a/failure/error.go
+++ b/failure/error.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Error is an error of a listed kind.
+// Error is an error of one of the kinds.
 type Error struct {
 	kind       Kind
 	message    string
@@ -18,13 +18,13 @@
 // Option sets an optional part of an Error.
 type Option func(*Error)
 
-// WithRetryAfter sets the time after which asking again makes sense.
+// WithRetryAfter sets the time that the client should wait before a retry.
 func WithRetryAfter(d time.Duration) Option { return func(e *Error) { e.retryAfter = d } }
 
-// WithStage names the pipeline stage that the error belongs to.
+// WithStage sets the pipeline stage in which the error occurred.
 func WithStage(stage string) Option { return func(e *Error) { e.stage = stage } }
 
-// WithCause keeps the error that led to this one.
+// WithCause sets the error that caused this one.
 func WithCause(err error) Option { return func(e *Error) { e.cause = err } }
 
 // New returns an error of the given kind.
@@ -54,13 +54,13 @@
 // Kind returns the error's kind.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Message returns the text without kind and cause.
+// Message returns the text without kind, stage and cause.
 func (e *Error) Message() string { return e.message }
 
-// Stage returns the pipeline stage, or "" when none is concerned.
+// Stage returns the pipeline stage in which the error occurred, or "".
 func (e *Error) Stage() string { return e.stage }
 
-// RetryAfter returns the time after which to ask again, or 0 when unknown.
+// RetryAfter returns the time to wait before a retry, or 0 if it is unknown.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
 // KindOf returns the kind of the first Error in err's chain, and Internal for
--- a/failure/kind.go
+++ b/failure/kind.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Ran tells whether a refused or failed request ran.
+// Ran states whether a refused or failed request ran.
 type Ran string
 
 // The three values of Ran.
@@ -12,10 +12,10 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Kind is one entry of the closed list of error kinds.
+// Kind is a kind of error.
 type Kind int
 
-// The closed list of kinds. A new kind needs a row in the table answers.
+// The complete list of kinds. A new kind needs a row in answers.
 const (
 	Internal Kind = iota
 	BadRequest
@@ -40,7 +40,7 @@
 	numKinds
 )
 
-// Answer is what a caller is told about a kind.
+// Answer describes how an error of a kind is reported to a client.
 type Answer struct {
 	code   string
 	status int
@@ -57,7 +57,7 @@
 // Ran returns whether the request ran.
 func (a Answer) Ran() Ran { return a.ran }
 
-// Again reports whether asking again later can help.
+// Again reports whether a later retry may succeed.
 func (a Answer) Again() bool { return a.again }
 
 var answers = [numKinds]Answer{
@@ -83,8 +83,8 @@
 	Canceled:            {"canceled", 499, RanUnknown, false},
 }
 
-// Answer returns the kind's row of the table. A number outside the list is
-// answered as Internal, which promises nothing.
+// Answer returns the kind's answer. For an undefined kind it returns that of
+// Internal, which does not state whether the request ran.
 func (k Kind) Answer() Answer {
 	if k < 0 || k >= numKinds {
 		return answers[Internal]
@@ -95,7 +95,7 @@
 // String returns the kind's code.
 func (k Kind) String() string { return k.Answer().code }
 
-// Kinds returns the whole list in its order.
+// Kinds returns all kinds in the order of their definition.
 func Kinds() []Kind {
 	all := make([]Kind, 0, numKinds)
 	for k := Internal; k < numKinds; k++ {
@@ -104,8 +104,8 @@
 	return all
 }
 
-// ParseCode finds the kind of a code. An unknown code, as from a newer
-// version, is Internal and false.
+// ParseCode returns the kind with the given code. For an unknown code, such as
+// one of a newer version, it returns Internal and false.
 func ParseCode(code string) (Kind, bool) {
 	for _, k := range Kinds() {
 		if answers[k].code == code {
