--- a/internal/soak/shape_test.go
+++ b/internal/soak/bandwidth_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// line is one direction of an instance's link: bytes go out at its rate, in turn.
-type line struct {
-	perByte time.Duration
-	mu      sync.Mutex
-	free    time.Time
+// bandwidthLimiter is one direction of an instance's link: bytes go out at its rate, in turn.
+type bandwidthLimiter struct {
+	perByte  time.Duration
+	mu       sync.Mutex
+	nextFree time.Time
 }
 
-func newLine(mbps float64) *line {
+func newBandwidthLimiter(mbps float64) *bandwidthLimiter {
 	const bits = 8
-	return &line{perByte: time.Duration(bits * 1000 / mbps * float64(time.Nanosecond))}
+	return &bandwidthLimiter{perByte: time.Duration(bits * 1000 / mbps * float64(time.Nanosecond))}
 }
 
-// pass waits until bytes have gone out.
-func (l *line) pass(bytes int) {
+// wait waits until bytes have gone out.
+func (l *bandwidthLimiter) wait(bytes int) {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.nextFree.Before(now) {
+		l.nextFree = now
 	}
-	l.free = l.free.Add(time.Duration(bytes) * l.perByte)
-	until := l.free
+	l.nextFree = l.nextFree.Add(time.Duration(bytes) * l.perByte)
+	until := l.nextFree
 	l.mu.Unlock()
 	time.Sleep(time.Until(until))
 }
@@ -40,9 +40,9 @@
 	shapedWindow = 128 << 10
 )
 
-// shaped passes connections on to an address over an instance's link, and returns
+// startShapedProxy passes connections on to an address over an instance's link, and returns
 // where they are taken. What comes in and what goes out share nothing but their rate.
-func shaped(t testing.TB, target string, mbps float64) string {
+func startShapedProxy(t testing.TB, target string, mbps float64) string {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	in, out := newLine(mbps), newLine(mbps)
+	in, out := newBandwidthLimiter(mbps), newBandwidthLimiter(mbps)
 	go func() {
 		for {
 			caller, err := listener.Accept()
@@ -65,7 +65,7 @@
 	return listener.Addr().String()
 }
 
-func connectShaped(caller net.Conn, target string, in, out *line) {
+func connectShaped(caller net.Conn, target string, in, out *bandwidthLimiter) {
 	callee, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = caller.Close()
@@ -75,12 +75,12 @@
 		_ = c.(*net.TCPConn).SetReadBuffer(shapedWindow)
 		_ = c.(*net.TCPConn).SetWriteBuffer(shapedWindow)
 	}
-	copyShaped := func(to, from net.Conn, l *line) {
+	copyShaped := func(to, from net.Conn, l *bandwidthLimiter) {
 		buffer := make([]byte, shapedChunk)
 		for {
 			n, err := from.Read(buffer)
 			if n > 0 {
-				l.pass(n)
+				l.wait(n)
 				if _, failed := to.Write(buffer[:n]); failed != nil {
 					break
 				}
--- a/internal/soak/operator_test.go
+++ b/internal/soak/bounds_operator_test.go
@@ -20,17 +20,17 @@
 	service := []string{"desk", "second-desk"}[next.Version%2]
 	timeout := []time.Duration{400 * time.Millisecond, 900 * time.Millisecond}[next.Version/2%2]
 	next.Keys = map[string]string{apiKey: account, versionKey(next.Version): account}
-	next.Routes = append(deskRoutes(),
+	next.Routes = append(longTimeoutRoutes(),
 		platformtest.Route{Prefix: "/moved/", Kind: "safe", Service: service},
 		platformtest.Route{Prefix: "/mute/", Kind: "safe", Service: "mute-desk", Timeout: timeout},
 		platformtest.Route{Prefix: versionPath(next.Version), Kind: "safe", Service: "desk"})
-	if r.many {
-		for i := range r.of.ManyRoutes {
+	if r.hasManyRoutes {
+		for i := range r.deployment.ManyRoutes {
 			next.Routes = append(next.Routes, platformtest.Route{Prefix: manyPath(i), Kind: "safe", Service: "desk"})
 		}
 	}
 	r.config = next
-	r.history.versions = append(r.history.versions, published{version: next.Version, service: service, many: r.many, timeout: timeout, sent: time.Now()})
+	r.history.versions = append(r.history.versions, published{version: next.Version, service: service, hasManyRoutes: r.hasManyRoutes, timeout: timeout, sent: time.Now()})
 	at := len(r.history.versions) - 1
 	r.mu.Unlock()
 	r.site.Publish(next)
@@ -53,7 +53,7 @@
 			count, gap = 4+draw.IntN(12), time.Duration(60+draw.IntN(360))*time.Millisecond
 		case 1:
 			r.mu.Lock()
-			r.many = !r.many
+			r.hasManyRoutes = !r.hasManyRoutes
 			r.mu.Unlock()
 		case 2:
 			r.publishInvalid()
@@ -80,10 +80,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := r.site.AddWorkers("desk", 1)[0]
-	r.desks[next.ID] = "desk"
-	gone := r.staying[0]
-	r.staying = append(r.staying[1:], next)
-	if len(r.retired)%2 == 0 || r.troubles == spoken {
+	r.serviceOf[next.ID] = "desk"
+	gone := r.deskWorkers[0]
+	r.deskWorkers = append(r.deskWorkers[1:], next)
+	if len(r.retired)%2 == 0 || r.faults == baseFaults {
 		gone.Drain()
 	} else {
 		gone.Unlist()
@@ -99,7 +99,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.engines[draw.IntN(len(r.engines))].Restart()
+		r.otherWorkers[draw.IntN(len(r.otherWorkers))].Restart()
 	}
 }
 
@@ -109,7 +109,7 @@
 	r.mu.Lock()
 	r.config.Version++
 	bad := r.config
-	r.refused = append(r.refused, bad.Version)
+	r.invalidVersions = append(r.invalidVersions, bad.Version)
 	r.mu.Unlock()
 	bad.Routes = append([]platformtest.Route{}, bad.Routes...)
 	for i := range bad.Routes {
--- a/internal/soak/bounds_signals_test.go
+++ b/internal/soak/bounds_signals_test.go
@@ -13,32 +13,32 @@
 
 // A worker that announces draining stays listed as ready for drainingListed at least, and as long
 // again at most.
-const drainingListed = 4 * time.Second
+const minDrainingListed = 4 * time.Second
 
-// announced is a worker that announced draining, until the store was to list it so.
-type announced struct {
+// drainedWorker is a worker that announced draining, until the store was to list it so.
+type drainedWorker struct {
 	worker *platformtest.Worker
 	from   time.Time
 	to     time.Time
 }
 
-// drainUnlisted has one worker after the other announce draining in its answers, while the store
+// announceDraining has one worker after the other announce draining in its answers, while the store
 // lists it as ready.
-func (r *boundsRun) drainUnlisted(ctx context.Context, draw *rand.Rand) {
+func (r *boundsRun) announceDraining(ctx context.Context, draw *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		service := []string{"desk", "model"}[n%2]
 		w := r.addWorker(service)
-		sleep(ctx, listedBy)
-		a := announced{worker: w, from: time.Now()}
+		sleep(ctx, listingTime)
+		a := drainedWorker{worker: w, from: time.Now()}
 		r.mu.Lock()
-		r.draining[w.ID] = a.from
+		r.drainingSince[w.ID] = a.from
 		r.mu.Unlock()
 		w.AnnounceDraining(true)
-		sleep(ctx, drainingListed+time.Duration(draw.Int64N(int64(drainingListed))))
+		sleep(ctx, minDrainingListed+time.Duration(draw.Int64N(int64(minDrainingListed))))
 		a.to = time.Now()
 		w.Drain()
 		r.mu.Lock()
-		r.drained = append(r.drained, a)
+		r.drainedWorkers = append(r.drainedWorkers, a)
 		r.mu.Unlock()
 	}
 }
@@ -47,25 +47,25 @@
 	w := r.site.AddWorkers(service, 1)[0]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.desks[w.ID] = service
+	r.serviceOf[w.ID] = service
 	return w
 }
 
-// rejectWorkers has two workers of a desk and two of the models reject requests with backoffs that
+// rejectRequests has two workers of a desk and two of the models reject requests with backoffs that
 // come and go.
-func (r *boundsRun) rejectWorkers(ctx context.Context, draw *rand.Rand) {
+func (r *boundsRun) rejectRequests(ctx context.Context, draw *rand.Rand) {
 	for _, service := range []string{"desk", "desk", "model", "model"} {
 		r.rejecting = append(r.rejecting, r.addWorker(service))
 	}
 	for ctx.Err() == nil {
 		for _, w := range r.rejecting[:1+draw.IntN(len(r.rejecting))] {
-			w.RejectEvery(1+draw.IntN(maxRejected), between(draw, 500, 3000))
+			w.RejectEvery(1+draw.IntN(maxRejectInterval), randomDuration(draw, 500, 3000))
 		}
-		sleep(ctx, between(draw, 500, 5000))
+		sleep(ctx, randomDuration(draw, 500, 5000))
 		for _, w := range r.rejecting {
 			w.RejectEvery(0, 0)
 		}
-		sleep(ctx, between(draw, 200, 1500))
+		sleep(ctx, randomDuration(draw, 200, 1500))
 	}
 }
 
@@ -81,34 +81,34 @@
 		return
 	}
 	r.mu.Lock()
-	from, ok := r.draining[parts[1]]
+	from, ok := r.drainingSince[parts[1]]
 	r.mu.Unlock()
 	if ok && sent.After(from) {
 		r.signals.RecordDraining(parts[1], strconv.Itoa(node), time.Now())
 	}
 }
 
-// ignoredSignals finds the requests that reached workers which drain or are in backoff, from nodes
+// signalViolations finds the requests that reached workers which drain or are in backoff, from nodes
 // that were neither restarted nor frozen.
-func (r *boundsRun) ignoredSignals() (found []string) {
+func (r *boundsRun) signalViolations() (found []string) {
 	r.signals.Excused = func(node string, from, to time.Time) bool {
 		n, err := strconv.Atoi(node)
 		return err == nil && overlaps(r.restarted[n], from, to)
 	}
 	known, late := 0, 0
-	for _, a := range r.drained {
+	for _, a := range r.drainedWorkers {
 		known += r.signals.NodesNotified(a.worker.ID)
-		arrivals := within(a.worker.Arrivals(), a.from, a.to)
+		arrivals := arrivalsBetween(a.worker.Arrivals(), a.from, a.to)
 		late += len(arrivals)
-		found = append(found, prefixed("DRAINING", r.signals.DrainingViolations(a.worker.ID, arrivals))...)
+		found = append(found, withPrefix("DRAINING", r.signals.DrainingViolations(a.worker.ID, arrivals))...)
 	}
 	rejected := 0
 	for _, w := range r.rejecting {
 		// Calls of other nodes than the leader, for lists of what a model holds, carry no id.
 		arrivals := slices.DeleteFunc(w.Arrivals(), func(a platformtest.Arrival) bool { return a.ID == "" })
 		rejected += len(w.Rejections())
-		found = append(found, prefixed("BACKOFF", r.signals.BackoffViolations(w.Rejections(), arrivals))...)
+		found = append(found, withPrefix("BACKOFF", r.signals.BackoffViolations(w.Rejections(), arrivals))...)
 	}
-	r.t.Logf("%d workers drained unlisted, told %d nodes and got %d requests; %d requests were rejected with a backoff", len(r.drained), known, late, rejected)
+	r.t.Logf("%d workers drained unlisted, told %d nodes and got %d requests; %d requests were rejected with a backoff", len(r.drainedWorkers), known, late, rejected)
 	return found
 }
--- a/internal/soak/verdict_test.go
+++ b/internal/soak/bounds_verify_test.go
@@ -10,21 +10,23 @@
 )
 
 // probeName is the id of a probe, which tells the node it was sent to.
-func probeName(node int, number int64) string { return fmt.Sprintf("%s%d-%d", probeID, node, number) }
+func probeName(node int, number int64) string {
+	return fmt.Sprintf("%s%d-%d", probePrefix, node, number)
+}
 
-// undrained finds the probes that nodes in touch sent to workers which had left long
+// drainViolations finds the probes that nodes in touch sent to workers which had left long
 // before, with or without a word.
-func (r *boundsRun) undrained() []string {
+func (r *boundsRun) drainViolations() []string {
 	var found []string
 	for _, w := range r.retired {
 		for _, late := range w.LateRuns() {
 			var node int
 			var number int64
-			if n, _ := fmt.Sscanf(late.ID, probeID+"%d-%d", &node, &number); n < 2 || late.After <= ms(r.of.DrainMS) {
+			if n, _ := fmt.Sscanf(late.ID, probePrefix+"%d-%d", &node, &number); n < 2 || late.After <= ms(r.deployment.DrainMS) {
 				continue
 			}
-			calm := late.At.Add(-r.history.contact - ms(r.of.DrainMS))
-			if overlaps(r.history.disturbed[node], calm, late.At) || overlaps(r.history.store, calm, late.At) {
+			calm := late.At.Add(-r.history.contact - ms(r.deployment.DrainMS))
+			if overlaps(r.history.disturbed[node], calm, late.At) || overlaps(r.history.storeOutages, calm, late.At) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s node-%d DRAIN: sent a request to %s %v after the store had taken that it leaves", late.At.Format("05.000"), node+1, w.ID, late.After.Round(time.Millisecond)))
@@ -33,31 +35,31 @@
 	return found
 }
 
-// poisoned finds the requests that crash workers and are not refused by all nodes, and
+// poisonViolations finds the requests that crash workers and are not refused by all nodes, and
 // others that are. How many workers they crash late is held against the bound only in runs
 // of a given deployment.
-func (r *boundsRun) poisoned(timed bool) []string {
+func (r *boundsRun) poisonViolations(timed bool) []string {
 	found := r.poisons.settle()
-	late, told := r.poisons.late(r.history.contact, func(t poisonTry) bool {
+	late, told := r.poisons.lateCrashes(r.history.contact, func(t poisonAttempt) bool {
 		calm := t.at.Add(-r.history.contact)
-		return !overlaps(r.history.disturbed[t.node], calm, t.at) && !overlaps(r.history.store, calm, t.at)
+		return !overlaps(r.history.disturbed[t.node], calm, t.at) && !overlaps(r.history.storeOutages, calm, t.at)
 	})
 	r.t.Logf("requests that crash workers: %v", told)
 	if timed {
 		found = append(found, late...)
 	}
-	for _, id := range r.wronged {
+	for _, id := range r.wronglyRefused {
 		found = append(found, fmt.Sprintf("OTHERS: %s is refused as if it crashed workers", id))
 	}
 	return found
 }
 
-// lapsed counts the questions in the seconds after the store's return, when entries had
+// countAfterExpiry counts the questions in the seconds after the store's return, when entries had
 // lapsed, and those that were refused for want of a worker. The workers served all the
 // while.
-func (r *boundsRun) lapsed() (asked, refused int) {
-	for _, o := range r.seen {
-		if !overlaps(r.history.lapsed, o.sent, o.sent) || overlaps(r.history.disturbed[o.node], o.sent.Add(-r.history.contact), o.got) {
+func (r *boundsRun) countAfterExpiry() (asked, refused int) {
+	for _, o := range r.observations {
+		if !overlaps(r.history.expired, o.sent, o.sent) || overlaps(r.history.disturbed[o.node], o.sent.Add(-r.history.contact), o.got) {
 			continue
 		}
 		asked++
@@ -68,9 +70,9 @@
 	return asked, refused
 }
 
-// mostRefused is the part of the questions after the store's return, as a divisor, that
+// maxRefusedOneIn is the part of the questions after the store's return, as a divisor, that
 // may be refused.
-const mostRefused = 20
+const maxRefusedOneIn = 20
 
 // awaitNewest waits until every node serves the newest version.
 func (r *boundsRun) awaitNewest() {
@@ -86,13 +88,13 @@
 // mostHeld is how many answers may come more than slowEnd after their route's time, if
 // they are no more than a quarter of those on the route.
 const (
-	mostHeld = 7
-	slowEnd  = 500 * time.Millisecond
+	maxOverdue   = 7
+	overdueSlack = 500 * time.Millisecond
 )
 
-// judge holds all answers against the bounds; those that the machine's speed decides
+// verify holds all answers against the bounds; those that the machine's speed decides
 // only if timed.
-func (r *boundsRun) judge(timed bool) {
+func (r *boundsRun) verify(timed bool) {
 	lives := make(map[[2]int][]observation)
 	counts := make(map[string]int)
 	var found []string
@@ -100,55 +102,55 @@
 		found = append(found, fmt.Sprintf("%s node-%d %s", o.sent.Format("05.000"), o.node+1, text))
 	}
 	inTouch, refusedMany, askedMany, held, askedMute := 0, 0, 0, 0, 0
-	for _, o := range r.seen {
-		lives[[2]int{o.node, o.life}] = append(lives[[2]int{o.node, o.life}], o)
-		counts[fmt.Sprintf("%s %d", o.asks, o.status)]++
-		if why := r.history.late(o); timed && why != "" {
+	for _, o := range r.observations {
+		lives[[2]int{o.node, o.incarnation}] = append(lives[[2]int{o.node, o.incarnation}], o)
+		counts[fmt.Sprintf("%s %d", o.kind, o.status)]++
+		if why := r.history.checkStale(o); timed && why != "" {
 			report(o, why)
 		}
 		if !overlaps(r.history.disturbed[o.node], o.sent.Add(-r.history.contact), o.got) {
 			inTouch++
-			if o.asks == askMute {
+			if o.kind == probeMute {
 				askedMute++
-				if r.history.held(o) > slowEnd {
+				if r.history.overdue(o) > overdueSlack {
 					held++
 				}
 			}
-			if o.asks == askMany && o.status != http.StatusNotFound {
+			if o.kind == probeMany && o.status != http.StatusNotFound {
 				askedMany++
 				if o.status != http.StatusOK {
 					refusedMany++
 				}
 			}
 		}
-		for _, v := range r.refused {
-			if (o.asks == askMark || o.asks == askKey) && o.about == v && o.status == http.StatusOK {
+		for _, v := range r.invalidVersions {
+			if (o.kind == probeMark || o.kind == probeKey) && o.version == v && o.status == http.StatusOK {
 				report(o, fmt.Sprintf("INVALID: version %d was served", v))
 			}
 		}
 	}
 	for life, list := range lives {
-		for _, why := range r.history.backward(list) {
+		for _, why := range r.history.findRollbacks(list) {
 			found = append(found, fmt.Sprintf("node-%d %s", life[0]+1, why))
 		}
 	}
 	if timed {
-		found = append(found, r.undrained()...)
+		found = append(found, r.drainViolations()...)
 	}
-	found = append(found, r.poisoned(timed)...)
-	found = append(found, r.overLimit()...)
-	found = append(found, r.ignoredSignals()...)
-	afterReturn, refusedThen := r.lapsed()
-	if timed && refusedThen*mostRefused > afterReturn {
+	found = append(found, r.poisonViolations(timed)...)
+	found = append(found, r.limitViolations()...)
+	found = append(found, r.signalViolations()...)
+	afterReturn, refusedThen := r.countAfterExpiry()
+	if timed && refusedThen*maxRefusedOneIn > afterReturn {
 		found = append(found, fmt.Sprintf("LAPSED: %d of %d questions after the store's return were refused, though the workers served", refusedThen, afterReturn))
 	}
-	if timed && held > mostHeld && held > askedMute/4 {
-		found = append(found, fmt.Sprintf("HELD: %d of %d requests had no answer %v after their route's time", held, askedMute, slowEnd))
+	if timed && held > maxOverdue && held > askedMute/4 {
+		found = append(found, fmt.Sprintf("HELD: %d of %d requests had no answer %v after their route's time", held, askedMute, overdueSlack))
 	}
 	if timed && askedMany > 20 && refusedMany > askedMany/4 {
 		found = append(found, fmt.Sprintf("ADDED: %d of %d requests on added routes were not served", refusedMany, askedMany))
 	}
-	r.t.Logf("%d versions, %d must be refused, %d workers replaced, %d answers, %d from nodes in touch, %d of %d held, %d of %d refused after lapses; %v", len(r.history.versions), len(r.refused), len(r.retired), len(r.seen), inTouch, held, askedMute, refusedThen, afterReturn, counts)
+	r.t.Logf("%d versions, %d must be refused, %d workers replaced, %d answers, %d from nodes in touch, %d of %d held, %d of %d refused after lapses; %v", len(r.history.versions), len(r.invalidVersions), len(r.retired), len(r.observations), inTouch, held, askedMute, refusedThen, afterReturn, counts)
 	r.logDelays()
 	if len(found) > 0 {
 		sort.Strings(found)
@@ -179,16 +181,16 @@
 func (r *boundsRun) logDelays() {
 	var delays []time.Duration
 	first := make(map[[2]uint64]bool)
-	sort.Slice(r.seen, func(i, j int) bool { return r.seen[i].got.Before(r.seen[j].got) })
-	for _, o := range r.seen {
-		i := r.history.index(o.about)
-		key := [2]uint64{uint64(o.node), o.about}
-		if i == 0 || o.asks != askMark || o.status != http.StatusOK || first[key] {
+	sort.Slice(r.observations, func(i, j int) bool { return r.observations[i].got.Before(r.observations[j].got) })
+	for _, o := range r.observations {
+		i := r.history.index(o.version)
+		key := [2]uint64{uint64(o.node), o.version}
+		if i == 0 || o.kind != probeMark || o.status != http.StatusOK || first[key] {
 			continue
 		}
 		first[key] = true
 		calm := r.history.versions[i].acknowledged.Add(-r.history.contact)
-		if overlaps(r.history.disturbed[o.node], calm, o.got) || overlaps(r.history.store, calm, o.got) {
+		if overlaps(r.history.disturbed[o.node], calm, o.got) || overlaps(r.history.storeOutages, calm, o.got) {
 			continue
 		}
 		delays = append(delays, o.got.Sub(r.history.versions[i].acknowledged))
--- a/internal/soak/trouble_test.go
+++ b/internal/soak/faults_test.go
@@ -13,33 +13,33 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// probeID begins the ids of the requests that only show which configuration a
+// probePrefix begins the ids of the requests that only show which configuration a
 // node has in force.
-const probeID = "probe-"
+const probePrefix = "probe-"
 
 const (
-	shortestGap   = 150
-	longestGap    = 600 // milliseconds between troubles
-	shortestFault = 300
-	longestFault  = 2500 // milliseconds that a trouble lasts
+	minGapMS   = 150
+	maxGapMS   = 600 // milliseconds between troubles
+	minFaultMS = 300
+	maxFaultMS = 2500 // milliseconds that a trouble lasts
 )
 
-// trouble brings troubles in series, overlapping, for a while, and waits until
+// injectFaults brings troubles in series, overlapping, for a while, and waits until
 // all of them have ended.
-func (r *run) trouble(lasts time.Duration) {
+func (r *run) injectFaults(lasts time.Duration) {
 	kinds := []func(time.Duration){
-		r.kill, r.pause, r.terminate, r.hangUp, r.harmFront, r.harmPeers, r.harmWorker, r.harmStore,
-		r.storeDown, r.badAnswers, r.crashWorker, r.drainWorker, r.changeConfig, r.changeConfig,
+		r.kill, r.pause, r.terminate, r.hangup, r.disruptFront, r.disruptPeers, r.disruptWorker, r.disruptStore,
+		r.storeDown, r.injectWorkerFaults, r.crashWorker, r.drainWorker, r.changeConfig, r.changeConfig,
 	}
 	end := time.Now().Add(lasts)
 	var open sync.WaitGroup
 	for time.Now().Before(end) {
 		do := kinds[r.rand.IntN(len(kinds))]
-		length := r.between(shortestFault, longestFault)
-		gap := r.between(shortestGap, longestGap)
+		length := r.randomDuration(minFaultMS, maxFaultMS)
+		gap := r.randomDuration(minGapMS, maxGapMS)
 		open.Add(1)
-		r.start(&open, do, length)
-		r.laterTrouble(&open)
+		r.startFault(&open, do, length)
+		r.injectLaterFaults(&open)
 		time.Sleep(gap)
 	}
 	open.Wait()
@@ -48,39 +48,39 @@
 const (
 	// laterSeed parts the draws of the troubles that came later from the others.
 	laterSeed = 13
-	// laterShare is how many troubles there are for one of those that came later.
-	laterShare = 4
+	// laterOdds is how many troubles there are for one of those that came later.
+	laterOdds = 4
 )
 
-// laterTrouble brings, now and then, one of the troubles that came later, by draws of their
+// injectLaterFaults brings, now and then, one of the troubles that came later, by draws of their
 // own: those of the others are the same with and without.
-func (r *run) laterTrouble(open *sync.WaitGroup) {
-	if r.of >= placed {
-		r.restoreNowAndThen()
+func (r *run) injectLaterFaults(open *sync.WaitGroup) {
+	if r.faults >= evacuationFaults {
+		r.maybeRestoreStore()
 	}
-	if r.of >= limited {
-		r.limitNowAndThen()
+	if r.faults >= rateLimitFaults {
+		r.maybeAdvertiseLimit()
 	}
-	if r.of >= cold {
-		r.coolNowAndThen()
+	if r.faults >= coldFaults {
+		r.maybeTurnCold()
 	}
-	if r.of >= announcing {
-		r.rejectNowAndThen()
+	if r.faults >= signalFaults {
+		r.maybeRejectRequests()
 	}
-	if r.of < newest || r.later.IntN(laterShare) > 0 {
+	if r.faults < restartFaults || r.laterRand.IntN(laterOdds) > 0 {
 		return
 	}
-	kinds := []func(time.Duration){r.rebornWorker, r.unlistWorker}
-	do := kinds[r.later.IntN(len(kinds))]
+	kinds := []func(time.Duration){r.restartWorker, r.unlistWorker}
+	do := kinds[r.laterRand.IntN(len(kinds))]
 	open.Add(1)
-	r.start(open, do, between(r.later, shortestFault, longestFault))
+	r.startFault(open, do, randomDuration(r.laterRand, minFaultMS, maxFaultMS))
 }
 
-// start begins a trouble; what it draws by chance is drawn before it returns.
-func (r *run) start(open *sync.WaitGroup, do func(time.Duration), length time.Duration) {
-	r.afterwards = nil
+// startFault begins a trouble; what it draws by chance is drawn before it returns.
+func (r *run) startFault(open *sync.WaitGroup, do func(time.Duration), length time.Duration) {
+	r.endFault = nil
 	do(length)
-	later := r.afterwards
+	later := r.endFault
 	go func() {
 		defer open.Done()
 		if later != nil {
@@ -89,26 +89,26 @@
 	}()
 }
 
-func (r *run) between(low, high int) time.Duration { return between(r.rand, low, high) }
+func (r *run) randomDuration(low, high int) time.Duration { return randomDuration(r.rand, low, high) }
 
-func between(draw *rand.Rand, low, high int) time.Duration {
+func randomDuration(draw *rand.Rand, low, high int) time.Duration {
 	return time.Duration(low+draw.IntN(high-low)) * time.Millisecond
 }
 
-func (r *run) anyNode() *process { return r.nodes[r.rand.IntN(len(r.nodes))] }
+func (r *run) randomNode() *process { return r.nodes[r.rand.IntN(len(r.nodes))] }
 
-func (r *run) anyWorker() *platformtest.Worker { return r.drawWorker(r.rand) }
+func (r *run) randomWorker() *platformtest.Worker { return r.pickWorker(r.rand) }
 
-func (r *run) drawWorker(draw *rand.Rand) *platformtest.Worker {
+func (r *run) pickWorker(draw *rand.Rand) *platformtest.Worker {
 	list := r.workers[[]string{"desk", "model", "encode", "rank"}[draw.IntN(4)]]
 	return list[draw.IntN(len(list))]
 }
 
-// unplannedFor has a fault begin now, and end after a while.
-func (r *run) unplannedFor(length time.Duration, begin, end func()) {
+// startUnplanned has a fault begin now, and end after a while.
+func (r *run) startUnplanned(length time.Duration, begin, end func()) {
 	r.beginUnplanned()
 	begin()
-	r.afterwards = func() {
+	r.endFault = func() {
 		time.Sleep(length)
 		end()
 		r.endUnplanned()
@@ -116,73 +116,73 @@
 }
 
 func (r *run) kill(length time.Duration) {
-	p := r.anyNode()
-	if !p.take() {
+	p := r.randomNode()
+	if !p.reserve() {
 		return
 	}
-	r.unplannedFor(length, func() { p.end(syscall.SIGKILL) }, func() { p.start(); p.give() })
+	r.startUnplanned(length, func() { p.end(syscall.SIGKILL) }, func() { p.start(); p.release() })
 }
 
 func (r *run) pause(length time.Duration) {
-	p := r.anyNode()
-	if !p.take() {
+	p := r.randomNode()
+	if !p.reserve() {
 		return
 	}
-	r.unplannedFor(length, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT); p.give() })
+	r.startUnplanned(length, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT); p.release() })
 }
 
 // terminate is planned work.
 func (r *run) terminate(time.Duration) {
-	p := r.anyNode()
-	if !p.take() {
+	p := r.randomNode()
+	if !p.reserve() {
 		return
 	}
-	r.afterwards = func() { r.stop(p); p.start(); p.give() }
+	r.endFault = func() { r.stop(p); p.start(); p.release() }
 }
 
 // stop stops a process as planned.
 func (r *run) stop(p *process) {
 	if !p.terminate() {
-		r.killedLate.Add(1)
+		r.overdueStops.Add(1)
 	}
 }
 
-// hangUp is planned work.
-func (r *run) hangUp(time.Duration) { r.anyNode().signal(syscall.SIGHUP) }
+// hangup is planned work.
+func (r *run) hangup(time.Duration) { r.randomNode().signal(syscall.SIGHUP) }
 
-func (r *run) harm(x *proxy, length time.Duration) {
+func (r *run) disrupt(x *proxy, length time.Duration) {
 	m := modes[r.rand.IntN(len(modes))]
-	r.unplannedFor(length, func() { x.set(m) }, func() { x.set(pass) })
+	r.startUnplanned(length, func() { x.set(m) }, func() { x.set(pass) })
 }
 
-func (r *run) harmFront(length time.Duration) {
-	r.harm(r.proxies.before(r.anyNode().Front), length)
+func (r *run) disruptFront(length time.Duration) {
+	r.disrupt(r.proxies.proxyFor(r.randomNode().Front), length)
 }
 
-func (r *run) harmPeers(length time.Duration) {
-	r.harm(r.proxies.before(r.anyNode().Peer), length)
+func (r *run) disruptPeers(length time.Duration) {
+	r.disrupt(r.proxies.proxyFor(r.randomNode().Peer), length)
 }
 
-func (r *run) harmWorker(length time.Duration) {
-	r.harm(r.proxies.before(r.anyWorker().Address()), length)
+func (r *run) disruptWorker(length time.Duration) {
+	r.disrupt(r.proxies.proxyFor(r.randomWorker().Address()), length)
 }
 
-func (r *run) harmStore(length time.Duration) {
-	r.harm(r.proxies.before(r.site.StoreAddress()), length)
-	r.noteStoreTrouble()
+func (r *run) disruptStore(length time.Duration) {
+	r.disrupt(r.proxies.proxyFor(r.site.StoreAddress()), length)
+	r.recordStoreFault()
 }
 
 func (r *run) storeDown(length time.Duration) {
-	r.unplannedFor(length, func() { r.site.Store.SetDown(true) }, func() { r.site.Store.SetDown(false) })
-	r.noteStoreTrouble()
+	r.startUnplanned(length, func() { r.site.Store.SetDown(true) }, func() { r.site.Store.SetDown(false) })
+	r.recordStoreFault()
 }
 
-// noteStoreTrouble has the trouble that is being started count as one of the store.
-func (r *run) noteStoreTrouble() {
-	from, end := time.Now(), r.afterwards
-	r.afterwards = func() {
+// recordStoreFault has the trouble that is being started count as one of the store.
+func (r *run) recordStoreFault() {
+	from, end := time.Now(), r.endFault
+	r.endFault = func() {
 		end()
-		r.storeTroubles.add(from, time.Now())
+		r.storeFaults.add(from, time.Now())
 	}
 }
 
@@ -204,42 +204,42 @@
 	return overlaps(s.list, from, to)
 }
 
-// badAnswers has a worker spoil its next answers.
-func (r *run) badAnswers(length time.Duration) {
-	w := r.anyWorker()
+// injectWorkerFaults has a worker spoil its next answers.
+func (r *run) injectWorkerFaults(length time.Duration) {
+	w := r.randomWorker()
 	faults := []platformtest.Fault{
 		platformtest.Reset, platformtest.WrongRequestID, platformtest.MissingStamp, platformtest.Shed,
 		platformtest.Fail, platformtest.TruncateBody, platformtest.TruncateEvent, platformtest.NoResponse,
 	}
 	f := faults[r.rand.IntN(len(faults))]
-	r.unplannedFor(length, func() { w.InjectFaults(f, f, f) }, w.ClearFaults)
+	r.startUnplanned(length, func() { w.InjectFaults(f, f, f) }, w.ClearFaults)
 }
 
 // crashWorker crashes a worker for good; another one takes its place, and later its entry
 // goes. In alternating runs every second one begins anew under its id.
 func (r *run) crashWorker(length time.Duration) {
-	w := r.anyWorker()
+	w := r.randomWorker()
 	r.crashes++
-	if r.of == alternating && r.crashes%2 == 0 && !r.hasLeft(w) {
-		r.unplannedFor(length, w.Crash, w.Restart)
+	if r.faults == alternatingFaults && r.crashes%2 == 0 && !r.hasLeft(w) {
+		r.startUnplanned(length, w.Crash, w.Restart)
 		return
 	}
 	r.workers[w.Service] = append(r.workers[w.Service], r.site.AddWorkers(w.Service, 1)...)
-	r.unplannedFor(length, w.Crash, w.RemoveEntry)
+	r.startUnplanned(length, w.Crash, w.RemoveEntry)
 }
 
-// rebornWorker crashes a worker, which begins anew under its id.
-func (r *run) rebornWorker(length time.Duration) {
-	w := r.drawWorker(r.later)
+// restartWorker crashes a worker, which begins anew under its id.
+func (r *run) restartWorker(length time.Duration) {
+	w := r.pickWorker(r.laterRand)
 	if !r.hasLeft(w) {
-		r.unplannedFor(length, w.Crash, w.RestartUnlessLeft)
+		r.startUnplanned(length, w.Crash, w.RestartUnlessLeft)
 	}
 }
 
 // unlistWorker is planned work: a worker leaves without a word, and another one takes its
 // place. Its entry goes, and it serves on.
 func (r *run) unlistWorker(time.Duration) {
-	if w := r.drawWorker(r.later); !r.hasLeft(w) {
+	if w := r.pickWorker(r.laterRand); !r.hasLeft(w) {
 		r.retire(w, w.Unlist)
 	}
 }
@@ -259,11 +259,11 @@
 // drainWorker is planned work: another worker takes the place of one that says that it
 // leaves. In alternating runs the entry of every second one goes, and it serves on.
 func (r *run) drainWorker(time.Duration) {
-	w := r.anyWorker()
+	w := r.randomWorker()
 	if r.hasLeft(w) {
 		return
 	}
-	if r.of == alternating && len(r.retired)%2 == 1 {
+	if r.faults == alternatingFaults && len(r.retired)%2 == 1 {
 		r.retire(w, w.Unlist)
 		return
 	}
@@ -280,8 +280,8 @@
 	previous := r.config.Version
 	r.config = next
 	r.site.Publish(next)
-	p := r.anyNode()
-	r.afterwards = func() { r.watchVersions(p, previous, next.Version) }
+	p := r.randomNode()
+	r.endFault = func() { r.watchVersions(p, previous, next.Version) }
 }
 
 // watchVersions asks a node for the routes of two versions in a row for a while:
@@ -289,15 +289,15 @@
 // life.
 func (r *run) watchVersions(p *process, older, newer uint64) {
 	const questions = 20
-	life, seen := p.lifeNumber(), false
+	life, seen := p.currentIncarnation(), false
 	for range questions {
 		newerStatus := r.probe(p, newer)
 		olderStatus := r.probe(p, older)
-		if p.lifeNumber() != life {
+		if p.currentIncarnation() != life {
 			return
 		}
 		if seen && olderStatus == http.StatusOK {
-			r.failLater(fmt.Sprintf("%s served version %d after version %d", p.name, older, newer))
+			r.failAsync(fmt.Sprintf("%s served version %d after version %d", p.name, older, newer))
 			return
 		}
 		seen = seen || newerStatus == http.StatusOK
@@ -308,7 +308,7 @@
 func (r *run) probe(p *process, version uint64) int {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	q := platformtest.Request{ID: fmt.Sprintf("%s%d", probeID, r.probes.Add(1)), Path: versionPath(version), Key: apiKey, Deadline: time.Second}
+	q := platformtest.Request{ID: fmt.Sprintf("%s%d", probePrefix, r.probes.Add(1)), Path: versionPath(version), Key: apiKey, Deadline: time.Second}
 	return platformtest.Do(ctx, p.Front, q).Status
 }
 
@@ -330,9 +330,9 @@
 	}
 }
 
-// rollAll stops and starts all nodes in turn while clients send and nothing
+// rollingRestart stops and starts all nodes in turn while clients send and nothing
 // else is wrong.
-func (r *run) rollAll() {
+func (r *run) rollingRestart() {
 	for _, p := range r.nodes {
 		r.stop(p)
 		p.start()
--- a/internal/soak/versions_test.go
+++ b/internal/soak/history_test.go
@@ -26,40 +26,40 @@
 	version uint64
 	// service serves the route that moves.
 	service string
-	// many tells that the many further routes are there.
-	many bool
+	// hasManyRoutes tells that the many further routes are there.
+	hasManyRoutes bool
 	// timeout is that of the route whose worker never answers.
 	timeout time.Duration
 	// sent is when the write began, acknowledged when the store had it.
 	sent, acknowledged time.Time
 }
 
-// question is what a probe asks.
-type question int
+// probeKind is what a probe asks.
+type probeKind int
 
 const (
-	// askMark asks for the route that only one version has.
-	askMark question = iota
-	// askKey uses the key that only one version has.
-	askKey
-	// askMoved asks for the route that moves between services.
-	askMoved
-	// askMany asks for one of the many further routes.
-	askMany
-	// askMute asks for the route whose worker never answers.
-	askMute
+	// probeMark asks for the route that only one version has.
+	probeMark probeKind = iota
+	// probeKey uses the key that only one version has.
+	probeKey
+	// probeMoved asks for the route that moves between services.
+	probeMoved
+	// probeMany asks for one of the many further routes.
+	probeMany
+	// probeMute asks for the route whose worker never answers.
+	probeMute
 )
 
-func (q question) String() string {
+func (q probeKind) String() string {
 	return [...]string{"mark", "key", "moved route", "further route", "mute route"}[q]
 }
 
 // observation is one probe's answer.
 type observation struct {
-	node, life int
-	asks       question
-	// about is the version whose mark or key was used.
-	about     uint64
+	node, incarnation int
+	kind              probeKind
+	// version is the version whose mark or key was used.
+	version   uint64
 	sent, got time.Time
 	status    int
 	// service is that of the worker which answered.
@@ -75,48 +75,48 @@
 	versions []published
 	// disturbed lists what was wrong with each node, store what was wrong with
 	// the store for all, partly what was wrong with it for some nodes only.
-	disturbed     map[int][]span
-	store, partly []span
-	// lapsed lists the seconds after the store's return in which workers whose entries
+	disturbed                    map[int][]span
+	storeOutages, partialOutages []span
+	// expired lists the seconds after the store's return in which workers whose entries
 	// had lapsed listed themselves again.
-	lapsed []span
+	expired []span
 }
 
-// shows reports whether an answer is one that a version gives. An answer that
+// matches reports whether an answer is one that a version gives. An answer that
 // tells nothing of the configuration, such as a refusal for want of a worker, is
 // one that all versions give.
-func (o observation) shows(v published) bool {
+func (o observation) matches(v published) bool {
 	switch {
-	case o.asks == askMark && o.status == http.StatusOK, o.asks == askKey && o.status == http.StatusOK:
-		return v.version == o.about
-	case o.asks == askMark && o.status == http.StatusNotFound, o.asks == askKey && o.status == http.StatusUnauthorized:
-		return v.version != o.about
-	case o.asks == askMoved && o.status == http.StatusOK:
+	case o.kind == probeMark && o.status == http.StatusOK, o.kind == probeKey && o.status == http.StatusOK:
+		return v.version == o.version
+	case o.kind == probeMark && o.status == http.StatusNotFound, o.kind == probeKey && o.status == http.StatusUnauthorized:
+		return v.version != o.version
+	case o.kind == probeMoved && o.status == http.StatusOK:
 		return v.service == o.service
-	case o.asks == askMany && o.status == http.StatusOK:
-		return v.many
-	case o.asks == askMany && o.status == http.StatusNotFound:
-		return !v.many
+	case o.kind == probeMany && o.status == http.StatusOK:
+		return v.hasManyRoutes
+	case o.kind == probeMany && o.status == http.StatusNotFound:
+		return !v.hasManyRoutes
 	case o.status == http.StatusUnauthorized, o.status == http.StatusForbidden, o.status == http.StatusNotFound:
 		return false
 	}
 	return true
 }
 
-// any reports whether one of the versions from an index on that were sent before
+// anyMatches reports whether one of the versions from an index on that were sent before
 // a moment gives the answer.
-func (h *history) any(o observation, from int) bool {
+func (h *history) anyMatches(o observation, from int) bool {
 	for i := from; i < len(h.versions) && h.versions[i].sent.Before(o.got); i++ {
-		if o.shows(h.versions[i]) {
+		if o.matches(h.versions[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// inForce is the index of the oldest version that may still be in force at a
+// oldestInForce is the index of the oldest version that may still be in force at a
 // moment, when a change takes a time.
-func (h *history) inForce(at time.Time, apply time.Duration) int {
+func (h *history) oldestInForce(at time.Time, apply time.Duration) int {
 	oldest := 0
 	for i, v := range h.versions {
 		if !v.acknowledged.IsZero() && v.acknowledged.Add(apply).Before(at) {
@@ -135,34 +135,34 @@
 	return false
 }
 
-// late judges one answer by the bound of changes: it returns why the answer is
+// checkStale judges one answer by the bound of changes: it returns why the answer is
 // out of it, or "".
-func (h *history) late(o observation) string {
+func (h *history) checkStale(o observation) string {
 	calm := o.sent.Add(-h.contact)
-	if overlaps(h.disturbed[o.node], calm, o.got) || overlaps(h.store, calm, o.got) {
+	if overlaps(h.disturbed[o.node], calm, o.got) || overlaps(h.storeOutages, calm, o.got) {
 		return ""
 	}
 	apply := h.apply
-	if overlaps(h.partly, o.sent.Add(-h.contact-h.skew), o.got) {
+	if overlaps(h.partialOutages, o.sent.Add(-h.contact-h.skew), o.got) {
 		apply += h.skew
 	}
-	oldest := h.inForce(o.sent, apply)
-	if h.any(o, oldest) {
+	oldest := h.oldestInForce(o.sent, apply)
+	if h.anyMatches(o, oldest) {
 		return ""
 	}
 	behind := "unknown"
 	for i := oldest - 1; i >= 0; i-- {
-		if o.shows(h.versions[i]) {
+		if o.matches(h.versions[i]) {
 			behind = fmt.Sprintf("%d, replaced %v before", h.versions[i].version, o.sent.Sub(h.versions[i+1].acknowledged).Round(time.Millisecond))
 			break
 		}
 	}
-	return fmt.Sprintf("LATE: %s of %d answered %d %s; it is that of version %s, the oldest allowed is %d", o.asks, o.about, o.status, o.service, behind, h.versions[oldest].version)
+	return fmt.Sprintf("LATE: %s of %d answered %d %s; it is that of version %s, the oldest allowed is %d", o.kind, o.version, o.status, o.service, behind, h.versions[oldest].version)
 }
 
-// backward finds answers by which a node went back within one life. The list is of
+// findRollbacks finds answers by which a node went back within one life. The list is of
 // one node's life.
-func (h *history) backward(list []observation) []string {
+func (h *history) findRollbacks(list []observation) []string {
 	sort.Slice(list, func(i, j int) bool { return list[i].got.Before(list[j].got) })
 	// shown are the moments at which the newest version that was shown changed.
 	type shown struct {
@@ -173,24 +173,24 @@
 	var steps []shown
 	for _, o := range list {
 		before := sort.Search(len(steps), func(i int) bool { return !steps[i].got.Add(h.rollback).Before(o.sent) })
-		if before > 0 && !h.any(o, steps[before-1].newest) {
-			found = append(found, fmt.Sprintf("BACK: %s of %d answered %d %s after version %d had been served", o.asks, o.about, o.status, o.service, h.versions[steps[before-1].newest].version))
+		if before > 0 && !h.anyMatches(o, steps[before-1].newest) {
+			found = append(found, fmt.Sprintf("BACK: %s of %d answered %d %s after version %d had been served", o.kind, o.version, o.status, o.service, h.versions[steps[before-1].newest].version))
 		}
-		if o.status != http.StatusOK || o.asks != askMark && o.asks != askKey {
+		if o.status != http.StatusOK || o.kind != probeMark && o.kind != probeKey {
 			continue
 		}
-		if i := h.index(o.about); len(steps) == 0 || i > steps[len(steps)-1].newest {
+		if i := h.index(o.version); len(steps) == 0 || i > steps[len(steps)-1].newest {
 			steps = append(steps, shown{got: o.got, newest: i})
 		}
 	}
 	return found
 }
 
-// held is how long after the longest time that the route could have an answer came,
+// overdue is how long after the longest time that the route could have an answer came,
 // or less than 0.
-func (h *history) held(o observation) time.Duration {
+func (h *history) overdue(o observation) time.Duration {
 	longest := time.Duration(0)
-	for i := h.inForce(o.sent, h.apply+h.skew); i < len(h.versions) && h.versions[i].sent.Before(o.got); i++ {
+	for i := h.oldestInForce(o.sent, h.apply+h.skew); i < len(h.versions) && h.versions[i].sent.Before(o.got); i++ {
 		longest = max(longest, h.versions[i].timeout)
 	}
 	return o.got.Sub(o.sent) - longest
--- a/internal/soak/leaving_test.go
+++ b/internal/soak/leaving_test.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// listedBy is how long nodes take to list a new worker.
-	listedBy = 2 * time.Second
-	// askSurvivors is how long the nodes that stay are asked, and askEvery how often.
-	askSurvivors = 6 * time.Second
-	askEvery     = 40 * time.Millisecond
-	// leaveBound is how long after a worker has left a node to which nothing was done
+	// listingTime is how long nodes take to list a new worker.
+	listingTime = 2 * time.Second
+	// queryTime is how long the nodes that stay are asked, and askEvery how often.
+	queryTime     = 6 * time.Second
+	queryInterval = 40 * time.Millisecond
+	// strictDrainTime is how long after a worker has left a node to which nothing was done
 	// may send it requests. It holds in runs by hand; one whose verdict must not hang on
 	// the machine's speed allows drained.
-	leaveBound = 3 * time.Second
-	// leavingID begins the ids of the questions that are sent to such nodes.
-	leavingID = probeID + "leaving-"
+	strictDrainTime = 3 * time.Second
+	// leavingPrefix begins the ids of the questions that are sent to such nodes.
+	leavingPrefix = probePrefix + "leaving-"
 )
 
-// readers splits the nodes into those that read the store for the others and the
+// splitReaders splits the nodes into those that read the store for the others and the
 // others. Where all read it, the last one stays.
-func (r *run) readers() (readers, others []*process) {
+func (r *run) splitReaders() (readers, others []*process) {
 	var names []string
 	for _, p := range r.nodes {
 		names = append(names, p.Node)
@@ -48,42 +48,42 @@
 	return readers, others
 }
 
-// leaveWithReadersLost freezes the nodes that read the store for the others, and has two
+// runLeavePhase freezes the nodes that read the store for the others, and has two
 // workers leave at that moment: one says so, the entry of the other one goes. Both serve
 // on. The nodes that stay are asked all the while; check holds what reached the workers
 // against the bound.
-func (r *run) leaveWithReadersLost() {
-	lost, stay := r.readers()
+func (r *run) runLeavePhase() {
+	lost, stay := r.splitReaders()
 	// None of these has crashed or left before.
 	fresh := r.site.AddWorkers("desk", 4)
 	r.workers["desk"] = append(r.workers["desk"], fresh...)
 	r.leaving = fresh[:2]
-	time.Sleep(listedBy)
+	time.Sleep(listingTime)
 	r.beginUnplanned()
 	for _, p := range lost {
 		p.signal(syscall.SIGSTOP)
 	}
-	time.Sleep(leaveAfter)
+	time.Sleep(leaveDelay)
 	r.leaving[0].Drain()
 	r.leaving[1].Unlist()
-	r.askAll(stay)
+	r.queryAll(stay)
 	for _, p := range lost {
 		p.signal(syscall.SIGCONT)
 	}
 	r.endUnplanned()
 }
 
-// askAll asks nodes for a while.
-func (r *run) askAll(nodes []*process) {
-	ctx, cancel := context.WithTimeout(context.Background(), askSurvivors)
+// queryAll asks nodes for a while.
+func (r *run) queryAll(nodes []*process) {
+	ctx, cancel := context.WithTimeout(context.Background(), queryTime)
 	defer cancel()
 	var asking sync.WaitGroup
 	for _, p := range nodes {
 		asking.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				id := fmt.Sprintf("%s%s-%d", leavingID, p.name, n)
+				id := fmt.Sprintf("%s%s-%d", leavingPrefix, p.name, n)
 				platformtest.Do(ctx, p.Front, platformtest.Request{ID: id, Path: "/read/x", Key: apiKey, Deadline: time.Second})
-				sleep(ctx, askEvery)
+				sleep(ctx, queryInterval)
 			}
 		})
 	}
@@ -93,14 +93,14 @@
 // checkLeaving holds that the nodes to which nothing was done sent nothing to a worker
 // long after it had left, and that they sent anything to the others meanwhile.
 func (r *run) checkLeaving() {
-	bound := drained
+	bound := maxDrainTime
 	if *seeds > 1 {
-		bound = leaveBound
+		bound = strictDrainTime
 	}
 	last := time.Duration(0)
 	for _, w := range r.leaving {
 		for _, late := range w.LateRuns() {
-			if !strings.HasPrefix(late.ID, leavingID) {
+			if !strings.HasPrefix(late.ID, leavingPrefix) {
 				continue
 			}
 			last = max(last, late.After)
@@ -112,7 +112,7 @@
 	asked := 0
 	for _, w := range r.workers["desk"] {
 		for id := range w.RunCounts() {
-			if strings.HasPrefix(id, leavingID) {
+			if strings.HasPrefix(id, leavingPrefix) {
 				asked++
 			}
 		}
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -15,20 +15,20 @@
 const (
 	// limitsSeed parts the draws of limits from the others, limitShare is how many troubles
 	// there are for one worker that names a limit.
-	limitsSeed = 19
-	limitShare = 3
-	// limitKept is how long workers name their limits in the end with nothing else wrong,
+	limitsSeed    = 19
+	rateLimitOdds = 3
+	// limitPhaseTime is how long workers name their limits in the end with nothing else wrong,
 	// and again while a node is paused and another one killed.
-	limitKept = intaketest.GracePeriod + 4*time.Second
-	// limitTold is how long it may take until all nodes are told.
-	limitTold = 1500 * time.Millisecond
+	limitPhaseTime = intaketest.GracePeriod + 4*time.Second
+	// limitPropagation is how long it may take until all nodes are told.
+	limitPropagation = 1500 * time.Millisecond
 )
 
-// namedLimits are what workers name, in requests a second.
-var namedLimits = []float64{0, 0.5, 1, 1.5, 3, 5}
+// rateLimits are what workers name, in requests a second.
+var rateLimits = []float64{0, 0.5, 1, 1.5, 3, 5}
 
-// limitedWorker is a worker that named a limit in the last phase.
-type limitedWorker struct {
+// rateLimitedWorker is a worker that named a limit in the last phase.
+type rateLimitedWorker struct {
 	worker    *platformtest.Worker
 	perSecond float64
 	from, to  time.Time
@@ -41,57 +41,57 @@
 	from, to time.Time
 }
 
-func (r *run) drawLimit() float64 { return namedLimits[r.limits.IntN(len(namedLimits))] }
+func (r *run) randomLimit() float64 { return rateLimits[r.limitRand.IntN(len(rateLimits))] }
 
-func nameLimit(w *platformtest.Worker, perSecond float64) {
+func advertiseLimit(w *platformtest.Worker, perSecond float64) {
 	w.AnnounceRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 }
 
-// limitNowAndThen has, now and then, a worker name a limit for a while, another one after a
+// maybeAdvertiseLimit has, now and then, a worker name a limit for a while, another one after a
 // part of it, or one that comes and goes.
-func (r *run) limitNowAndThen() {
-	if r.limits.IntN(limitShare) > 0 {
+func (r *run) maybeAdvertiseLimit() {
+	if r.limitRand.IntN(rateLimitOdds) > 0 {
 		return
 	}
-	w := r.drawWorker(r.limits)
-	first, second := r.drawLimit(), r.drawLimit()
-	length := between(r.limits, shortestFault, longestFault)
-	flaps := r.limits.IntN(2) == 0
-	nameLimit(w, first)
+	w := r.pickWorker(r.limitRand)
+	first, second := r.randomLimit(), r.randomLimit()
+	length := randomDuration(r.limitRand, minFaultMS, maxFaultMS)
+	flaps := r.limitRand.IntN(2) == 0
+	advertiseLimit(w, first)
 	time.AfterFunc(length/2, func() {
 		if flaps {
 			w.AnnounceRateLimit("")
 			time.Sleep(length / 8)
 		}
-		nameLimit(w, second)
+		advertiseLimit(w, second)
 	})
 	time.AfterFunc(length, func() { w.AnnounceRateLimit("") })
 }
 
-// limitWorkers has two of the workers of each service, or all of one service, name limits,
+// runLimitPhase has two of the workers of each service, or all of one service, name limits,
 // first with nothing else wrong, then while nodes are paused and killed.
-func (r *run) limitWorkers() {
+func (r *run) runLimitPhase() {
 	all := []string{"desk", "model", "encode", "rank"}
-	crowded := all[r.limits.IntN(len(all))]
+	crowded := all[r.limitRand.IntN(len(all))]
 	from := time.Now()
 	for _, service := range all {
 		count := 0
 		for _, w := range r.workers[service] {
-			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !runs(w) || count == 2 && service != crowded {
+			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || count == 2 && service != crowded {
 				continue
 			}
 			count++
-			l := limitedWorker{worker: w, perSecond: r.drawLimit(), from: from}
-			nameLimit(w, l.perSecond)
-			r.limited = append(r.limited, l)
+			l := rateLimitedWorker{worker: w, perSecond: r.randomLimit(), from: from}
+			advertiseLimit(w, l.perSecond)
+			r.rateLimited = append(r.rateLimited, l)
 		}
 	}
-	time.Sleep(limitKept)
-	r.pauseAndKill(r.limits, intaketest.GracePeriod)
-	time.Sleep(limitKept)
-	for i := range r.limited {
-		r.limited[i].to = time.Now()
-		r.limited[i].worker.AnnounceRateLimit("")
+	time.Sleep(limitPhaseTime)
+	r.pauseAndKill(r.limitRand, intaketest.GracePeriod)
+	time.Sleep(limitPhaseTime)
+	for i := range r.rateLimited {
+		r.rateLimited[i].to = time.Now()
+		r.rateLimited[i].worker.AnnounceRateLimit("")
 	}
 }
 
@@ -102,7 +102,7 @@
 	began := time.Now()
 	r.beginUnplanned()
 	paused.signal(syscall.SIGSTOP)
-	time.Sleep(between(draw, shortestFault, longestFault))
+	time.Sleep(randomDuration(draw, minFaultMS, maxFaultMS))
 	paused.signal(syscall.SIGCONT)
 	killed.end(syscall.SIGKILL)
 	killed.start()
@@ -113,8 +113,8 @@
 	}
 }
 
-// runs reports whether a worker runs. One that has crashed for good stays in the run's list.
-func runs(w *platformtest.Worker) bool {
+// isRunning reports whether a worker runs. One that has crashed for good stays in the run's list.
+func isRunning(w *platformtest.Worker) bool {
 	c, err := net.Dial("tcp", w.Address())
 	if err != nil {
 		return false
@@ -136,9 +136,9 @@
 		})
 	}
 	highest := 0.0
-	for _, l := range r.limited {
+	for _, l := range r.rateLimited {
 		allowed := intaketest.Allowed(l.perSecond)
-		got, all := l.most(excused)
+		got, all := l.maxArrivals(excused)
 		highest = max(highest, float64(got)/float64(allowed))
 		if got > allowed {
 			r.fail("LIMIT: %s of %s named %v requests a second and got %d in %v, %d are allowed", l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed)
@@ -147,17 +147,17 @@
 			r.fail("LIMIT: %s of %s named %v requests a second and got none in %v", l.worker.ID, l.worker.Service, l.perSecond, l.to.Sub(l.from))
 		}
 	}
-	if len(r.limited) > 0 {
-		r.t.Logf("%d workers named limits, at most %.2f of what is allowed", len(r.limited), highest)
+	if len(r.rateLimited) > 0 {
+		r.t.Logf("%d workers named limits, at most %.2f of what is allowed", len(r.rateLimited), highest)
 	}
 }
 
-// most is the most that reached the worker in any span that ends intaketest.Contact or more after
+// maxArrivals is the most that reached the worker in any span that ends intaketest.Contact or more after
 // it named its limit, counted from when all nodes had time to be told, and all that did.
-func (l limitedWorker) most(excused func(platformtest.Arrival) bool) (highest, all int) {
+func (l rateLimitedWorker) maxArrivals(excused func(platformtest.Arrival) bool) (highest, all int) {
 	var times []time.Time
 	for _, a := range l.worker.Arrivals() {
-		if a.At.After(l.from.Add(limitTold)) && a.At.Before(l.to) && !excused(a) {
+		if a.At.After(l.from.Add(limitPropagation)) && a.At.Before(l.to) && !excused(a) {
 			times = append(times, a.At)
 		}
 	}
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -27,39 +27,39 @@
 	logs     string
 	grace    time.Duration
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	exited   chan struct{}
-	expected bool // the soak has ended it
-	life     int
-	faults   []string
-	taken    bool
-	stops    []stop
-	starts   []time.Time
+	mu           sync.Mutex
+	command      *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool // the soak has ended it
+	incarnation  int
+	unexpected   []string
+	reserved     bool
+	stops        []stop
+	starts       []time.Time
 }
 
 // stop is one planned stop: when SIGTERM was sent and when the process was gone,
 // or zero while it is not.
 type stop struct {
-	asked, gone time.Time
+	sigtermAt, exitedAt time.Time
 }
 
-// take reserves the process for one fault that ends or stops it, and reports
+// reserve reserves the process for one fault that ends or stops it, and reports
 // false while another one has it.
-func (p *process) take() bool {
+func (p *process) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.taken {
+	if p.reserved {
 		return false
 	}
-	p.taken = true
+	p.reserved = true
 	return true
 }
 
-func (p *process) give() {
+func (p *process) release() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.taken = false
+	p.reserved = false
 }
 
 // build builds the program under test once for all runs.
@@ -86,8 +86,8 @@
 	if err := command.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	p.command, p.expected = command, false
-	p.life++
+	p.command, p.exitExpected = command, false
+	p.incarnation++
 	p.starts = append(p.starts, time.Now())
 	exited := make(chan struct{})
 	p.exited = exited
@@ -95,8 +95,8 @@
 		err := command.Wait()
 		_ = log.Close()
 		p.mu.Lock()
-		if !p.expected {
-			p.faults = append(p.faults, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+		if !p.exitExpected {
+			p.unexpected = append(p.unexpected, fmt.Sprintf("%s ended by itself: %v", p.name, err))
 		}
 		p.mu.Unlock()
 		close(exited)
@@ -121,7 +121,7 @@
 // end ends the process with a signal and waits until it is gone.
 func (p *process) end(s syscall.Signal) {
 	p.mu.Lock()
-	p.expected = true
+	p.exitExpected = true
 	exited := p.exited
 	_ = p.command.Process.Signal(s)
 	if s == syscall.SIGKILL {
@@ -138,14 +138,14 @@
 func (p *process) terminate() bool {
 	p.mu.Lock()
 	command := p.command
-	p.stops = append(p.stops, stop{asked: time.Now()})
+	p.stops = append(p.stops, stop{sigtermAt: time.Now()})
 	p.mu.Unlock()
 	kill := time.AfterFunc(p.grace, func() { _ = command.Process.Kill() })
 	p.end(syscall.SIGTERM)
 	inTime := kill.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stops[len(p.stops)-1].gone = time.Now()
+	p.stops[len(p.stops)-1].exitedAt = time.Now()
 	return inTime
 }
 
@@ -161,23 +161,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.stops {
-		if !moment.Before(s.asked) && (s.gone.IsZero() || moment.Before(s.gone)) {
-			return moment.Sub(s.asked), true
+		if !moment.Before(s.sigtermAt) && (s.exitedAt.IsZero() || moment.Before(s.exitedAt)) {
+			return moment.Sub(s.sigtermAt), true
 		}
 	}
 	return 0, false
 }
 
-// lifeNumber counts the starts.
-func (p *process) lifeNumber() int {
+// currentIncarnation counts the starts.
+func (p *process) currentIncarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life
+	return p.incarnation
 }
 
-// ownEnds lists how often and why the process ended by itself.
-func (p *process) ownEnds() []string {
+// unexpectedExits lists how often and why the process ended by itself.
+func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.faults
+	return p.unexpected
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -33,7 +33,7 @@
 }
 
 const (
-	delayed   = 250 * time.Millisecond
+	delayTime = 250 * time.Millisecond
 	chunkSize = 32 << 10
 )
 
@@ -60,11 +60,11 @@
 	list map[string]*proxy
 }
 
-// through returns the address of the proxy before an address.
-func (p *proxies) through(target string) string { return p.before(target).address }
+// addressOf returns the address of the proxy before an address.
+func (p *proxies) addressOf(target string) string { return p.proxyFor(target).address }
 
-// before returns the proxy before an address, which is started at its first use.
-func (p *proxies) before(target string) *proxy {
+// proxyFor returns the proxy before an address, which is started at its first use.
+func (p *proxies) proxyFor(target string) *proxy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known, ok := p.list[target]; ok {
@@ -93,7 +93,7 @@
 	x.mode = m
 	for l := range x.open {
 		if m == reset || m == pass && l.lost {
-			l.end()
+			l.abort()
 		}
 	}
 }
@@ -116,12 +116,12 @@
 
 func (x *proxy) connect(caller net.Conn) {
 	if x.current() == reset {
-		(&link{caller: caller}).end()
+		(&link{caller: caller}).abort()
 		return
 	}
 	callee, err := net.Dial("tcp", x.target)
 	if err != nil {
-		(&link{caller: caller}).end()
+		(&link{caller: caller}).abort()
 		return
 	}
 	l := &link{caller: caller, callee: callee}
@@ -147,7 +147,7 @@
 		n, err := from.Read(buffer)
 		m := x.current()
 		if m == delay {
-			time.Sleep(delayed)
+			time.Sleep(delayTime)
 		}
 		if m == lost || m == silent {
 			x.mu.Lock()
@@ -157,7 +157,7 @@
 		}
 		if n > 0 {
 			if _, failed := to.Write(buffer[:n]); failed != nil {
-				l.end()
+				l.abort()
 				return
 			}
 		}
@@ -168,14 +168,14 @@
 			}
 			return
 		case err != nil:
-			l.end()
+			l.abort()
 			return
 		}
 	}
 }
 
-// end resets both sides.
-func (l *link) end() {
+// abort resets both sides.
+func (l *link) abort() {
 	for _, c := range []net.Conn{l.caller, l.callee} {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -13,18 +13,18 @@
 	// signalsSeed parts the draws of signals from the others, signalShare is how many troubles
 	// there are for one worker that rejects requests with a backoff.
 	signalsSeed = 29
-	signalShare = 3
-	// signalsKept is how long workers announce signals in the last phase with no node harmed, and
+	signalOdds  = 3
+	// signalPhaseTime is how long workers announce signals in the last phase with no node harmed, and
 	// again while one is paused and one killed.
-	signalsKept = 6 * time.Second
-	// storeAway is how long the store is away meanwhile.
-	storeAway = 2 * time.Second
-	// maxRejected is the most requests of which a worker rejects one.
-	maxRejected = 4
+	signalPhaseTime = 6 * time.Second
+	// storeOutage is how long the store is away meanwhile.
+	storeOutage = 2 * time.Second
+	// maxRejectInterval is the most requests of which a worker rejects one.
+	maxRejectInterval = 4
 )
 
-// signaled is what the last phase recorded.
-type signaled struct {
+// signalPhase is what the last phase recorded.
+type signalPhase struct {
 	draining []*platformtest.Worker
 	// announced is when they announced draining.
 	announced time.Time
@@ -33,50 +33,50 @@
 	from, calm, to time.Time
 }
 
-func (r *run) drawBackoff() time.Duration { return between(r.signals, 500, 3000) }
+func (r *run) randomBackoff() time.Duration { return randomDuration(r.signalRand, 500, 3000) }
 
 func (r *run) reject(w *platformtest.Worker) {
-	w.RejectEvery(1+r.signals.IntN(maxRejected), r.drawBackoff())
+	w.RejectEvery(1+r.signalRand.IntN(maxRejectInterval), r.randomBackoff())
 }
 
-// rejectNowAndThen has, now and then, a worker reject requests with a backoff for a while, and with
+// maybeRejectRequests has, now and then, a worker reject requests with a backoff for a while, and with
 // another one after a part of it.
-func (r *run) rejectNowAndThen() {
-	if r.signals.IntN(signalShare) > 0 {
+func (r *run) maybeRejectRequests() {
+	if r.signalRand.IntN(signalOdds) > 0 {
 		return
 	}
-	w := r.drawWorker(r.signals)
-	length := between(r.signals, shortestFault, longestFault)
-	every, second := 1+r.signals.IntN(maxRejected), r.drawBackoff()
+	w := r.pickWorker(r.signalRand)
+	length := randomDuration(r.signalRand, minFaultMS, maxFaultMS)
+	every, second := 1+r.signalRand.IntN(maxRejectInterval), r.randomBackoff()
 	r.reject(w)
 	time.AfterFunc(length/2, func() { w.RejectEvery(every, second) })
 	time.AfterFunc(length, func() { w.RejectEvery(0, 0) })
 }
 
-// signalWorkers has workers announce draining that the store lists as ready, and others reject
+// runSignalPhase has workers announce draining that the store lists as ready, and others reject
 // requests with backoffs that come and go, while the store is away for a part; then again while
 // nodes are paused and killed.
-func (r *run) signalWorkers() {
-	s := &r.signaled
+func (r *run) runSignalPhase() {
+	s := &r.signalPhase
 	all := []string{"desk", "model", "encode", "rank"}
-	crowded := all[r.signals.IntN(len(all))]
+	crowded := all[r.signalRand.IntN(len(all))]
 	for _, service := range all {
-		s.rejecting = append(s.rejecting, r.rejecters(service, service == crowded)...)
+		s.rejecting = append(s.rejecting, r.pickRejecting(service, service == crowded)...)
 		s.draining = append(s.draining, r.site.AddWorkers(service, 2)...)
 	}
-	time.Sleep(listedBy)
+	time.Sleep(listingTime)
 	s.from = time.Now()
 	for _, w := range s.draining {
 		w.AnnounceDraining(true)
 	}
 	s.announced = time.Now()
 	r.rejectAll()
-	r.storeAway()
-	time.Sleep(signalsKept - storeAway)
+	r.takeStoreDown()
+	time.Sleep(signalPhaseTime - storeOutage)
 	s.calm = time.Now()
 	r.rejectAll()
-	r.pauseAndKill(r.signals, 0)
-	time.Sleep(signalsKept)
+	r.pauseAndKill(r.signalRand, 0)
+	time.Sleep(signalPhaseTime)
 	s.to = time.Now()
 	for _, w := range s.rejecting {
 		w.RejectEvery(0, 0)
@@ -87,11 +87,11 @@
 	}
 }
 
-// rejecters lists two of a service's workers that run and stay, or all.
-func (r *run) rejecters(service string, crowded bool) []*platformtest.Worker {
+// pickRejecting lists two of a service's workers that run and stay, or all.
+func (r *run) pickRejecting(service string, crowded bool) []*platformtest.Worker {
 	var list []*platformtest.Worker
 	for _, w := range r.workers[service] {
-		if r.hasLeft(w) || slices.Contains(r.leaving, w) || !runs(w) || len(list) == 2 && !crowded {
+		if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || len(list) == 2 && !crowded {
 			continue
 		}
 		list = append(list, w)
@@ -100,35 +100,35 @@
 }
 
 func (r *run) rejectAll() {
-	for _, w := range r.signaled.rejecting {
+	for _, w := range r.signalPhase.rejecting {
 		r.reject(w)
 	}
 }
 
-// storeAway has the store be away for a while.
-func (r *run) storeAway() {
+// takeStoreDown has the store be away for a while.
+func (r *run) takeStoreDown() {
 	began := time.Now()
 	r.beginUnplanned()
 	r.site.Store.SetDown(true)
-	time.Sleep(storeAway)
+	time.Sleep(storeOutage)
 	r.site.Store.SetDown(false)
 	r.endUnplanned()
-	r.storeTroubles.add(began, time.Now())
+	r.storeFaults.add(began, time.Now())
 }
 
 // checkSignals holds the arrivals at the workers of the last phase against the rules on draining
 // and backoffs.
 func (r *run) checkSignals() {
-	s := &r.signaled
+	s := &r.signalPhase
 	if s.from.IsZero() {
 		return
 	}
 	log := r.signalLog()
 	requests := 0
 	for _, w := range s.draining {
-		arrivals := within(w.Arrivals(), s.from, s.to)
+		arrivals := arrivalsBetween(w.Arrivals(), s.from, s.to)
 		requests += len(arrivals)
-		r.failures = append(r.failures, prefixed("DRAINING", log.DrainingViolations(w.ID, arrivals))...)
+		r.failures = append(r.failures, withPrefix("DRAINING", log.DrainingViolations(w.ID, arrivals))...)
 	}
 	rejected := 0
 	for _, w := range s.rejecting {
@@ -138,7 +138,7 @@
 			return x.At.Before(s.from) || over.After(s.to) || x.ID == "" && over.After(s.calm)
 		})
 		rejected += len(rejections)
-		r.failures = append(r.failures, prefixed("BACKOFF", log.BackoffViolations(rejections, w.Arrivals()))...)
+		r.failures = append(r.failures, withPrefix("BACKOFF", log.BackoffViolations(rejections, w.Arrivals()))...)
 	}
 	r.t.Logf("%d workers drained and got %d requests, %d rejected %d", len(s.draining), requests, len(s.rejecting), rejected)
 }
@@ -153,22 +153,22 @@
 	for _, sent := range r.record.list {
 		log.RecordRequest(sent.id, sent.node, sent.at)
 		parts := strings.Split(sent.response.Stamp, ".")
-		if len(parts) < 2 || sent.at.Before(r.signaled.announced) {
+		if len(parts) < 2 || sent.at.Before(r.signalPhase.announced) {
 			continue
 		}
-		if slices.ContainsFunc(r.signaled.draining, func(w *platformtest.Worker) bool { return w.ID == parts[1] }) {
+		if slices.ContainsFunc(r.signalPhase.draining, func(w *platformtest.Worker) bool { return w.ID == parts[1] }) {
 			log.RecordDraining(parts[1], sent.node, sent.at.Add(sent.took))
 		}
 	}
 	return log
 }
 
-// within returns the arrivals between two moments.
-func within(list []platformtest.Arrival, from, to time.Time) []platformtest.Arrival {
+// arrivalsBetween returns the arrivals between two moments.
+func arrivalsBetween(list []platformtest.Arrival, from, to time.Time) []platformtest.Arrival {
 	return slices.DeleteFunc(list, func(a platformtest.Arrival) bool { return a.At.Before(from) || a.At.After(to) })
 }
 
-func prefixed(kind string, found []string) []string {
+func withPrefix(kind string, found []string) []string {
 	for i := range found {
 		found[i] = kind + ": " + found[i]
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -28,138 +28,138 @@
 	logFolder    = flag.String("logs", "", "folder that keeps the nodes' logs; empty keeps them only of seeds that fail")
 )
 
-// generation is what troubles a run has. Seeds that failed are run with those of their
+// faultSet is what troubles a run has. Seeds that failed are run with those of their
 // time, so that they go on as they did; what came later is none of their troubles.
-type generation int
+type faultSet int
 
 const (
-	// spoken runs have workers that say that they leave, and crashes for good.
-	spoken generation = iota
-	// alternating runs have every second worker leave without a word and every second
+	// baseFaults runs have workers that say that they leave, and crashes for good.
+	baseFaults faultSet = iota
+	// alternatingFaults runs have every second worker leave without a word and every second
 	// one that crashes begin anew, other writers in the list, and in the end workers that
 	// leave while the readers are lost.
-	alternating
-	// newest runs have the troubles of the first, and beside them, by draws of their own,
+	alternatingFaults
+	// restartFaults runs have the troubles of the first, and beside them, by draws of their own,
 	// all that came later: each a kind of its own.
-	newest
-	// placed runs have beside all these an evacuation of one of two zones, and a store that
+	restartFaults
+	// evacuationFaults runs have beside all these an evacuation of one of two zones, and a store that
 	// comes back from older copies, by further draws of their own.
-	placed
-	// limited runs have beside all these workers that name how many requests a second they
+	evacuationFaults
+	// rateLimitFaults runs have beside all these workers that name how many requests a second they
 	// take, by further draws of their own, and in the end a phase in which that is checked.
-	limited
-	// cold runs have beside all these workers that turn cold, by further draws of their own, and
+	rateLimitFaults
+	// coldFaults runs have beside all these workers that turn cold, by further draws of their own, and
 	// in the end a phase in which what they get is checked.
-	cold
-	// announcing runs have beside all these workers that reject requests with a backoff, by further
+	coldFaults
+	// signalFaults runs have beside all these workers that reject requests with a backoff, by further
 	// draws of their own, and in the end a phase in which workers announce draining too.
-	announcing
+	signalFaults
 )
 
 // regressions are the seeds that ever failed, with the cause. They are run each
 // time, those of longRegressions only beside several other seeds: all take half a
 // minute each.
 var regressions = []regression{
-	{521, spoken, noViewYet},
-	{526, spoken, noViewYet},
-	{538, spoken, noViewYet},
+	{521, baseFaults, causeNoEndpointList},
+	{526, baseFaults, causeNoEndpointList},
+	{538, baseFaults, causeNoEndpointList},
 }
 
 var longRegressions = []regression{
-	{700, spoken, takenLate},
-	{701, spoken, takenLate},
-	{702, spoken, takenLate},
-	{703, spoken, takenLate},
-	{704, spoken, takenLate},
-	{705, spoken, takenLate},
-	{706, spoken, takenLate},
-	{707, spoken, takenLate + "; and idle connections were closed just when their request had been read"},
-	{708, spoken, takenLate},
-	{709, spoken, takenLate},
+	{700, baseFaults, causeLateStream},
+	{701, baseFaults, causeLateStream},
+	{702, baseFaults, causeLateStream},
+	{703, baseFaults, causeLateStream},
+	{704, baseFaults, causeLateStream},
+	{705, baseFaults, causeLateStream},
+	{706, baseFaults, causeLateStream},
+	{707, baseFaults, causeLateStream + "; and idle connections were closed just when their request had been read"},
+	{708, baseFaults, causeLateStream},
+	{709, baseFaults, causeLateStream},
 	// With six nodes.
-	{1044, spoken, takenTooLong},
+	{1044, baseFaults, causeStreamUnderestimated},
 	// With four nodes.
-	{1108, alternating, hungUpEarly},
+	{1108, alternatingFaults, causeSIGHUPBeforeSettings},
 	// With five nodes.
-	{3430, newest, sharedRequest},
-	{3511, newest, neverBegun},
+	{3430, restartFaults, causeServedElsewhere},
+	{3511, restartFaults, causeNeverExecuted},
 	// With four nodes, six seconds.
-	{3619, newest, leftAndListed},
+	{3619, restartFaults, causeStoreUnavailable},
 	// With four nodes, four seconds.
-	{5002, limited, begunAlone},
-	{6100, limited, hungUpAtOnce},
-	{6118, limited, begunAlone},
+	{5002, rateLimitFaults, causeStartedWithoutSeeds},
+	{6100, rateLimitFaults, causeSIGHUPAtStart},
+	{6118, rateLimitFaults, causeStartedWithoutSeeds},
 }
 
 type regression struct {
-	seed  uint64
-	of    generation
-	cause string
+	seed   uint64
+	faults faultSet
+	cause  string
 }
 
-const takenLate = "a node that was stopping took streams that it could not end in its grace period"
+const causeLateStream = "a node that was stopping took streams that it could not end in its grace period"
 
-const takenTooLong = "a node that was stopping foretold a long stream too short by what many short ones had taken, and cut it before its last event"
+const causeStreamUnderestimated = "a node that was stopping foretold a long stream too short by what many short ones had taken, and cut it before its last event"
 
-const sharedRequest = "a request that all nodes were sent was refused as one that crashes workers, since it ran at three that had crashed, while it was served elsewhere"
+const causeServedElsewhere = "a request that all nodes were sent was refused as one that crashes workers, since it ran at three that had crashed, while it was served elsewhere"
 
-const neverBegun = "a request that was sent to workers which had crashed already, by way of proxies that took its connections, was refused as one that crashes them"
+const causeNeverExecuted = "a request that was sent to workers which had crashed already, by way of proxies that took its connections, was refused as one that crashes them"
 
-const leftAndListed = "no fault of a node: a worker had left while the store was away twice and the leader of its cell was paused, which took its entry for one that had lapsed; the check did not ask whether the store was well"
+const causeStoreUnavailable = "no fault of a node: a worker had left while the store was away twice and the leader of its cell was paused, which took its entry for one that had lapsed; the check did not ask whether the store was well"
 
-const begunAlone = "no fault of a node: one that had just been started, without seeds, served before others told it what they knew; such a node is not in touch, and the check counted it"
+const causeStartedWithoutSeeds = "no fault of a node: one that had just been started, without seeds, served before others told it what they knew; such a node is not in touch, and the check counted it"
 
-const hungUpAtOnce = "open: SIGHUP in the first milliseconds of a process, before the program can take it, ends it"
+const causeSIGHUPAtStart = "open: SIGHUP in the first milliseconds of a process, before the program can take it, ends it"
 
-const hungUpEarly = "likely: a node that got SIGHUP before it had read its settings ended without a line"
+const causeSIGHUPBeforeSettings = "likely: a node that got SIGHUP before it had read its settings ended without a line"
 
-const noViewYet = "a node that was sent work before its first list of endpoints ended with a nil pointer"
+const causeNoEndpointList = "a node that was sent work before its first list of endpoints ended with a nil pointer"
 
 // run is one seed's whole system.
 type run struct {
-	t    *testing.T
-	of   generation
-	rand *rand.Rand
-	// later draws the troubles that came later.
-	later *rand.Rand
-	// restores draws when the store comes back from a copy, limits which workers name what.
-	restores *rand.Rand
-	limits   *rand.Rand
-	colds    *rand.Rand
-	signals  *rand.Rand
-	signaled signaled
-	limited  []limitedWorker
-	cooled   []cooled
-	excuses  []excuse
-	operator operator
-	site     *platformtest.Site
-	proxies  *proxies
-	nodes    []*process
-	record   record
-	config   platformtest.Config
-	workers  map[string][]*platformtest.Worker
-	retired  []retired
-	crashes  int
-	// storeTroubles are when something was wrong with the store or the way to it.
-	storeTroubles spans
-	poisons       *poisons
+	t      *testing.T
+	faults faultSet
+	rand   *rand.Rand
+	// laterRand draws the troubles that came later.
+	laterRand *rand.Rand
+	// restoreRand draws when the store comes back from a copy, limits which workers name what.
+	restoreRand *rand.Rand
+	limitRand   *rand.Rand
+	coldRand    *rand.Rand
+	signalRand  *rand.Rand
+	signalPhase signalPhase
+	rateLimited []rateLimitedWorker
+	coldWorkers []coldWorker
+	excuses     []excuse
+	operator    operator
+	site        *platformtest.Site
+	proxies     *proxies
+	nodes       []*process
+	record      record
+	config      platformtest.Config
+	workers     map[string][]*platformtest.Worker
+	retired     []retired
+	crashes     int
+	// storeFaults are when something was wrong with the store or the way to it.
+	storeFaults spans
+	poisons     *poisons
 	// leaving are the workers that left while the readers were lost.
 	leaving []*platformtest.Worker
-	// unplanned counts the faults in force that are no planned work, and
+	// activeUnplanned counts the faults in force that are no planned work, and
 	// lastUnplanned is when the last one ended.
-	unplanned     atomic.Int64
-	lastUnplanned atomic.Int64
-	// begun counts all faults so far that are no planned work.
-	begun atomic.Int64
-	// killedLate counts planned stops that outlasted the grace period.
-	killedLate atomic.Int64
-	probes     atomic.Int64
-	failures   []string
-	// afterwards ends the trouble that is being started, or is nil.
-	afterwards func()
+	activeUnplanned  atomic.Int64
+	lastUnplannedEnd atomic.Int64
+	// unplannedCount counts all faults so far that are no planned work.
+	unplannedCount atomic.Int64
+	// overdueStops counts planned stops that outlasted the grace period.
+	overdueStops atomic.Int64
+	probes       atomic.Int64
+	failures     []string
+	// endFault ends the trouble that is being started, or is nil.
+	endFault func()
 	// found are failures that were seen while troubles came.
-	foundMu sync.Mutex
-	found   []string
+	asyncMu       sync.Mutex
+	asyncFailures []string
 	// calmSince is when the last fault ended that was no planned work.
 	calmSince time.Time
 }
@@ -171,21 +171,21 @@
 }
 
 const (
-	// grace is the time between SIGTERM and SIGKILL.
-	grace = 5 * time.Second
-	// unanswered is how long after it was sent a request without an answer has
+	// gracePeriod is the time between SIGTERM and SIGKILL.
+	gracePeriod = 5 * time.Second
+	// maxReadDelay is how long after it was sent a request without an answer has
 	// been read for certain: one that crosses the close of its connection ends
 	// at once. It is generous, since the machine may be busy.
-	unanswered = 2 * time.Second
-	// settled is how long after the last unplanned fault only planned work
+	maxReadDelay = 2 * time.Second
+	// calmTime is how long after the last unplanned fault only planned work
 	// counts as under way.
-	settled = 4 * time.Second
-	// drained is how long after the store has taken that a worker leaves nothing may
+	calmTime = 4 * time.Second
+	// maxDrainTime is how long after the store has taken that a worker leaves nothing may
 	// reach it any more; it is generous, since the machine may be busy.
-	drained  = 8 * time.Second
-	healTime = 5 * time.Second
-	// mostSeeds is how many seeds a node's settings name.
-	mostSeeds = 3
+	maxDrainTime = 8 * time.Second
+	recoveryTime = 5 * time.Second
+	// maxSeeds is how many seeds a node's settings name.
+	maxSeeds = 3
 )
 
 // TestSoak runs the seeds asked for, and each seed that ever failed.
@@ -196,14 +196,14 @@
 		list = slices.Concat(regressions, longRegressions)
 	}
 	for i := range *seeds {
-		list = append(list, regression{seed: *firstSeed + uint64(i), of: announcing})
+		list = append(list, regression{seed: *firstSeed + uint64(i), faults: signalFaults})
 	}
 	for _, c := range list {
-		t.Run(fmt.Sprintf("seed-%d", c.seed), func(t *testing.T) { soak(t, program, c) })
+		t.Run(fmt.Sprintf("seed-%d", c.seed), func(t *testing.T) { runSeed(t, program, c) })
 	}
 }
 
-func soak(t *testing.T, program string, c regression) {
+func runSeed(t *testing.T, program string, c regression) {
 	r := newRun(t, program, c)
 	clients, stop := context.WithCancel(context.Background())
 	var sending sync.WaitGroup
@@ -212,33 +212,33 @@
 		sending.Go(func() { c.loop(clients) })
 	}
 	lasts := time.Duration(*secondsEach * float64(time.Second))
-	r.poisons = newPoisons(r.site, r.fronts(), c.seed, c.of.poisons())
+	r.poisons = newPoisons(r.site, r.frontAddresses(), c.seed, c.faults.poisonRequests())
 	sending.Go(func() { r.poisons.send(clients, lasts/2) })
-	if r.of >= placed {
+	if r.faults >= evacuationFaults {
 		time.AfterFunc(lasts/4, r.evacuate)
 	}
-	r.trouble(lasts)
-	time.Sleep(healTime)
+	r.injectFaults(lasts)
+	time.Sleep(recoveryTime)
 	r.awaitConfig()
-	if r.of >= placed {
+	if r.faults >= evacuationFaults {
 		r.endEvacuation()
 	}
-	if r.of != spoken {
-		r.leaveWithReadersLost()
+	if r.faults != baseFaults {
+		r.runLeavePhase()
 		r.awaitConfig()
 	}
-	if r.of >= limited {
-		r.limitWorkers()
+	if r.faults >= rateLimitFaults {
+		r.runLimitPhase()
 		r.awaitConfig()
 	}
-	if r.of >= cold {
-		r.coolWorkers()
+	if r.faults >= coldFaults {
+		r.runColdPhase()
 	}
-	if r.of >= announcing {
-		r.signalWorkers()
+	if r.faults >= signalFaults {
+		r.runSignalPhase()
 		r.awaitConfig()
 	}
-	r.rollAll()
+	r.rollingRestart()
 	stop()
 	sending.Wait()
 	r.failures = append(r.failures, r.poisons.settle()...)
@@ -248,33 +248,33 @@
 	}
 }
 
-// poisons is how many requests that crash workers a run has.
-func (g generation) poisons() int {
-	if g >= newest {
+// poisonRequests is how many requests that crash workers a run has.
+func (g faultSet) poisonRequests() int {
+	if g >= restartFaults {
 		return *poisonCount
 	}
 	return 0
 }
 
 func newRun(t *testing.T, program string, c regression) *run {
-	r := &run{t: t, of: c.of, rand: rand.New(rand.NewPCG(c.seed, 0)), later: rand.New(rand.NewPCG(c.seed, laterSeed)), restores: rand.New(rand.NewPCG(c.seed, restoresSeed)), limits: rand.New(rand.NewPCG(c.seed, limitsSeed)), colds: rand.New(rand.NewPCG(c.seed, coldSeed)), signals: rand.New(rand.NewPCG(c.seed, signalsSeed)), workers: make(map[string][]*platformtest.Worker)}
+	r := &run{t: t, faults: c.faults, rand: rand.New(rand.NewPCG(c.seed, 0)), laterRand: rand.New(rand.NewPCG(c.seed, laterSeed)), restoreRand: rand.New(rand.NewPCG(c.seed, restoresSeed)), limitRand: rand.New(rand.NewPCG(c.seed, limitsSeed)), coldRand: rand.New(rand.NewPCG(c.seed, coldSeed)), signalRand: rand.New(rand.NewPCG(c.seed, signalsSeed)), workers: make(map[string][]*platformtest.Worker)}
 	r.proxies = &proxies{t: t, list: make(map[string]*proxy)}
 	r.site = platformtest.NewSite(t)
-	r.site.ProxyAddress = r.proxies.through
-	r.site.GracePeriod, r.site.TokensPerEvent, r.site.EventInterval = grace, eventTokens, eventPause
+	r.site.ProxyAddress = r.proxies.addressOf
+	r.site.GracePeriod, r.site.TokensPerEvent, r.site.EventInterval = gracePeriod, tokensPerEvent, eventInterval
 	r.config = platformtest.Config{
 		Version: 1, Keys: map[string]string{apiKey: account}, Models: []string{"model"}, Stages: []string{"encode", "rank"},
-		Routes: append(deskRoutes(), platformtest.Route{Prefix: versionPath(1), Kind: "safe", Service: "desk"}),
+		Routes: append(longTimeoutRoutes(), platformtest.Route{Prefix: versionPath(1), Kind: "safe", Service: "desk"}),
 	}
-	if r.of >= cold {
+	if r.faults >= coldFaults {
 		r.config.ColdPerSecond = coldPerSecond
 	}
 	r.site.Publish(r.config)
 	for _, service := range []string{"desk", "model", "encode", "rank"} {
-		r.workers[service] = r.firstWorkers(service)
+		r.workers[service] = r.addInitialWorkers(service)
 	}
-	if r.of != spoken {
-		for i, text := range otherEntries {
+	if r.faults != baseFaults {
+		for i, text := range unusableEntries {
 			r.site.Store.PutEntry(fmt.Sprintf("other-%d", i), []byte(text))
 		}
 	}
@@ -282,16 +282,16 @@
 	return r
 }
 
-// otherEntries are entries of another writer in the list of workers: none names a worker
+// unusableEntries are entries of another writer in the list of workers: none names a worker
 // to use.
-var otherEntries = []string{
+var unusableEntries = []string{
 	"", "{", "[1]", "7", `{}`, `{"service":"desk","slots":"many"}`,
 	`{"service":"desk","addr":"127.0.0.1:1","zone":"zone-a","slots":4,"state":"paused"}`,
 	`{"service":"model","addr":"nowhere","zone":"zone-a","slots":4,"state":"ready"}`,
 }
 
-// deskRoutes are routes whose timeouts never come before the client's deadline.
-func deskRoutes() []platformtest.Route {
+// longTimeoutRoutes are routes whose timeouts never come before the client's deadline.
+func longTimeoutRoutes() []platformtest.Route {
 	routes := platformtest.SampleRoutes()
 	for i := range routes {
 		routes[i].Timeout = 2 * clientDeadline
@@ -299,11 +299,11 @@
 	return routes
 }
 
-// fronts lists where clients reach the nodes.
-func (r *run) fronts() []string {
+// frontAddresses lists where clients reach the nodes.
+func (r *run) frontAddresses() []string {
 	var list []string
 	for _, p := range r.nodes {
-		list = append(list, r.proxies.through(p.Front))
+		list = append(list, r.proxies.addressOf(p.Front))
 	}
 	return list
 }
@@ -323,8 +323,8 @@
 	for i := range *processCount {
 		text, addresses := r.site.Settings(known...)
 		p := &process{
-			Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", i+1), program: program, logs: logs, grace: grace,
-			settings: r.site.WriteSettings(text), peer: r.proxies.through(addresses.Peer),
+			Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", i+1), program: program, logs: logs, grace: gracePeriod,
+			settings: r.site.WriteSettings(text), peer: r.proxies.addressOf(addresses.Peer),
 		}
 		known = append(known, p.peer)
 		r.nodes = append(r.nodes, p)
@@ -341,26 +341,26 @@
 	for _, p := range r.nodes {
 		r.awaitReady(p)
 	}
-	if r.of >= cold {
-		r.giveSeeds(known)
+	if r.faults >= coldFaults {
+		r.writeSeeds(known)
 	}
 }
 
-// noSeeds is how settings without seeds end.
-const noSeeds = "seeds: []"
+// emptySeeds is how settings without seeds end.
+const emptySeeds = "seeds: []"
 
-// giveSeeds writes the addresses of some others into the settings of the node that began as the
+// writeSeeds writes the addresses of some others into the settings of the node that began as the
 // first of all, for its next start. Where nodes run, all of them have seeds then: one that has
 // none takes itself for the only one, and serves before any other has told it anything.
-func (r *run) giveSeeds(addresses []string) {
+func (r *run) writeSeeds(addresses []string) {
 	for _, p := range r.nodes {
 		text, err := os.ReadFile(p.settings)
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		others := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == p.peer })
-		list := `seeds: ["` + strings.Join(others[:min(len(others), mostSeeds)], `", "`) + `"]`
-		if err := os.WriteFile(p.settings, []byte(strings.Replace(string(text), noSeeds, list, 1)), 0o600); err != nil {
+		list := `seeds: ["` + strings.Join(others[:min(len(others), maxSeeds)], `", "`) + `"]`
+		if err := os.WriteFile(p.settings, []byte(strings.Replace(string(text), emptySeeds, list, 1)), 0o600); err != nil {
 			r.t.Fatal(err)
 		}
 	}
@@ -375,41 +375,41 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("%s does not become ready, logs in %s, ends by itself: %v", p.name, p.logs, p.ownEnds())
+	r.t.Fatalf("%s does not become ready, logs in %s, ends by itself: %v", p.name, p.logs, p.unexpectedExits())
 }
 
 func (r *run) fail(format string, values ...any) {
 	r.failures = append(r.failures, fmt.Sprintf(format, values...))
 }
 
-// failLater notes a failure from any goroutine.
-func (r *run) failLater(text string) {
-	r.foundMu.Lock()
-	defer r.foundMu.Unlock()
-	r.found = append(r.found, text)
+// failAsync notes a failure from any goroutine.
+func (r *run) failAsync(text string) {
+	r.asyncMu.Lock()
+	defer r.asyncMu.Unlock()
+	r.asyncFailures = append(r.asyncFailures, text)
 }
 
-// onlyPlanned reports whether no unplanned fault is in force or was lately.
-func (r *run) onlyPlanned() bool {
-	return r.unplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplanned.Load())) > settled
+// isCalm reports whether no unplanned fault is in force or was lately.
+func (r *run) isCalm() bool {
+	return r.activeUnplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplannedEnd.Load())) > calmTime
 }
 
-// calmAt reports whether a moment lies some time after the last unplanned fault of the run.
-func (r *run) calmAt(at time.Time) bool {
-	r.foundMu.Lock()
-	defer r.foundMu.Unlock()
-	return at.Sub(r.calmSince) > settled
+// wasCalmAt reports whether a moment lies some time after the last unplanned fault of the run.
+func (r *run) wasCalmAt(at time.Time) bool {
+	r.asyncMu.Lock()
+	defer r.asyncMu.Unlock()
+	return at.Sub(r.calmSince) > calmTime
 }
 
 func (r *run) beginUnplanned() {
-	r.begun.Add(1)
-	r.unplanned.Add(1)
+	r.unplannedCount.Add(1)
+	r.activeUnplanned.Add(1)
 }
 
 func (r *run) endUnplanned() {
-	r.lastUnplanned.Store(time.Now().UnixMilli())
-	r.foundMu.Lock()
+	r.lastUnplannedEnd.Store(time.Now().UnixMilli())
+	r.asyncMu.Lock()
 	r.calmSince = time.Now()
-	r.foundMu.Unlock()
-	r.unplanned.Add(-1)
+	r.asyncMu.Unlock()
+	r.activeUnplanned.Add(-1)
 }
