--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,6 +1,6 @@
 // Package fixedseed gives property tests the same random sequences in every
-// run, so that CI always comes to the same verdict. Tests import it for its
-// effect; the flag -rapid.seed still overrides it.
+// run, so that the result of CI is reproducible. Tests import it for its side
+// effect. The flag -rapid.seed still overrides the seed.
 //
 // # Usage
 //
@@ -10,7 +10,7 @@
 import (
 	"flag"
 
-	// The import registers the flag that init sets.
+	// Registers the flag that init sets.
 	_ "pgregory.net/rapid"
 )
 
--- a/internal/scripted/scripted.go
+++ b/internal/scripted/scripted.go
@@ -1,10 +1,10 @@
-// Package scripted reads the scripts of tests that play courses of events in simulated time:
-// lines of words, with comments from # on.
+// Package scripted reads test scripts, which list the events of a test in simulated time. Each line
+// consists of words separated by spaces. A # starts a comment.
 //
 // # Usage
 //
 //	scripted.Read(t, "testdata/cut.txt", func(words []string) error {
-//		// take one line in
+//		// handle one line
 //	})
 package scripted
 
@@ -15,9 +15,10 @@
 	"testing"
 )
 
-// Read hands the words of each line that has any to a function, in order. An error of it, or of
-// the file, ends the test and names file and line.
-func Read(t testing.TB, path string, take func(words []string) error) {
+// Read calls a function with the words of each non-empty line, in order. If the function returns an
+// error, Read fails the test with the file and line number. It also fails the test if the file cannot
+// be read.
+func Read(t testing.TB, path string, handle func(words []string) error) {
 	t.Helper()
 	file, err := os.Open(path)
 	if err != nil {
@@ -31,7 +32,7 @@
 		if len(words) == 0 {
 			continue
 		}
-		if err := take(words); err != nil {
+		if err := handle(words); err != nil {
 			t.Fatalf("%s:%d: %v", path, number, err)
 		}
 	}
--- a/internal/simulated/queue.go
+++ b/internal/simulated/queue.go
@@ -1,5 +1,4 @@
-// Package simulated runs tests in simulated time: a queue of events, each at a moment, without
-// waiting for it.
+// Package simulated provides an event queue for tests in simulated time.
 //
 // # Usage
 //
@@ -13,7 +12,8 @@
 	"time"
 )
 
-// Queue holds the events to come. The zero value is empty. It is not safe for concurrent use.
+// Queue is a queue of pending events. The zero value is an empty queue. It is not safe for
+// concurrent use.
 type Queue struct{ events events }
 
 type event struct {
@@ -21,11 +21,11 @@
 	do func(now time.Time)
 }
 
-// At has a function called at a moment.
+// At schedules a function call at a point in simulated time.
 func (q *Queue) At(at time.Time, do func(now time.Time)) { heap.Push(&q.events, event{at, do}) }
 
-// Run calls the functions in the order of their moments until the first one that isn't before the
-// end.
+// Run calls the scheduled functions in the order of their times, including those scheduled by other
+// calls, up to but not including the end.
 func (q *Queue) Run(end time.Time) {
 	for len(q.events) > 0 && q.events[0].at.Before(end) {
 		e := heap.Pop(&q.events).(event)
--- a/internal/soak/bandwidth_test.go
+++ b/internal/soak/bandwidth_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// bandwidthLimiter is one direction of an instance's link: bytes go out at its rate, in turn.
+// bandwidthLimiter limits the bandwidth of one direction of an instance's link, which all its
+// connections share.
 type bandwidthLimiter struct {
 	perByte  time.Duration
 	mu       sync.Mutex
@@ -20,7 +21,7 @@
 	return &bandwidthLimiter{perByte: time.Duration(bits * 1000 / mbps * float64(time.Nanosecond))}
 }
 
-// wait waits until bytes have gone out.
+// wait waits until the given number of bytes has been sent.
 func (l *bandwidthLimiter) wait(bytes int) {
 	l.mu.Lock()
 	now := time.Now()
@@ -33,15 +34,16 @@
 	time.Sleep(time.Until(until))
 }
 
-// shapedChunk is how much of a connection's bytes goes out in one turn, shapedWindow
-// what may be on its way: a sender notices a full link.
+// shapedChunk is the number of bytes of a connection that are sent at a time. shapedWindow is the
+// size of the socket buffers, which is small so that a congested link blocks the sender.
 const (
 	shapedChunk  = 8 << 10
 	shapedWindow = 128 << 10
 )
 
-// startShapedProxy passes connections on to an address over an instance's link, and returns
-// where they are taken. What comes in and what goes out share nothing but their rate.
+// startShapedProxy starts a proxy that forwards connections to an address with the bandwidth of
+// an instance's link, and returns its address. Both directions have the same bandwidth,
+// independently of each other.
 func startShapedProxy(t testing.TB, target string, mbps float64) string {
 	host, _, err := net.SplitHostPort(target)
 	if err != nil {
--- a/internal/soak/bounds_faults_test.go
+++ b/internal/soak/bounds_faults_test.go
@@ -10,13 +10,13 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// fault is a kind of fault that the check of bounds brings.
+// fault is a kind of fault that the check of a deployment's bounds injects.
 type fault struct {
 	name   string
 	inject func(r *boundsRun, nodes []int, length time.Duration)
-	// share is how many of the nodes it strikes, 0 for one.
+	// share is the fraction of nodes affected. 0 stands for one node.
 	share float64
-	// targetsReaders tells that it strikes the nodes that call the store first.
+	// targetsReaders selects the nodes with the most calls to the store first.
 	targetsReaders bool
 }
 
@@ -39,7 +39,8 @@
 	{name: "store away", inject: (*boundsRun).takeStoreDown, share: 1},
 }
 
-// laterFaults are kinds that came later. Runs of the kinds above draw as before.
+// laterFaults are kinds that were added later. They are a separate list so that runs restricted
+// to one of the kinds above still make the same random draws.
 var laterFaults = []fault{
 	{name: "lapse", inject: (*boundsRun).expireEntries, share: 1},
 	{name: "leave as readers die", inject: (*boundsRun).kill, share: 0.3, targetsReaders: true},
@@ -47,14 +48,15 @@
 	{name: "leave as readers are cut", inject: (*boundsRun).disruptStore, share: 0.3, targetsReaders: true},
 }
 
-// poisonFault is the kind of a run that brings requests which crash workers and nothing
-// else. Runs of all kinds have such requests beside.
+// poisonFault is the kind of a run whose only faults are requests that crash workers. Runs with
+// all kinds of faults also have such requests.
 const poisonFault = "poison"
 
-// leavePrefix tells the kinds at whose beginning workers leave.
+// leavePrefix is the prefix of the kinds that begin with workers leaving.
 const leavePrefix = "leave as readers"
 
-// faultKinds are those among which a run draws when it brings one kind, or all.
+// faultKinds returns the kinds from which a run draws. The run discards all kinds but the given one
+// unless that is empty.
 func faultKinds(only string) []fault {
 	if only == poisonFault {
 		return []fault{{name: poisonFault, inject: func(*boundsRun, []int, time.Duration) {}}}
@@ -65,17 +67,17 @@
 	return slices.Concat(faults, laterFaults)
 }
 
-// isFaultKind reports whether a kind of fault exists; the empty one stands for all.
+// isFaultKind reports whether a kind of fault exists. The empty kind stands for all.
 func isFaultKind(only string) bool {
 	return only == "" || slices.ContainsFunc(faultKinds(only), func(f fault) bool { return f.name == only })
 }
 
-// injectFaults brings faults in series, overlapping, for a while: those of one kind, or of
-// all if it is empty.
-func (r *boundsRun) injectFaults(lasts time.Duration, only string) {
-	end := time.Now().Add(lasts)
+// injectFaults injects faults for the given time, some of them overlapping, and waits until all
+// have ended. It injects only one kind unless that is empty.
+func (r *boundsRun) injectFaults(duration time.Duration, only string) {
+	end := time.Now().Add(duration)
 	list := faultKinds(only)
-	var open sync.WaitGroup
+	var active sync.WaitGroup
 	for time.Now().Before(end) {
 		f := list[r.rand.IntN(len(list))]
 		for only != "" && f.name != only {
@@ -88,7 +90,7 @@
 		}
 		length := time.Duration(1500+r.rand.IntN(5500)) * time.Millisecond
 		r.t.Logf("%s %s: %d nodes, %v", time.Now().Format("05.000"), f.name, count, length)
-		open.Go(func() { f.inject(r, nodes, length) })
+		active.Go(func() { f.inject(r, nodes, length) })
 		if strings.HasPrefix(f.name, leavePrefix) {
 			time.Sleep(leaveDelay)
 			r.replaceWorker()
@@ -96,10 +98,10 @@
 		}
 		time.Sleep(time.Duration(500+r.rand.IntN(5000)) * time.Millisecond)
 	}
-	open.Wait()
+	active.Wait()
 }
 
-// busiestNodes are the nodes that called the store most since the last question.
+// busiestNodes returns the nodes with the most calls to the store during one second.
 func (r *boundsRun) busiestNodes(count int) []int {
 	before := make([]int64, len(r.storeProxies))
 	for i, d := range r.storeProxies {
@@ -116,7 +118,8 @@
 	return list[:count]
 }
 
-// beginDisturbance notes that something is wrong with nodes, and returns what ends it.
+// beginDisturbance records that a fault affects nodes, and returns a function that records its
+// end.
 func (r *boundsRun) beginDisturbance(nodes []int) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +137,8 @@
 	}
 }
 
-// beginRestart notes that nodes are restarted or frozen, and returns what ends it.
+// beginRestart records that nodes are being restarted or frozen, and returns a function that
+// records the end.
 func (r *boundsRun) beginRestart(nodes []int) func() {
 	end := r.beginDisturbance(nodes)
 	from := time.Now()
@@ -148,8 +152,9 @@
 	}
 }
 
-// reserve are those of the nodes that no other fault has.
-func (r *boundsRun) reserve(nodes []int) (list []int, give func()) {
+// reserve reserves those of the nodes that no other fault has reserved, and returns them with a
+// function that releases them.
+func (r *boundsRun) reserve(nodes []int) (list []int, release func()) {
 	for _, n := range nodes {
 		if r.nodes[n].reserve() {
 			list = append(list, n)
@@ -163,8 +168,8 @@
 }
 
 func (r *boundsRun) kill(nodes []int, length time.Duration) {
-	nodes, give := r.reserve(nodes)
-	defer give()
+	nodes, release := r.reserve(nodes)
+	defer release()
 	defer r.beginRestart(nodes)()
 	for _, n := range nodes {
 		r.nodes[n].end(syscall.SIGKILL)
@@ -176,8 +181,8 @@
 }
 
 func (r *boundsRun) freeze(nodes []int, length time.Duration) {
-	nodes, give := r.reserve(nodes)
-	defer give()
+	nodes, release := r.reserve(nodes)
+	defer release()
 	defer r.beginRestart(nodes)()
 	for _, n := range nodes {
 		r.nodes[n].signal(syscall.SIGSTOP)
@@ -188,10 +193,10 @@
 	}
 }
 
-// roll stops and starts nodes as planned, one after the other.
+// roll performs a planned rolling restart of nodes.
 func (r *boundsRun) roll(nodes []int, _ time.Duration) {
-	nodes, give := r.reserve(nodes)
-	defer give()
+	nodes, release := r.reserve(nodes)
+	defer release()
 	for _, n := range nodes {
 		end := r.beginRestart([]int{n})
 		r.nodes[n].terminate()
@@ -201,17 +206,17 @@
 }
 
 func (r *boundsRun) hangup(nodes []int, _ time.Duration) {
-	nodes, give := r.reserve(nodes)
-	defer give()
+	nodes, release := r.reserve(nodes)
+	defer release()
 	for _, n := range nodes {
 		r.nodes[n].signal(syscall.SIGHUP)
 	}
 }
 
-// disruptStore takes the store away from some nodes; the others reach it.
+// disruptStore disrupts the store for some nodes. The other nodes still reach it.
 func (r *boundsRun) disruptStore(nodes []int, length time.Duration) {
-	how := []platformtest.Disruption{platformtest.Unavailable, platformtest.Hang, platformtest.CloseConnection}[len(nodes)%3]
-	r.disruptCalls(nodes, platformtest.AllCalls, how, length)
+	disruption := []platformtest.Disruption{platformtest.Unavailable, platformtest.Hang, platformtest.CloseConnection}[len(nodes)%3]
+	r.disruptCalls(nodes, platformtest.AllCalls, disruption, length)
 }
 
 func (r *boundsRun) refuseConfigs(nodes []int, length time.Duration) {
@@ -230,15 +235,15 @@
 	r.disruptCalls(nodes, platformtest.ListCalls, platformtest.Hang, length)
 }
 
-func (r *boundsRun) disruptCalls(nodes []int, which platformtest.Calls, how platformtest.Disruption, length time.Duration) {
+func (r *boundsRun) disruptCalls(nodes []int, calls platformtest.Calls, disruption platformtest.Disruption, length time.Duration) {
 	end := r.beginDisturbance(nodes)
-	r.applyDisruption(nodes, which, how, length)
+	r.applyDisruption(nodes, calls, disruption, length)
 	end()
 }
 
-func (r *boundsRun) applyDisruption(nodes []int, which platformtest.Calls, how platformtest.Disruption, length time.Duration) {
+func (r *boundsRun) applyDisruption(nodes []int, calls platformtest.Calls, disruption platformtest.Disruption, length time.Duration) {
 	for _, n := range nodes {
-		r.storeProxies[n].Disrupt(which, how)
+		r.storeProxies[n].Disrupt(calls, disruption)
 	}
 	time.Sleep(length)
 	for _, n := range nodes {
@@ -247,27 +252,28 @@
 }
 
 const (
-	// leaveDelay is how long after the readers were lost workers leave: before any
-	// other node has read the store in their place.
+	// leaveDelay is the time after the readers were disrupted at which workers leave. It is
+	// short enough that no other node has yet read the store in their place.
 	leaveDelay = 50 * time.Millisecond
-	// heartbeatInterval is how often workers confirm their entries, which live for entryBeats
-	// of these.
+	// heartbeatInterval is the interval at which workers renew their entries, which expire
+	// after heartbeatsPerTTL intervals.
 	heartbeatInterval = 1200 * time.Millisecond
 	heartbeatsPerTTL  = 3
-	// relistTime is how long after the store's return lapsed entries count.
+	// relistTime is the time after an outage of the store for which countAfterExpiry counts
+	// probes.
 	relistTime = 2500 * time.Millisecond
 )
 
-// expireEntries takes the store away from all nodes and workers, for longer than entries live.
-// All workers serve on, and list themselves again after its return. One absence ends
-// before the next one begins: in a store that is there, no entry lapses.
+// expireEntries makes the store unavailable to all nodes and workers for longer than the TTL of
+// entries. All workers keep serving and publish their entries again afterwards. Outages don't
+// overlap, because entries never expire while the store is available.
 func (r *boundsRun) expireEntries(_ []int, length time.Duration) {
 	r.expiring.Lock()
 	defer r.expiring.Unlock()
 	end := r.beginStoreOutage()
 	r.site.Store.SetDown(true)
 	time.Sleep(heartbeatInterval * heartbeatsPerTTL)
-	back := r.site.ExpireEntries()
+	republish := r.site.ExpireEntries()
 	time.Sleep(length / 2)
 	r.site.Store.SetDown(false)
 	end()
@@ -275,16 +281,17 @@
 	r.mu.Lock()
 	r.history.expired = append(r.history.expired, span{from: now, to: now.Add(relistTime)})
 	r.mu.Unlock()
-	back(heartbeatInterval)
+	republish(heartbeatInterval)
 }
 
-// takeStoreDown takes the store away from all nodes.
+// takeStoreDown makes the store unavailable to all nodes.
 func (r *boundsRun) takeStoreDown(nodes []int, length time.Duration) {
 	defer r.beginStoreOutage()()
 	r.applyDisruption(nodes, platformtest.AllCalls, platformtest.Unavailable, length)
 }
 
-// beginStoreOutage notes that the store is away from all, and returns what ends it.
+// beginStoreOutage records that the store is unavailable to all, and returns a function that
+// records the end.
 func (r *boundsRun) beginStoreOutage() func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/bounds_limits_test.go
+++ b/internal/soak/bounds_limits_test.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// minAdvertiseTime is how long a worker of the check of bounds names one limit at least, and
-	// namesNone how long it names none at most before.
+	// minAdvertiseTime is the minimum time for which a worker advertises one rate limit.
+	// maxUnlimitedTime is the maximum time for which it advertised none before.
 	minAdvertiseTime = 8 * time.Second
 	maxUnlimitedTime = time.Second
-	// rateLimitedModels are the models that name limits, of four.
+	// rateLimitedModels is the number of model workers, out of four, that advertise rate
+	// limits.
 	rateLimitedModels = 2
 )
 
-// boundsRateLimits are what the workers of the check of bounds name, in requests a second.
+// boundsRateLimits are the rate limits that workers advertise, in requests per second.
 var boundsRateLimits = []float64{0, 0.5, 1, 2, 5}
 
-// pickRateLimited has some of the models name limits as well, which then don't begin anew.
+// pickRateLimited moves some model workers to those that advertise rate limits. These don't
+// restart.
 func (r *boundsRun) pickRateLimited() {
 	for range rateLimitedModels {
 		i := slices.IndexFunc(r.otherWorkers, func(w *platformtest.Worker) bool { return w.Service == "model" })
@@ -32,40 +34,41 @@
 	}
 }
 
-// advertiseLimits has workers name limits until ctx ends: each one for long, then others every
-// second for a while.
-func (r *boundsRun) advertiseLimits(ctx context.Context, draw *rand.Rand) {
+// advertiseLimits makes workers advertise rate limits until ctx ends: each keeps one limit for
+// a long time and then changes it every second for a while.
+func (r *boundsRun) advertiseLimits(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(draw.Int64N(int64(maxUnlimitedTime))))
-		count := 1 + draw.IntN(len(r.rateLimiting))
+		sleep(ctx, time.Duration(rng.Int64N(int64(maxUnlimitedTime))))
+		count := 1 + rng.IntN(len(r.rateLimiting))
 		from := time.Now()
-		var named []rateLimitedWorker
+		var advertised []rateLimitedWorker
 		for _, w := range r.rateLimiting[:count] {
-			l := rateLimitedWorker{worker: w, perSecond: boundsRateLimits[draw.IntN(len(boundsRateLimits))], from: from}
+			l := rateLimitedWorker{worker: w, perSecond: boundsRateLimits[rng.IntN(len(boundsRateLimits))], from: from}
 			advertiseLimit(w, l.perSecond)
-			named = append(named, l)
+			advertised = append(advertised, l)
 		}
-		sleep(ctx, minAdvertiseTime+time.Duration(draw.Int64N(int64(minAdvertiseTime))))
+		sleep(ctx, minAdvertiseTime+time.Duration(rng.Int64N(int64(minAdvertiseTime))))
 		r.mu.Lock()
-		for _, l := range named {
+		for _, l := range advertised {
 			l.to = time.Now()
 			r.rateLimited = append(r.rateLimited, l)
 		}
 		r.mu.Unlock()
-		for range draw.IntN(4) {
-			for _, l := range named {
-				advertiseLimit(l.worker, boundsRateLimits[draw.IntN(len(boundsRateLimits))])
+		for range rng.IntN(4) {
+			for _, l := range advertised {
+				advertiseLimit(l.worker, boundsRateLimits[rng.IntN(len(boundsRateLimits))])
 			}
 			sleep(ctx, time.Second)
 		}
-		for _, l := range named {
+		for _, l := range advertised {
 			l.worker.AnnounceRateLimit("")
 		}
 	}
 }
 
-// limitViolations finds the workers that got more than they allowed, from the nodes to which nothing
-// was done in the contact time before.
+// limitViolations returns a message for each worker that received more requests than its rate
+// limit allows. It ignores requests from nodes that a fault affected during the grace period
+// before.
 func (r *boundsRun) limitViolations() (found []string) {
 	excused := func(a platformtest.Arrival) bool {
 		node, ok := r.nodeOf[a.ID]
@@ -80,13 +83,13 @@
 	highest, sent := 0.0, 0
 	for _, l := range r.rateLimited {
 		allowed := intaketest.Allowed(l.perSecond)
-		got, all := l.maxArrivals(excused)
-		sent += all
+		got, count := l.maxArrivals(excused)
+		sent += count
 		highest = max(highest, float64(got)/float64(allowed))
 		if got > allowed {
-			found = append(found, fmt.Sprintf("%s LIMIT: %s of %s named %v requests a second and got %d in %v, %d are allowed", l.from.Format("05.000"), l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed))
+			found = append(found, fmt.Sprintf("%s LIMIT: %s of %s advertised %v requests per second and received %d in %v, %d are allowed", l.from.Format("05.000"), l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed))
 		}
 	}
-	r.t.Logf("%d times workers named limits, %d requests reached them then, at most %.2f of what is allowed", len(r.rateLimited), sent, highest)
+	r.t.Logf("%d advertised rate limits, %d requests received meanwhile, at most %.2f of what is allowed", len(r.rateLimited), sent, highest)
 	return found
 }
--- a/internal/soak/bounds_operator_test.go
+++ b/internal/soak/bounds_operator_test.go
@@ -43,14 +43,14 @@
 
 func manyPath(i int) string { return fmt.Sprintf("/many/%d/", i) }
 
-// operate changes the configuration until ctx ends: single changes, storms, many
-// routes more or less, and now and then one that must be refused.
-func (r *boundsRun) operate(ctx context.Context, draw *rand.Rand) {
+// operate changes the configuration until ctx ends: single changes, bursts of changes, the
+// addition or removal of many routes, and occasionally an invalid version.
+func (r *boundsRun) operate(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		count, gap := 1, time.Duration(0)
-		switch draw.IntN(5) {
+		switch rng.IntN(5) {
 		case 0:
-			count, gap = 4+draw.IntN(12), time.Duration(60+draw.IntN(360))*time.Millisecond
+			count, gap = 4+rng.IntN(12), time.Duration(60+rng.IntN(360))*time.Millisecond
 		case 1:
 			r.mu.Lock()
 			r.hasManyRoutes = !r.hasManyRoutes
@@ -59,52 +59,51 @@
 			r.publishInvalid()
 		}
 		for range count {
-			r.publish(func(c *platformtest.Config) { c.Version += 1 + 2*uint64(draw.IntN(3)) })
+			r.publish(func(c *platformtest.Config) { c.Version += 1 + 2*uint64(rng.IntN(3)) })
 			sleep(ctx, gap)
 		}
-		sleep(ctx, time.Duration(300+draw.IntN(5200))*time.Millisecond)
+		sleep(ctx, time.Duration(300+rng.IntN(5200))*time.Millisecond)
 	}
 }
 
-// replaceWorkers has one worker after the other leave; another one takes its place.
-func (r *boundsRun) replaceWorkers(ctx context.Context, draw *rand.Rand) {
+// replaceWorkers replaces one worker after the other until ctx ends.
+func (r *boundsRun) replaceWorkers(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(1000+draw.IntN(3000))*time.Millisecond)
+		sleep(ctx, time.Duration(1000+rng.IntN(3000))*time.Millisecond)
 		r.replaceWorker()
 	}
 }
 
-// replaceWorker has a worker leave. Every second one says so; the entry of the others
-// goes, and they serve on. In runs of the first troubles all say so.
+// replaceWorker makes a worker leave and adds a replacement. Every second one leaves
+// unannounced: its entry is removed, and it keeps serving. With baseFaults all announce it.
 func (r *boundsRun) replaceWorker() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := r.site.AddWorkers("desk", 1)[0]
 	r.serviceOf[next.ID] = "desk"
-	gone := r.deskWorkers[0]
+	leaving := r.deskWorkers[0]
 	r.deskWorkers = append(r.deskWorkers[1:], next)
 	if len(r.retired)%2 == 0 || r.faults == baseFaults {
-		gone.Drain()
+		leaving.Drain()
 	} else {
-		gone.Unlist()
+		leaving.Unlist()
 	}
-	r.retired = append(r.retired, gone)
+	r.retired = append(r.retired, leaving)
 }
 
-// restartWorkers has one worker of a model or a stage after the other begin anew under its
-// id.
-func (r *boundsRun) restartWorkers(ctx context.Context, draw *rand.Rand) {
+// restartWorkers restarts random model and stage workers under their IDs until ctx ends.
+func (r *boundsRun) restartWorkers(ctx context.Context, rng *rand.Rand) {
 	for {
-		sleep(ctx, time.Duration(3000+draw.IntN(6000))*time.Millisecond)
+		sleep(ctx, time.Duration(3000+rng.IntN(6000))*time.Millisecond)
 		if ctx.Err() != nil {
 			return
 		}
-		r.otherWorkers[draw.IntN(len(r.otherWorkers))].Restart()
+		r.otherWorkers[rng.IntN(len(r.otherWorkers))].Restart()
 	}
 }
 
-// publishInvalid writes a configuration that nodes must refuse as a whole, and
-// that a valid one with a higher version soon follows.
+// publishInvalid writes a configuration that nodes must refuse as a whole. A valid one with a
+// higher version follows soon.
 func (r *boundsRun) publishInvalid() {
 	r.mu.Lock()
 	r.config.Version++
--- a/internal/soak/bounds_signals_test.go
+++ b/internal/soak/bounds_signals_test.go
@@ -11,20 +11,21 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// A worker that announces draining stays listed as ready for drainingListed at least, and as long
-// again at most.
+// minDrainingListed is the minimum time for which a worker that announces draining stays listed
+// as ready. The maximum is twice as long.
 const minDrainingListed = 4 * time.Second
 
-// drainedWorker is a worker that announced draining, until the store was to list it so.
+// drainedWorker is a worker that announced draining, with the time from the announcement until
+// it was drained in the store.
 type drainedWorker struct {
 	worker *platformtest.Worker
 	from   time.Time
 	to     time.Time
 }
 
-// announceDraining has one worker after the other announce draining in its answers, while the store
-// lists it as ready.
-func (r *boundsRun) announceDraining(ctx context.Context, draw *rand.Rand) {
+// announceDraining makes one worker after the other announce draining in its responses while
+// the store lists it as ready.
+func (r *boundsRun) announceDraining(ctx context.Context, rng *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		service := []string{"desk", "model"}[n%2]
 		w := r.addWorker(service)
@@ -34,7 +35,7 @@
 		r.drainingSince[w.ID] = a.from
 		r.mu.Unlock()
 		w.AnnounceDraining(true)
-		sleep(ctx, minDrainingListed+time.Duration(draw.Int64N(int64(minDrainingListed))))
+		sleep(ctx, minDrainingListed+time.Duration(rng.Int64N(int64(minDrainingListed))))
 		a.to = time.Now()
 		w.Drain()
 		r.mu.Lock()
@@ -51,21 +52,21 @@
 	return w
 }
 
-// rejectRequests has two workers of a desk and two of the models reject requests with backoffs that
-// come and go.
-func (r *boundsRun) rejectRequests(ctx context.Context, draw *rand.Rand) {
+// rejectRequests makes two desk workers and two model workers reject requests with backoffs
+// from time to time.
+func (r *boundsRun) rejectRequests(ctx context.Context, rng *rand.Rand) {
 	for _, service := range []string{"desk", "desk", "model", "model"} {
 		r.rejecting = append(r.rejecting, r.addWorker(service))
 	}
 	for ctx.Err() == nil {
-		for _, w := range r.rejecting[:1+draw.IntN(len(r.rejecting))] {
-			w.RejectEvery(1+draw.IntN(maxRejectInterval), randomDuration(draw, 500, 3000))
+		for _, w := range r.rejecting[:1+rng.IntN(len(r.rejecting))] {
+			w.RejectEvery(1+rng.IntN(maxRejectInterval), randomDuration(rng, 500, 3000))
 		}
-		sleep(ctx, randomDuration(draw, 500, 5000))
+		sleep(ctx, randomDuration(rng, 500, 5000))
 		for _, w := range r.rejecting {
 			w.RejectEvery(0, 0)
 		}
-		sleep(ctx, randomDuration(draw, 200, 1500))
+		sleep(ctx, randomDuration(rng, 200, 1500))
 	}
 }
 
@@ -74,7 +75,7 @@
 	r.signals.RecordRequest(id, strconv.Itoa(node), at)
 }
 
-// recordAnswer records the answer to a request that was sent at a moment.
+// recordAnswer records the response to a request if it announces draining.
 func (r *boundsRun) recordAnswer(a platformtest.Response, node int, sent time.Time) {
 	parts := strings.Split(a.Stamp, ".")
 	if len(parts) < 2 {
@@ -88,27 +89,28 @@
 	}
 }
 
-// signalViolations finds the requests that reached workers which drain or are in backoff, from nodes
-// that were neither restarted nor frozen.
+// signalViolations returns a message for each violation of draining or backoff. It ignores
+// requests from nodes that were being restarted or frozen.
 func (r *boundsRun) signalViolations() (found []string) {
 	r.signals.Excused = func(node string, from, to time.Time) bool {
 		n, err := strconv.Atoi(node)
 		return err == nil && overlaps(r.restarted[n], from, to)
 	}
-	known, late := 0, 0
+	notified, late := 0, 0
 	for _, a := range r.drainedWorkers {
-		known += r.signals.NodesNotified(a.worker.ID)
+		notified += r.signals.NodesNotified(a.worker.ID)
 		arrivals := arrivalsBetween(a.worker.Arrivals(), a.from, a.to)
 		late += len(arrivals)
 		found = append(found, withPrefix("DRAINING", r.signals.DrainingViolations(a.worker.ID, arrivals))...)
 	}
 	rejected := 0
 	for _, w := range r.rejecting {
-		// Calls of other nodes than the leader, for lists of what a model holds, carry no id.
+		// Nodes other than the leader also query a model worker for its cache contents. These
+		// calls have no ID.
 		arrivals := slices.DeleteFunc(w.Arrivals(), func(a platformtest.Arrival) bool { return a.ID == "" })
 		rejected += len(w.Rejections())
 		found = append(found, withPrefix("BACKOFF", r.signals.BackoffViolations(w.Rejections(), arrivals))...)
 	}
-	r.t.Logf("%d workers drained unlisted, told %d nodes and got %d requests; %d requests were rejected with a backoff", len(r.drainedWorkers), known, late, rejected)
+	r.t.Logf("%d workers announced draining while listed as ready, notified %d nodes and received %d requests; %d requests were rejected with a backoff", len(r.drainedWorkers), notified, late, rejected)
 	return found
 }
--- a/internal/soak/bounds_test.go
+++ b/internal/soak/bounds_test.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	boundsDeployment = flag.String("bounds", "", "deployment file under testdata whose bounds of configuration changes are checked; empty runs 12 nodes and checks only what no machine's speed decides")
-	programPath      = flag.String("program", "", "program to run as a node; empty builds this tree's")
-	onlyFault        = flag.String("fault", "", "the only kind of fault to bring; empty brings all")
+	boundsDeployment = flag.String("bounds", "", "deployment file under testdata, by its name without .yaml, whose bounds on configuration changes are checked; if empty, 12 nodes run and only what does not depend on the speed of the machine is checked")
+	programPath      = flag.String("program", "", "node program; if empty, it is built from this source tree")
+	onlyFault        = flag.String("fault", "", "the only kind of fault to inject; if empty, all kinds are injected")
 )
 
-// deployment is a deployment file.
+// deployment is the contents of a deployment file.
 type deployment struct {
 	Instances []struct {
 		Domain   string  `yaml:"domain"`
@@ -64,29 +64,31 @@
 	return bounds{apply: ms(d.ApplyMS), rollback: ms(d.RollbackSlackMS), contact: ms(d.ContactMS), skew: ms(d.SkewMS)}
 }
 
-// boundsRun is one seed's system, its operator and its probes.
+// boundsRun is the system under test for one seed, with its operator and its probes.
 type boundsRun struct {
 	t          *testing.T
 	rand       *rand.Rand
 	deployment deployment
-	// faults are those that the run has beside its faults.
+	// faults selects the faults that the run has in addition to those of the kind under test.
 	faults       faultSet
 	site         *platformtest.Site
 	storeProxies []*platformtest.StoreProxy
 	nodes        []*process
 	logs         string
-	serviceOf    map[string]string // service by worker
-	// deskWorkers are the workers of "desk", retired those that have said they leave.
+	serviceOf    map[string]string // by worker ID
+	// deskWorkers are the current workers of "desk". retired are the workers that have left it.
 	deskWorkers, retired []*platformtest.Worker
-	// otherWorkers are the workers of models and stages.
+	// otherWorkers are the workers of models and stages that may restart.
 	otherWorkers []*platformtest.Worker
-	// rateLimiting are the workers that name limits, and limited when they did so for long;
-	// sentTo is the node that each request of the load was sent to.
+	// rateLimiting are the workers that advertise rate limits. rateLimited are the periods in
+	// which one kept a limit. nodeOf maps the requests of the load to the nodes to which they
+	// were sent.
 	rateLimiting []*platformtest.Worker
 	rateLimited  []rateLimitedWorker
 	nodeOf       map[string]int
-	// signals is what clients sent and saw; draining are the workers that announced draining, and
-	// since when, drained those that the store was to list so since.
+	// signals is what clients sent and received. drainingSince are the workers that announced
+	// draining. drainedWorkers are those that have done so until they were drained in the store
+	// too.
 	signals        signaltest.Log
 	drainingSince  map[string]time.Time
 	drainedWorkers []drainedWorker
@@ -95,33 +97,33 @@
 	restarted map[int][]span
 	probes    atomic.Int64
 	poisons   *poisons
-	// expiring is held while entries lapse.
+	// expiring is held while entries expire.
 	expiring sync.Mutex
 
 	mu           sync.Mutex
 	history      history
 	observations []observation
-	// wronglyRefused are requests that were refused as if they crashed workers.
+	// wronglyRefused are ordinary requests that were refused as ones that crash workers.
 	wronglyRefused  []string
 	config          platformtest.Config
 	hasManyRoutes   bool
 	invalidVersions []uint64
 }
 
-// boundsCase is one run of the check of bounds.
+// boundsCase is one run of the check of a deployment's bounds.
 type boundsCase struct {
 	seed uint64
-	// fault is the only kind of fault that comes; empty brings all.
+	// fault is the only kind of fault injected. If empty, all kinds are injected.
 	fault string
 	cause string
-	// faults is what troubles the run has beside, and deadly how many requests that crash
-	// workers if it is not the usual number.
+	// faults selects additional faults. poisonCount is the number of requests that crash
+	// workers, or 0 for the default.
 	faults      faultSet
 	poisonCount int
 }
 
-// boundsRegressions are the runs that ever failed, with the cause. They are run again
-// whenever a deployment is given and no kind of fault is.
+// boundsRegressions are runs that failed once, with the cause. They run if a deployment is
+// given and no kind of fault is.
 var boundsRegressions = []boundsCase{
 	{seed: 11, fault: "cut readers", cause: causeSubstitutesStopped},
 	{seed: 12, fault: "configurations refused", cause: causeListHidConfig},
@@ -131,19 +133,19 @@
 }
 
 const (
-	causeListHidConfig      = "readers that got no configuration were taken for sound, since their lists were read"
-	causeSubstitutesStopped = "nodes that stood in for the readers ceased to as soon as they had read a list"
-	causeNoFurtherReaders   = "when those that stood in were cut off too, no other node tried the store"
+	causeListHidConfig      = "readers that could not read the configuration were considered healthy because they could read the list"
+	causeSubstitutesStopped = "nodes that substituted for the readers stopped doing so as soon as they had read a list"
+	causeNoFurtherReaders   = "when the substitute readers were cut off too, no other node tried to reach the store"
 )
 
-// defaultDeployment is the deployment that is run when none is given.
+// defaultDeployment is the deployment used if none is given.
 const defaultDeployment = "12-nodes"
 
-// TestConfigurationBounds runs a whole deployment as separate processes, changes
-// its configuration all the time, and has nodes and their ways to the store fail. No
-// node goes back to an older version in its life, none serves one that must be
-// refused, and all serve the newest in the end. With a deployment given, by hand, each
-// answer is also held against that deployment's bounds.
+// TestConfigurationBounds runs a whole deployment as separate processes, changes its
+// configuration continuously, and disrupts nodes and their connections to the store. It checks
+// that no node reverts to an older version until it is restarted, that none serves an invalid
+// version, and that all serve the newest one in the end. If a deployment is given, it also
+// checks each response against the bounds of that deployment.
 func TestConfigurationBounds(t *testing.T) {
 	program := *programPath
 	if program == "" {
@@ -163,14 +165,14 @@
 
 func checkBounds(t *testing.T, program string, c boundsCase) {
 	if !isFaultKind(c.fault) {
-		// None would ever be drawn.
-		t.Fatalf("no kind of fault %q", c.fault)
+		// An unknown kind would never be drawn, and the run would not end.
+		t.Fatalf("unknown kind of fault %q", c.fault)
 	}
 	seed := c.seed
 	d := readDeployment(t, cmp.Or(*boundsDeployment, defaultDeployment))
 	r := &boundsRun{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)), deployment: d, faults: c.faults, site: platformtest.NewSite(t), serviceOf: make(map[string]string), nodeOf: make(map[string]int), drainingSince: make(map[string]time.Time), restarted: make(map[int][]span),
-		// Every second seed begins with the many routes.
+		// Every second seed begins with many routes.
 		hasManyRoutes: seed%2 == 0,
 		history:       history{bounds: d.bounds(), disturbed: make(map[int][]span)},
 	}
@@ -179,40 +181,40 @@
 	r.publish(func(c *platformtest.Config) { c.Version = 1 })
 	r.startNodes(program, seed)
 	ctx, stop := context.WithCancel(context.Background())
-	var busy sync.WaitGroup
+	var background sync.WaitGroup
 	for i := range r.nodes {
-		busy.Go(func() { r.probeLoop(ctx, i, probeMark, probeMoved, probeKey, probeMany) })
-		// Its answers take long.
-		busy.Go(func() { r.probeLoop(ctx, i, probeMute) })
+		background.Go(func() { r.probeLoop(ctx, i, probeMark, probeMoved, probeKey, probeMany) })
+		// Separate from the other probes because its responses take long.
+		background.Go(func() { r.probeLoop(ctx, i, probeMute) })
 	}
-	busy.Go(func() { r.replaceWorkers(ctx, rand.New(rand.NewPCG(seed, 5))) })
+	background.Go(func() { r.replaceWorkers(ctx, rand.New(rand.NewPCG(seed, 5))) })
 	if c.faults >= restartFaults {
-		busy.Go(func() { r.restartWorkers(ctx, rand.New(rand.NewPCG(seed, laterSeed))) })
+		background.Go(func() { r.restartWorkers(ctx, rand.New(rand.NewPCG(seed, laterSeed))) })
 	}
 	if c.faults >= rateLimitFaults {
-		busy.Go(func() { r.advertiseLimits(ctx, rand.New(rand.NewPCG(seed, limitsSeed))) })
+		background.Go(func() { r.advertiseLimits(ctx, rand.New(rand.NewPCG(seed, limitsSeed))) })
 	}
 	if c.faults >= signalFaults {
-		busy.Go(func() { r.announceDraining(ctx, rand.New(rand.NewPCG(seed, signalsSeed))) })
-		busy.Go(func() { r.rejectRequests(ctx, rand.New(rand.NewPCG(seed, signalsSeed+1))) })
+		background.Go(func() { r.announceDraining(ctx, rand.New(rand.NewPCG(seed, signalsSeed))) })
+		background.Go(func() { r.rejectRequests(ctx, rand.New(rand.NewPCG(seed, signalsSeed+1))) })
 	}
-	busy.Go(func() { r.operate(ctx, rand.New(rand.NewPCG(seed, 2))) })
+	background.Go(func() { r.operate(ctx, rand.New(rand.NewPCG(seed, 2))) })
 	for i := range *clientCount {
-		busy.Go(func() { r.sendLoad(ctx, i) })
+		background.Go(func() { r.sendLoad(ctx, i) })
 	}
-	lasts := time.Duration(*secondsEach * float64(time.Second))
+	duration := time.Duration(*secondsEach * float64(time.Second))
 	r.poisons = newPoisons(r.site, r.frontAddresses(), seed, c.poisonRequests())
-	busy.Go(func() { r.poisons.send(ctx, lasts/2) })
-	r.injectFaults(lasts, c.fault)
+	background.Go(func() { r.poisons.send(ctx, duration/2) })
+	r.injectFaults(duration, c.fault)
 	time.Sleep(recoveryTime)
 	stop()
-	busy.Wait()
+	background.Wait()
 	r.awaitNewest()
 	r.verify(*boundsDeployment != "")
 }
 
-// poisonRequests is how many requests that crash workers a run has: none when it brings one other
-// kind of fault.
+// poisonRequests returns the number of requests that crash workers. It is 0 if the run is
+// restricted to another kind of fault.
 func (c boundsCase) poisonRequests() int {
 	if c.fault != "" && c.fault != poisonFault {
 		return 0
@@ -220,7 +222,7 @@
 	return cmp.Or(c.poisonCount, *poisonCount)
 }
 
-// frontAddresses lists where clients reach the nodes.
+// frontAddresses returns the addresses at which clients reach the nodes.
 func (r *boundsRun) frontAddresses() []string {
 	var list []string
 	for _, p := range r.nodes {
@@ -260,21 +262,21 @@
 	if err := os.MkdirAll(r.logs, 0o700); err != nil {
 		r.t.Fatal(err)
 	}
-	var known []string
+	var seedPeers []string
 	for _, kind := range r.deployment.Instances {
 		for range kind.Count {
-			door := r.site.AddStoreProxy()
-			store := startShapedProxy(r.t, door.Address, kind.LinkMbps)
-			text, addresses := r.site.SettingsFor(platformtest.Instance{Zone: kind.Domain, CPUShare: kind.CPUShare, MemoryMB: kind.MemoryMB, Store: store}, known...)
+			storeProxy := r.site.AddStoreProxy()
+			store := startShapedProxy(r.t, storeProxy.Address, kind.LinkMbps)
+			text, addresses := r.site.SettingsFor(platformtest.Instance{Zone: kind.Domain, CPUShare: kind.CPUShare, MemoryMB: kind.MemoryMB, Store: store}, seedPeers...)
 			peer := startShapedProxy(r.t, addresses.Peer, kind.LinkMbps)
-			if len(known) < maxSeeds {
-				known = append(known, peer)
+			if len(seedPeers) < maxSeeds {
+				seedPeers = append(seedPeers, peer)
 			}
 			p := &process{
 				Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", len(r.nodes)+1), program: program, logs: r.logs, grace: gracePeriod,
 				settings: r.site.WriteSettings(text), peer: peer,
 			}
-			r.storeProxies = append(r.storeProxies, door)
+			r.storeProxies = append(r.storeProxies, storeProxy)
 			r.nodes = append(r.nodes, p)
 			p.start()
 		}
@@ -294,53 +296,53 @@
 	time.Sleep(r.history.contact)
 }
 
-// probeLoop asks one node questions all the time.
-func (r *boundsRun) probeLoop(ctx context.Context, node int, questions ...probeKind) {
-	draw := rand.New(rand.NewPCG(uint64(node), 3))
+// probeLoop probes one node until ctx ends.
+func (r *boundsRun) probeLoop(ctx context.Context, node int, kinds ...probeKind) {
+	rng := rand.New(rand.NewPCG(uint64(node), 3))
 	transport := &http.Transport{DisableCompression: true}
 	for ctx.Err() == nil {
-		for _, q := range questions {
-			r.probe(transport, node, q, draw)
+		for _, q := range kinds {
+			r.probe(transport, node, q, rng)
 		}
-		sleep(ctx, time.Duration(150+draw.IntN(150))*time.Millisecond)
+		sleep(ctx, time.Duration(150+rng.IntN(150))*time.Millisecond)
 	}
 }
 
-// probe asks a node one question: for the mark of the newest version, or with a key
-// of it or of the one before it.
-func (r *boundsRun) probe(transport *http.Transport, node int, asks probeKind, draw *rand.Rand) {
+// probe sends one probe to a node. Probes of the version-specific route use the newest version.
+// Probes of the key use the newest version or the one before it.
+func (r *boundsRun) probe(transport *http.Transport, node int, kind probeKind, rng *rand.Rand) {
 	r.mu.Lock()
 	list := r.history.versions
-	about := list[len(list)-1].version
-	if asks == probeKey {
-		about = list[max(0, len(list)-1-draw.IntN(2))].version
+	version := list[len(list)-1].version
+	if kind == probeKey {
+		version = list[max(0, len(list)-1-rng.IntN(2))].version
 	}
 	r.mu.Unlock()
 	path, key := "/read/", apiKey
-	switch asks {
+	switch kind {
 	case probeMark:
-		path = versionPath(about)
+		path = versionPath(version)
 	case probeKey:
-		key = versionKey(about)
+		key = versionKey(version)
 	case probeMoved:
 		path = "/moved/"
 	case probeMute:
 		path = "/mute/"
 	case probeMany:
-		path = manyPath(draw.IntN(r.deployment.ManyRoutes))
+		path = manyPath(rng.IntN(r.deployment.ManyRoutes))
 	}
 	p := r.nodes[node]
-	life := p.currentIncarnation()
+	incarnation := p.currentIncarnation()
 	id := probeName(node, r.probes.Add(1))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	o := observation{node: node, incarnation: life, kind: asks, version: about, sent: time.Now()}
+	o := observation{node: node, incarnation: incarnation, kind: kind, version: version, sent: time.Now()}
 	r.recordSent(id, node, o.sent)
 	a := platformtest.DoOn(ctx, transport, p.Front, platformtest.Request{ID: id, Path: path, Key: key, Deadline: 2 * time.Second})
 	o.got = time.Now()
 	r.recordRefusal(id, a)
 	r.recordAnswer(a, node, o.sent)
-	if a.Err != nil || p.currentIncarnation() != life {
+	if a.Err != nil || p.currentIncarnation() != incarnation {
 		return
 	}
 	o.status = a.Status
@@ -354,7 +356,7 @@
 	r.mu.Unlock()
 }
 
-// recordRefusal notes a request that is refused as if it crashed workers.
+// recordRefusal records a request that was wrongly refused as one that crashes workers.
 func (r *boundsRun) recordRefusal(id string, a platformtest.Response) {
 	if !refusedAsPoison(a) {
 		return
@@ -364,27 +366,27 @@
 	r.wronglyRefused = append(r.wronglyRefused, id)
 }
 
-// sendLoad sends requests of all kinds to any node.
+// sendLoad sends requests of all kinds to random nodes until ctx ends.
 func (r *boundsRun) sendLoad(ctx context.Context, number int) {
-	draw := rand.New(rand.NewPCG(uint64(number), 4))
+	rng := rand.New(rand.NewPCG(uint64(number), 4))
 	transport := &http.Transport{DisableCompression: true}
 	for n := 0; ctx.Err() == nil; n++ {
-		k := requestKinds[draw.IntN(len(requestKinds))]
-		limited, cancel := context.WithTimeout(ctx, clientDeadline)
+		k := requestKinds[rng.IntN(len(requestKinds))]
+		requestCtx, cancel := context.WithTimeout(ctx, clientDeadline)
 		id := fmt.Sprintf("c%d-%d", number, n)
-		node := draw.IntN(len(r.nodes))
+		node := rng.IntN(len(r.nodes))
 		r.mu.Lock()
 		r.nodeOf[id] = node
 		r.mu.Unlock()
 		sent := time.Now()
 		r.recordSent(id, node, sent)
-		a := platformtest.DoOn(limited, transport, r.nodes[node].Front, platformtest.Request{
+		a := platformtest.DoOn(requestCtx, transport, r.nodes[node].Front, platformtest.Request{
 			ID: id, Path: k.path + "x", Key: apiKey, Deadline: clientDeadline,
 			Streaming: k.stream, Pieces: k.pieces, Prefix: fmt.Sprintf("a%d:10,b%d:20", number, n%7),
 		})
 		r.recordRefusal(id, a)
 		r.recordAnswer(a, node, sent)
 		cancel()
-		sleep(ctx, time.Duration(minPauseMS+draw.IntN(maxPauseMS))*time.Millisecond)
+		sleep(ctx, time.Duration(minPauseMS+rng.IntN(maxPauseMS))*time.Millisecond)
 	}
 }
--- a/internal/soak/bounds_verify_test.go
+++ b/internal/soak/bounds_verify_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// probeName is the id of a probe, which tells the node it was sent to.
+// probeName returns the ID of a probe, which contains the node it is sent to.
 func probeName(node int, number int64) string {
 	return fmt.Sprintf("%s%d-%d", probePrefix, node, number)
 }
 
-// drainViolations finds the probes that nodes in touch sent to workers which had left long
-// before, with or without a word.
+// drainViolations returns a message for each probe that a node in contact sent to a worker that
+// had left, announced or not, longer ago than the drain bound.
 func (r *boundsRun) drainViolations() []string {
 	var found []string
 	for _, w := range r.retired {
@@ -29,49 +29,48 @@
 			if overlaps(r.history.disturbed[node], calm, late.At) || overlaps(r.history.storeOutages, calm, late.At) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("%s node-%d DRAIN: sent a request to %s %v after the store had taken that it leaves", late.At.Format("05.000"), node+1, w.ID, late.After.Round(time.Millisecond)))
+			found = append(found, fmt.Sprintf("%s node-%d DRAIN: sent a request to %s %v after the store had accepted that it leaves", late.At.Format("05.000"), node+1, w.ID, late.After.Round(time.Millisecond)))
 		}
 	}
 	return found
 }
 
-// poisonViolations finds the requests that crash workers and are not refused by all nodes, and
-// others that are. How many workers they crash late is held against the bound only in runs
-// of a given deployment.
+// poisonViolations returns a message for each request that crashes workers and is not refused
+// by all nodes, and for each other request that is refused for this reason. It checks the
+// number of late crashes only if timed is set.
 func (r *boundsRun) poisonViolations(timed bool) []string {
 	found := r.poisons.settle()
-	late, told := r.poisons.lateCrashes(r.history.contact, func(t poisonAttempt) bool {
+	late, summary := r.poisons.lateCrashes(r.history.contact, func(t poisonAttempt) bool {
 		calm := t.at.Add(-r.history.contact)
 		return !overlaps(r.history.disturbed[t.node], calm, t.at) && !overlaps(r.history.storeOutages, calm, t.at)
 	})
-	r.t.Logf("requests that crash workers: %v", told)
+	r.t.Logf("requests that crash workers: %v", summary)
 	if timed {
 		found = append(found, late...)
 	}
 	for _, id := range r.wronglyRefused {
-		found = append(found, fmt.Sprintf("OTHERS: %s is refused as if it crashed workers", id))
+		found = append(found, fmt.Sprintf("OTHERS: %s is wrongly refused as a request that crashes workers", id))
 	}
 	return found
 }
 
-// countAfterExpiry counts the questions in the seconds after the store's return, when entries had
-// lapsed, and those that were refused for want of a worker. The workers served all the
-// while.
-func (r *boundsRun) countAfterExpiry() (asked, refused int) {
+// countAfterExpiry counts the probes sent within relistTime after an outage of the store in
+// which entries expired, and how many of them were refused because no worker was available. All
+// workers kept serving.
+func (r *boundsRun) countAfterExpiry() (probes, refused int) {
 	for _, o := range r.observations {
 		if !overlaps(r.history.expired, o.sent, o.sent) || overlaps(r.history.disturbed[o.node], o.sent.Add(-r.history.contact), o.got) {
 			continue
 		}
-		asked++
+		probes++
 		if o.status == http.StatusServiceUnavailable {
 			refused++
 		}
 	}
-	return asked, refused
+	return probes, refused
 }
 
-// maxRefusedOneIn is the part of the questions after the store's return, as a divisor, that
-// may be refused.
+// At most one in maxRefusedOneIn probes may be refused after such an outage.
 const maxRefusedOneIn = 20
 
 // awaitNewest waits until every node serves the newest version.
@@ -85,15 +84,15 @@
 	}
 }
 
-// mostHeld is how many answers may come more than slowEnd after their route's time, if
-// they are no more than a quarter of those on the route.
+// Up to maxOverdue responses, or a quarter of those on the route, may arrive more than overdueSlack
+// after the route's timeout.
 const (
 	maxOverdue   = 7
 	overdueSlack = 500 * time.Millisecond
 )
 
-// verify holds all answers against the bounds; those that the machine's speed decides
-// only if timed.
+// verify checks all responses. Bounds that depend on the speed of the machine are checked only
+// if timed is set.
 func (r *boundsRun) verify(timed bool) {
 	lives := make(map[[2]int][]observation)
 	counts := make(map[string]int)
@@ -101,25 +100,25 @@
 	report := func(o observation, text string) {
 		found = append(found, fmt.Sprintf("%s node-%d %s", o.sent.Format("05.000"), o.node+1, text))
 	}
-	inTouch, refusedMany, askedMany, held, askedMute := 0, 0, 0, 0, 0
+	inContact, manyRefused, manyProbes, overdue, muteProbes := 0, 0, 0, 0, 0
 	for _, o := range r.observations {
 		lives[[2]int{o.node, o.incarnation}] = append(lives[[2]int{o.node, o.incarnation}], o)
 		counts[fmt.Sprintf("%s %d", o.kind, o.status)]++
-		if why := r.history.checkStale(o); timed && why != "" {
-			report(o, why)
+		if violation := r.history.checkStale(o); timed && violation != "" {
+			report(o, violation)
 		}
 		if !overlaps(r.history.disturbed[o.node], o.sent.Add(-r.history.contact), o.got) {
-			inTouch++
+			inContact++
 			if o.kind == probeMute {
-				askedMute++
+				muteProbes++
 				if r.history.overdue(o) > overdueSlack {
-					held++
+					overdue++
 				}
 			}
 			if o.kind == probeMany && o.status != http.StatusNotFound {
-				askedMany++
+				manyProbes++
 				if o.status != http.StatusOK {
-					refusedMany++
+					manyRefused++
 				}
 			}
 		}
@@ -129,9 +128,9 @@
 			}
 		}
 	}
-	for life, list := range lives {
-		for _, why := range r.history.findRollbacks(list) {
-			found = append(found, fmt.Sprintf("node-%d %s", life[0]+1, why))
+	for key, list := range lives {
+		for _, violation := range r.history.findRollbacks(list) {
+			found = append(found, fmt.Sprintf("node-%d %s", key[0]+1, violation))
 		}
 	}
 	if timed {
@@ -140,17 +139,17 @@
 	found = append(found, r.poisonViolations(timed)...)
 	found = append(found, r.limitViolations()...)
 	found = append(found, r.signalViolations()...)
-	afterReturn, refusedThen := r.countAfterExpiry()
-	if timed && refusedThen*maxRefusedOneIn > afterReturn {
-		found = append(found, fmt.Sprintf("LAPSED: %d of %d questions after the store's return were refused, though the workers served", refusedThen, afterReturn))
+	afterOutage, refusedAfter := r.countAfterExpiry()
+	if timed && refusedAfter*maxRefusedOneIn > afterOutage {
+		found = append(found, fmt.Sprintf("LAPSED: %d of %d probes after an outage of the store were refused, although the workers kept serving", refusedAfter, afterOutage))
 	}
-	if timed && held > maxOverdue && held > askedMute/4 {
-		found = append(found, fmt.Sprintf("HELD: %d of %d requests had no answer %v after their route's time", held, askedMute, overdueSlack))
+	if timed && overdue > maxOverdue && overdue > muteProbes/4 {
+		found = append(found, fmt.Sprintf("HELD: %d of %d requests had no response %v after their route's timeout", overdue, muteProbes, overdueSlack))
 	}
-	if timed && askedMany > 20 && refusedMany > askedMany/4 {
-		found = append(found, fmt.Sprintf("ADDED: %d of %d requests on added routes were not served", refusedMany, askedMany))
+	if timed && manyProbes > 20 && manyRefused > manyProbes/4 {
+		found = append(found, fmt.Sprintf("ADDED: %d of %d requests on added routes were not served", manyRefused, manyProbes))
 	}
-	r.t.Logf("%d versions, %d must be refused, %d workers replaced, %d answers, %d from nodes in touch, %d of %d held, %d of %d refused after lapses; %v", len(r.history.versions), len(r.invalidVersions), len(r.retired), len(r.observations), inTouch, held, askedMute, refusedThen, afterReturn, counts)
+	r.t.Logf("%d versions, %d invalid ones, %d workers replaced, %d responses, %d from nodes in contact, %d of %d overdue, %d of %d refused after entries expired; %v", len(r.history.versions), len(r.invalidVersions), len(r.retired), len(r.observations), inContact, overdue, muteProbes, refusedAfter, afterOutage, counts)
 	r.logDelays()
 	if len(found) > 0 {
 		sort.Strings(found)
@@ -158,11 +157,11 @@
 		for _, f := range found[:min(len(found), 40)] {
 			fmt.Fprintln(&b, f)
 		}
-		r.t.Errorf("%d answers out of bounds (%v), logs in %s:\n%s", len(found), kindsOf(found), r.logs, b.String())
+		r.t.Errorf("%d violations (%v), logs in %s:\n%s", len(found), kindsOf(found), r.logs, b.String())
 	}
 }
 
-// kindsOf counts what was found by its kind, the word in capitals.
+// kindsOf counts the messages by kind, which is their first word in capitals.
 func kindsOf(found []string) map[string]int {
 	kinds := make(map[string]int)
 	for _, f := range found {
@@ -176,8 +175,8 @@
 	return kinds
 }
 
-// logDelays logs how long after its acknowledgement a version was first seen on
-// nodes in touch.
+// logDelays logs how long after its acknowledgement a version first appeared on nodes in
+// contact.
 func (r *boundsRun) logDelays() {
 	var delays []time.Duration
 	first := make(map[[2]uint64]bool)
@@ -199,6 +198,6 @@
 		return
 	}
 	sort.Slice(delays, func(i, j int) bool { return delays[i] < delays[j] })
-	r.t.Logf("%d first answers by a version on nodes in touch: median %v, 95th %v, 99th %v, latest %v after its acknowledgement", len(delays),
+	r.t.Logf("%d first responses from a version on nodes in contact: median %v, 95th percentile %v, 99th percentile %v, maximum %v after its acknowledgement", len(delays),
 		delays[len(delays)/2].Round(time.Millisecond), delays[len(delays)*95/100].Round(time.Millisecond), delays[len(delays)*99/100].Round(time.Millisecond), delays[len(delays)-1].Round(time.Millisecond))
 }
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -18,29 +18,29 @@
 	account        = "barbers"
 	clientDeadline = 5 * time.Second
 	lookupTTL      = time.Second
-	// Some clients hold a look-up answer longHeld times as long as the others.
+	// Some clients use a lookup response longTTLFactor times as long as the others.
 	longTTLFactor = 3
 	lookupTries   = 3
 	minPauseMS    = 5
-	maxPauseMS    = 40 // milliseconds between a client's requests
+	maxPauseMS    = 40 // pause between the requests of a client
 )
 
-// The events of streams. Those that were taken before SIGTERM end within the
-// grace period, the longest that are taken late in a stop do not.
+// Streams that begin before SIGTERM end within the grace period. The longest streams that begin
+// late during a stop do not.
 const (
 	tokensPerEvent    = 10
 	eventInterval     = 25 * time.Millisecond
 	shortEvents       = 4
 	longEvents        = int(gracePeriod*7/10/eventInterval) + 1
-	maxLongStreams    = 3  // long streams that a client has under way
-	longStreamOdds    = 16 // one stream in so many is long
-	longTTLStreamOdds = 4  // the same of clients that hold look-up answers long
+	maxLongStreams    = 3  // active long streams per client
+	longStreamOdds    = 16 // one in so many streams is long
+	longTTLStreamOdds = 4  // the same for clients with a long lookup TTL
 )
 
-// kind is a kind of request that clients send.
+// kind is a kind of request.
 type kind struct {
 	path string
-	// atMostOnce requests may run at most once.
+	// atMostOnce requests must not run more than once.
 	atMostOnce bool
 	stream     bool
 	pieces     []int
@@ -54,22 +54,22 @@
 	{path: "/staged/", stream: true, pieces: []int{2, 3}},
 }
 
-// sentRequest is one request and what its client saw.
+// sentRequest is a request and what its client observed.
 type sentRequest struct {
 	id     string
 	kind   kind
 	node   string
 	prefix string
-	// events is how many events the whole stream has, or 0.
+	// events is the number of events of the complete stream, or 0.
 	events   int
 	at       time.Time
 	took     time.Duration
 	response platformtest.Response
-	// plannedOnly tells that only planned work was under way.
+	// plannedOnly reports whether only planned operations were active.
 	plannedOnly bool
 }
 
-// expectedBody is the whole answer of a worker.
+// expectedBody returns the complete body of a worker's response.
 func (s *sentRequest) expectedBody() string {
 	if !s.kind.stream {
 		return fmt.Sprintf("POST %sx body of %s", s.kind.path, s.id)
@@ -81,7 +81,7 @@
 	return b.String()
 }
 
-// record keeps all requests of a run.
+// record collects all requests of a run.
 type record struct {
 	mu   sync.Mutex
 	list []sentRequest
@@ -93,23 +93,23 @@
 	r.list = append(r.list, s)
 }
 
-// client asks a directory for fronts and sends requests to them on connections
-// that it keeps until they end, one after the other, with long streams beside.
+// client looks up front addresses in a directory and sends requests to them one after the
+// other, with long streams in parallel. It reuses connections until they are closed.
 type client struct {
 	run       *run
 	number    int
 	rand      *rand.Rand
 	transport *http.Transport
-	// lookupTTL is how long a look-up answer is used.
+	// lookupTTL is how long a lookup response is used.
 	lookupTTL time.Duration
 	fronts    []string
 	lookedUp  time.Time
-	// longSlots has room for the long streams under way.
+	// longSlots is a semaphore for active long streams.
 	longSlots chan struct{}
 	sending   sync.WaitGroup
 
 	mu   sync.Mutex
-	open map[string]bool // fronts with a connection that may be open
+	open map[string]bool // fronts with a possibly open connection
 }
 
 func newClient(r *run, seed uint64, number int) *client {
@@ -124,8 +124,7 @@
 	return c
 }
 
-// hasLongTTL reports whether the client is one of those that hold a look-up
-// answer longer than the others.
+// hasLongTTL reports whether the client uses lookup responses longer than the others.
 func (c *client) hasLongTTL() bool { return c.number%longTTLFactor == longTTLFactor-1 }
 
 func (c *client) loop(ctx context.Context) {
@@ -140,8 +139,8 @@
 	}
 }
 
-// lookUp asks nodes for fronts when the answer has been held its time; the old
-// one holds on when none answers.
+// lookUp queries nodes for front addresses when the TTL of the last response has expired. It
+// keeps the previous addresses if no node responds.
 func (c *client) lookUp() {
 	if time.Since(c.lookedUp) < c.lookupTTL {
 		return
@@ -156,7 +155,7 @@
 	}
 }
 
-// randomRequest chooses a request by chance.
+// randomRequest returns a random request.
 func (c *client) randomRequest(n int) sentRequest {
 	s := sentRequest{
 		id: fmt.Sprintf("c%d-%d", c.number, n), kind: requestKinds[c.rand.IntN(len(requestKinds))],
@@ -168,23 +167,22 @@
 	return s
 }
 
-// randomEventCount chooses how many events a stream has. Clients that hold look-up
-// answers long send more long streams, and of these the longer ones.
+// randomEventCount returns a random number of events for a stream. Clients with a long lookup
+// TTL send more long streams, and longer ones.
 func (c *client) randomEventCount() int {
-	share, least := longStreamOdds, shortEvents+1
+	odds, minEvents := longStreamOdds, shortEvents+1
 	if c.hasLongTTL() {
-		share, least = longTTLStreamOdds, longEvents/2
+		odds, minEvents = longTTLStreamOdds, longEvents/2
 	}
-	if c.rand.IntN(share) > 0 {
+	if c.rand.IntN(odds) > 0 {
 		return shortEvents
 	}
-	return least + c.rand.IntN(longEvents+1-least)
+	return minEvents + c.rand.IntN(longEvents+1-minEvents)
 }
 
-// pickFront chooses one of the look-up answer's fronts and of those to which a
-// connection may be open. Clients that hold answers long choose, half of the
-// time, one that is being stopped: requests reach it late in its stop in every
-// seed.
+// pickFront returns a random front out of the last lookup response and those with a possibly
+// open connection. Half of the time, clients with a long lookup TTL pick one whose node is
+// stopping, so that every seed has requests that arrive late during a stop.
 func (c *client) pickFront() string {
 	var list, stopping []string
 	for _, p := range c.run.nodes {
@@ -208,7 +206,7 @@
 	return c.open[front]
 }
 
-// start sends a request and waits for its answer, unless it is a long stream.
+// start sends a request. It waits for the response unless the request is a long stream.
 func (c *client) start(s sentRequest) {
 	if s.events <= shortEvents {
 		c.send(s)
--- a/internal/soak/cold_test.go
+++ b/internal/soak/cold_test.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// coldSeed parts the draws of cold workers from the others, coldShare is how many troubles
-	// there are for one worker that turns cold.
+	// coldSeed separates the draws of cold workers from the others. One in coldOdds faults is
+	// accompanied by a worker that turns cold.
 	coldSeed = 23
 	coldOdds = 3
-	// coldPerSecond is what a cold worker handles, and coldAllowed how many requests it may get
-	// in any second: 1.5 times that, and 5 more.
+	// coldPerSecond is the number of requests per second that a cold worker handles.
+	// maxColdPerSecond is the number it may receive in any second, 1.5 times that plus 5.
 	coldPerSecond    = 10.0
 	maxColdPerSecond = 20
-	// coldPhaseTime is how long workers are cold in the last phase, coldKnown how long nodes may take
-	// to know it: two heartbeats and what the list takes to be read and passed on.
+	// coldPhaseTime is how long workers are cold in the final phase. coldPropagation is the
+	// time in which all nodes must know it: two heartbeats, plus the time to read the list and
+	// to propagate it.
 	coldPhaseTime   = 7 * time.Second
 	coldPropagation = 2500 * time.Millisecond
 )
 
-// coldWorker is a worker that was cold in the last phase.
+// coldWorker is a worker that was cold in the final phase.
 type coldWorker struct {
 	worker   *platformtest.Worker
 	from, to time.Time
 }
 
-// maybeTurnCold has, now and then, a worker turn cold for a while.
+// maybeTurnCold makes a random worker turn cold for a while, with a probability of 1/coldOdds.
 func (r *run) maybeTurnCold() {
 	if r.coldRand.IntN(coldOdds) > 0 {
 		return
@@ -37,15 +38,15 @@
 	r.pickWorker(r.coldRand).SetCold(randomDuration(r.coldRand, minFaultMS, maxFaultMS))
 }
 
-// runColdPhase has two of the workers of a service, or all of them, turn cold with nothing else
-// wrong.
+// runColdPhase makes all workers of one service and two of another turn cold, without other
+// faults.
 func (r *run) runColdPhase() {
-	crowded := []string{"desk", "model"}[r.coldRand.IntN(2)]
+	wholeService := []string{"desk", "model"}[r.coldRand.IntN(2)]
 	from := time.Now()
 	for _, service := range []string{"desk", "model"} {
 		count := 0
 		for _, w := range r.workers[service] {
-			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || count == 2 && service != crowded {
+			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || count == 2 && service != wholeService {
 				continue
 			}
 			count++
@@ -56,8 +57,8 @@
 	time.Sleep(coldPhaseTime)
 }
 
-// checkCold holds that no worker got more than it could handle while it was cold, from when all
-// nodes had time to know it.
+// checkCold verifies that no worker received more requests than a cold worker may, from
+// coldPropagation after it turned cold.
 func (r *run) checkCold() {
 	highest := 0
 	for _, c := range r.coldWorkers {
@@ -70,7 +71,7 @@
 		got := intaketest.MaxIn(times, time.Second)
 		highest = max(highest, got)
 		if got > maxColdPerSecond {
-			r.fail("COLD: %s of %s got %d requests in a second while it was cold, %d are allowed", c.worker.ID, c.worker.Service, got, maxColdPerSecond)
+			r.fail("COLD: %s of %s received %d requests in a second while it was cold, %d are allowed", c.worker.ID, c.worker.Service, got, maxColdPerSecond)
 		}
 	}
 	if len(r.coldWorkers) > 0 {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,11 +1,11 @@
-// Package soak holds a randomized test of the real programs: several nodes run
-// as separate processes on one machine, behind a proxy for every connection,
-// while faults from outside hit processes, connections, endpoints and the
-// platform's store, in series and overlapping. What clients and endpoints see is
-// checked against the promises of docs/PROOFS.md.
+// Package soak contains a randomized test of the real programs. It runs several
+// nodes as separate processes on one machine, with a proxy on every connection,
+// and injects faults into processes, connections, endpoints and the platform's
+// store, some of them overlapping. It checks what clients and endpoints observe
+// against the guarantees in docs/PROOFS.md.
 //
-// The package has test files only, since programs of the system start no other
-// process. docs/SOAK.md tells what is checked and which seeds have failed.
+// The package contains only test files, because no program of the system starts
+// other processes. docs/SOAK.md describes the checks and the seeds that failed.
 //
 // # Usage
 //
--- a/internal/soak/evacuation_test.go
+++ b/internal/soak/evacuation_test.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// evacuatedZone is the zone that is evacuated. Two in five of the first workers run there.
+	// evacuatedZone is the zone that is evacuated. Two in five of the initial workers run
+	// there.
 	evacuatedZone = "zone-b"
-	// restoresSeed parts the draws of restorations from the others.
+	// restoresSeed separates the draws of restorations from the others.
 	restoresSeed = 17
-	// restoreOdds is how many troubles there are for one restoration, and copyAge how many
-	// troubles old its copy is at most.
+	// One in restoreOdds faults is accompanied by a restoration of the store. Its snapshot is
+	// at most maxSnapshotAge faults old.
 	restoreOdds    = 5
 	maxSnapshotAge = 4
-	// storeDowntime is how long the store is away before it comes back from a copy, and againTime
-	// how long operator and workers take until they write again what is lost.
+	// storeDowntime is how long the store is unavailable before it is restored. rewriteDelay is
+	// the time after which the operator and the workers write the lost data again.
 	storeDowntime = 150 * time.Millisecond
 	rewriteDelay  = 250 * time.Millisecond
-	// evacuationGap is how long the operator takes the evacuation back for after it was first
-	// asked for.
+	// evacuationGap is the time between the first request for the evacuation, its cancellation,
+	// and the second request.
 	evacuationGap = 150 * time.Millisecond
-	// maxEvacuationTime is how long after its evacuation was acknowledged nothing may reach a zone
-	// any more; it is generous, since the machine may be busy.
+	// maxEvacuationTime is the time after the acknowledgement of the evacuation from which
+	// nothing may reach the zone. The value is generous because the machine may be busy.
 	maxEvacuationTime = 6 * time.Second
 )
 
-// operator is what the operator has asked for, and the copies of the store.
+// operator is the state of the evacuation and the snapshots of the store.
 type operator struct {
 	mu        sync.Mutex
 	snapshots []platformtest.Snapshot
-	// evacuated tells that the evacuation is in force, from and to when it was.
+	// evacuated reports whether the evacuation is in force. It was in force between from and
+	// to.
 	evacuated bool
 	from, to  time.Time
 }
 
-// addInitialWorkers adds the workers of a service that are there from the beginning.
+// addInitialWorkers adds the initial workers of a service.
 func (r *run) addInitialWorkers(service string) []*platformtest.Worker {
 	list := r.site.AddWorkers(service, 3)
 	if r.faults >= evacuationFaults {
@@ -46,8 +48,7 @@
 	return list
 }
 
-// evacuate asks that nothing further be sent to the other zone, takes that back at once, and
-// asks for it again.
+// evacuate requests the evacuation of a zone, cancels it at once, and requests it again.
 func (r *run) evacuate() {
 	r.operator.mu.Lock()
 	defer r.operator.mu.Unlock()
@@ -66,8 +67,9 @@
 	r.site.Store.EndEvacuation(evacuatedZone)
 }
 
-// maybeRestoreStore keeps a copy of the store with each trouble, and now and then has the
-// store come back from one of them. The operator and the workers write again what is lost.
+// maybeRestoreStore takes a snapshot of the store and, with a probability of 1/restoreOdds,
+// restores the store from a recent snapshot. The operator and the workers then write the lost
+// data again.
 func (r *run) maybeRestoreStore() {
 	r.operator.mu.Lock()
 	defer r.operator.mu.Unlock()
@@ -101,8 +103,8 @@
 	}
 }
 
-// checkEvacuation holds that nothing reached the evacuated zone from some time after its
-// evacuation was acknowledged until it was taken back.
+// checkEvacuation verifies that nothing reached the evacuated zone from maxEvacuationTime after
+// the acknowledgement until the end of the evacuation.
 func (r *run) checkEvacuation() {
 	if r.faults < evacuationFaults {
 		return
@@ -123,10 +125,10 @@
 		}
 	}
 	if before == 0 {
-		r.fail("nothing reached the other zone before its evacuation: the check shows nothing")
+		r.fail("nothing reached the zone before its evacuation, so the check is ineffective")
 	}
 	if late > 0 {
-		r.fail("%d requests and calls reached the evacuated zone later than %v after that was acknowledged", late, maxEvacuationTime)
+		r.fail("%d requests and calls reached the evacuated zone later than %v after the acknowledgement", late, maxEvacuationTime)
 	}
 	r.t.Logf("evacuated for %v, %d requests and calls reached the zone before", o.to.Sub(o.from).Round(time.Millisecond), before)
 }
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -13,48 +13,48 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// probePrefix begins the ids of the requests that only show which configuration a
-// node has in force.
+// probePrefix is the prefix of the IDs of requests that only probe a node, such as for the
+// configuration in force.
 const probePrefix = "probe-"
 
 const (
 	minGapMS   = 150
-	maxGapMS   = 600 // milliseconds between troubles
+	maxGapMS   = 600 // between the starts of two faults
 	minFaultMS = 300
-	maxFaultMS = 2500 // milliseconds that a trouble lasts
+	maxFaultMS = 2500 // duration of a fault
 )
 
-// injectFaults brings troubles in series, overlapping, for a while, and waits until
-// all of them have ended.
-func (r *run) injectFaults(lasts time.Duration) {
+// injectFaults injects faults for the given time, some of them overlapping, and waits until all
+// have ended.
+func (r *run) injectFaults(duration time.Duration) {
 	kinds := []func(time.Duration){
 		r.kill, r.pause, r.terminate, r.hangup, r.disruptFront, r.disruptPeers, r.disruptWorker, r.disruptStore,
 		r.storeDown, r.injectWorkerFaults, r.crashWorker, r.drainWorker, r.changeConfig, r.changeConfig,
 	}
-	end := time.Now().Add(lasts)
-	var open sync.WaitGroup
+	end := time.Now().Add(duration)
+	var active sync.WaitGroup
 	for time.Now().Before(end) {
-		do := kinds[r.rand.IntN(len(kinds))]
+		inject := kinds[r.rand.IntN(len(kinds))]
 		length := r.randomDuration(minFaultMS, maxFaultMS)
 		gap := r.randomDuration(minGapMS, maxGapMS)
-		open.Add(1)
-		r.startFault(&open, do, length)
-		r.injectLaterFaults(&open)
+		active.Add(1)
+		r.startFault(&active, inject, length)
+		r.injectLaterFaults(&active)
 		time.Sleep(gap)
 	}
-	open.Wait()
+	active.Wait()
 }
 
 const (
-	// laterSeed parts the draws of the troubles that came later from the others.
+	// laterSeed separates the draws of later faults from the others. One in laterOdds faults is
+	// accompanied by a later fault.
 	laterSeed = 13
-	// laterOdds is how many troubles there are for one of those that came later.
 	laterOdds = 4
 )
 
-// injectLaterFaults brings, now and then, one of the troubles that came later, by draws of their
-// own: those of the others are the same with and without.
-func (r *run) injectLaterFaults(open *sync.WaitGroup) {
+// injectLaterFaults injects the faults that later sets add. They are drawn from separate random
+// sources, so that the other faults are the same with and without them.
+func (r *run) injectLaterFaults(active *sync.WaitGroup) {
 	if r.faults >= evacuationFaults {
 		r.maybeRestoreStore()
 	}
@@ -71,40 +71,40 @@
 		return
 	}
 	kinds := []func(time.Duration){r.restartWorker, r.unlistWorker}
-	do := kinds[r.laterRand.IntN(len(kinds))]
-	open.Add(1)
-	r.startFault(open, do, randomDuration(r.laterRand, minFaultMS, maxFaultMS))
+	inject := kinds[r.laterRand.IntN(len(kinds))]
+	active.Add(1)
+	r.startFault(active, inject, randomDuration(r.laterRand, minFaultMS, maxFaultMS))
 }
 
-// startFault begins a trouble; what it draws by chance is drawn before it returns.
-func (r *run) startFault(open *sync.WaitGroup, do func(time.Duration), length time.Duration) {
+// startFault starts a fault. All its random draws happen before startFault returns.
+func (r *run) startFault(active *sync.WaitGroup, inject func(time.Duration), length time.Duration) {
 	r.endFault = nil
-	do(length)
-	later := r.endFault
+	inject(length)
+	end := r.endFault
 	go func() {
-		defer open.Done()
-		if later != nil {
-			later()
+		defer active.Done()
+		if end != nil {
+			end()
 		}
 	}()
 }
 
 func (r *run) randomDuration(low, high int) time.Duration { return randomDuration(r.rand, low, high) }
 
-func randomDuration(draw *rand.Rand, low, high int) time.Duration {
-	return time.Duration(low+draw.IntN(high-low)) * time.Millisecond
+func randomDuration(rng *rand.Rand, low, high int) time.Duration {
+	return time.Duration(low+rng.IntN(high-low)) * time.Millisecond
 }
 
 func (r *run) randomNode() *process { return r.nodes[r.rand.IntN(len(r.nodes))] }
 
 func (r *run) randomWorker() *platformtest.Worker { return r.pickWorker(r.rand) }
 
-func (r *run) pickWorker(draw *rand.Rand) *platformtest.Worker {
-	list := r.workers[[]string{"desk", "model", "encode", "rank"}[draw.IntN(4)]]
-	return list[draw.IntN(len(list))]
+func (r *run) pickWorker(rng *rand.Rand) *platformtest.Worker {
+	list := r.workers[[]string{"desk", "model", "encode", "rank"}[rng.IntN(4)]]
+	return list[rng.IntN(len(list))]
 }
 
-// startUnplanned has a fault begin now, and end after a while.
+// startUnplanned starts an unplanned fault now that ends after the given time.
 func (r *run) startUnplanned(length time.Duration, begin, end func()) {
 	r.beginUnplanned()
 	begin()
@@ -131,7 +131,7 @@
 	r.startUnplanned(length, func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT); p.release() })
 }
 
-// terminate is planned work.
+// terminate is a planned operation: it stops and starts a node.
 func (r *run) terminate(time.Duration) {
 	p := r.randomNode()
 	if !p.reserve() {
@@ -140,14 +140,14 @@
 	r.endFault = func() { r.stop(p); p.start(); p.release() }
 }
 
-// stop stops a process as planned.
+// stop performs a planned stop of a process.
 func (r *run) stop(p *process) {
 	if !p.terminate() {
 		r.overdueStops.Add(1)
 	}
 }
 
-// hangup is planned work.
+// hangup is a planned operation: it sends SIGHUP to a node.
 func (r *run) hangup(time.Duration) { r.randomNode().signal(syscall.SIGHUP) }
 
 func (r *run) disrupt(x *proxy, length time.Duration) {
@@ -177,7 +177,7 @@
 	r.recordStoreFault()
 }
 
-// recordStoreFault has the trouble that is being started count as one of the store.
+// recordStoreFault records the fault that is being started as a fault of the store.
 func (r *run) recordStoreFault() {
 	from, end := time.Now(), r.endFault
 	r.endFault = func() {
@@ -186,7 +186,7 @@
 	}
 }
 
-// spans are spans of time, safe for concurrent use.
+// spans is a list of time spans that is safe for concurrent use.
 type spans struct {
 	mu   sync.Mutex
 	list []span
@@ -204,7 +204,7 @@
 	return overlaps(s.list, from, to)
 }
 
-// injectWorkerFaults has a worker spoil its next answers.
+// injectWorkerFaults makes a worker respond incorrectly to its next requests.
 func (r *run) injectWorkerFaults(length time.Duration) {
 	w := r.randomWorker()
 	faults := []platformtest.Fault{
@@ -215,8 +215,9 @@
 	r.startUnplanned(length, func() { w.InjectFaults(f, f, f) }, w.ClearFaults)
 }
 
-// crashWorker crashes a worker for good; another one takes its place, and later its entry
-// goes. In alternating runs every second one begins anew under its id.
+// crashWorker crashes a worker permanently. Another worker replaces it, and its entry is
+// removed later. With alternatingFaults every second crashed worker restarts under its ID
+// instead.
 func (r *run) crashWorker(length time.Duration) {
 	w := r.randomWorker()
 	r.crashes++
@@ -228,7 +229,7 @@
 	r.startUnplanned(length, w.Crash, w.RemoveEntry)
 }
 
-// restartWorker crashes a worker, which begins anew under its id.
+// restartWorker crashes a worker, which later restarts under its ID.
 func (r *run) restartWorker(length time.Duration) {
 	w := r.pickWorker(r.laterRand)
 	if !r.hasLeft(w) {
@@ -236,15 +237,15 @@
 	}
 }
 
-// unlistWorker is planned work: a worker leaves without a word, and another one takes its
-// place. Its entry goes, and it serves on.
+// unlistWorker is a planned operation: a worker leaves unannounced and is replaced. Its entry
+// is removed, and it keeps serving.
 func (r *run) unlistWorker(time.Duration) {
 	if w := r.pickWorker(r.laterRand); !r.hasLeft(w) {
 		r.retire(w, w.Unlist)
 	}
 }
 
-// retire has a worker leave, and another one take its place.
+// retire makes a worker leave and adds a replacement.
 func (r *run) retire(w *platformtest.Worker, leave func()) {
 	r.workers[w.Service] = append(r.workers[w.Service], r.site.AddWorkers(w.Service, 1)...)
 	leave()
@@ -253,11 +254,11 @@
 
 // hasLeft reports whether a worker has left.
 func (r *run) hasLeft(w *platformtest.Worker) bool {
-	return slices.ContainsFunc(r.retired, func(gone retired) bool { return gone.worker == w })
+	return slices.ContainsFunc(r.retired, func(left retired) bool { return left.worker == w })
 }
 
-// drainWorker is planned work: another worker takes the place of one that says that it
-// leaves. In alternating runs the entry of every second one goes, and it serves on.
+// drainWorker is a planned operation: a worker announces that it leaves and is replaced. With
+// alternatingFaults every second one leaves unannounced and keeps serving.
 func (r *run) drainWorker(time.Duration) {
 	w := r.randomWorker()
 	if r.hasLeft(w) {
@@ -270,8 +271,8 @@
 	r.retire(w, w.Drain)
 }
 
-// changeConfig is planned work: the route that only the present version has
-// gives way to that of the next one.
+// changeConfig is a planned operation: it publishes a new version, whose version-specific route
+// replaces the route of the current version.
 func (r *run) changeConfig(time.Duration) {
 	next := r.config
 	next.Version += 1 + uint64(r.rand.IntN(5))
@@ -284,16 +285,15 @@
 	r.endFault = func() { r.watchVersions(p, previous, next.Version) }
 }
 
-// watchVersions asks a node for the routes of two versions in a row for a while:
-// once it has served the newer one it must not serve the older one in the same
-// life.
+// watchVersions probes a node for some time for the routes of two consecutive versions. Once
+// the node has served the newer one, it must not serve the older one until it is restarted.
 func (r *run) watchVersions(p *process, older, newer uint64) {
-	const questions = 20
-	life, seen := p.currentIncarnation(), false
-	for range questions {
+	const probes = 20
+	incarnation, seen := p.currentIncarnation(), false
+	for range probes {
 		newerStatus := r.probe(p, newer)
 		olderStatus := r.probe(p, older)
-		if p.currentIncarnation() != life {
+		if p.currentIncarnation() != incarnation {
 			return
 		}
 		if seen && olderStatus == http.StatusOK {
@@ -330,8 +330,7 @@
 	}
 }
 
-// rollingRestart stops and starts all nodes in turn while clients send and nothing
-// else is wrong.
+// rollingRestart restarts all nodes in turn under load and without other faults.
 func (r *run) rollingRestart() {
 	for _, p := range r.nodes {
 		r.stop(p)
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -7,84 +7,85 @@
 	"time"
 )
 
-// bounds are what a deployment's operators ask of changes of the configuration.
+// bounds are a deployment's bounds for configuration changes.
 type bounds struct {
-	// apply is from the store's acknowledgement until a change is in force on
-	// all nodes in touch.
+	// apply is the maximum time from the store's acknowledgement until a change is in force on
+	// all nodes in contact.
 	apply time.Duration
-	// rollback is from an answer by a version until none may be by an older one.
+	// rollback is the time after a response from one version after which responses from older
+	// versions are not allowed.
 	rollback time.Duration
-	// contact is how long nothing must have been wrong with a node, or the
-	// store, for the node to count as in touch.
+	// contact is how long a node and the store must have been undisturbed for the node to count
+	// as in contact.
 	contact time.Duration
-	// skew is added to apply while the store serves some nodes only.
+	// skew is added to apply while the store serves only some nodes.
 	skew time.Duration
 }
 
-// published is one version as it was written to the store.
+// published is one version written to the store.
 type published struct {
 	version uint64
-	// service serves the route that moves.
+	// service serves the route that alternates between services.
 	service string
-	// hasManyRoutes tells that the many further routes are there.
+	// hasManyRoutes reports whether the version has the many additional routes.
 	hasManyRoutes bool
-	// timeout is that of the route whose worker never answers.
+	// timeout is the timeout of the route whose worker never responds.
 	timeout time.Duration
-	// sent is when the write began, acknowledged when the store had it.
+	// sent is when the write began, acknowledged when the store had accepted it.
 	sent, acknowledged time.Time
 }
 
-// probeKind is what a probe asks.
+// probeKind is the property of the configuration that a probe tests.
 type probeKind int
 
 const (
-	// probeMark asks for the route that only one version has.
+	// probeMark requests the route that only one version has.
 	probeMark probeKind = iota
-	// probeKey uses the key that only one version has.
+	// probeKey uses the API key that only one version has.
 	probeKey
-	// probeMoved asks for the route that moves between services.
+	// probeMoved requests the route that alternates between services.
 	probeMoved
-	// probeMany asks for one of the many further routes.
+	// probeMany requests one of the many additional routes.
 	probeMany
-	// probeMute asks for the route whose worker never answers.
+	// probeMute requests the route whose worker never responds.
 	probeMute
 )
 
 func (q probeKind) String() string {
-	return [...]string{"mark", "key", "moved route", "further route", "mute route"}[q]
+	return [...]string{"mark", "key", "moved route", "additional route", "unresponsive route"}[q]
 }
 
-// observation is one probe's answer.
+// observation is the response to one probe.
 type observation struct {
 	node, incarnation int
 	kind              probeKind
-	// version is the version whose mark or key was used.
+	// version is the version whose route or key was used.
 	version   uint64
 	sent, got time.Time
 	status    int
-	// service is that of the worker which answered.
+	// service is the service of the worker that responded.
 	service string
 }
 
-// span is a time in which something was wrong.
+// span is a time span, such as that of a fault. It has not ended if to is zero.
 type span struct{ from, to time.Time }
 
-// history is all that was published, in order, and what was wrong when.
+// history contains all published versions in order, and the times of all faults.
 type history struct {
 	bounds
 	versions []published
-	// disturbed lists what was wrong with each node, store what was wrong with
-	// the store for all, partly what was wrong with it for some nodes only.
+	// disturbed are the faults of each node, storeOutages the outages of the store for all
+	// nodes, and partialOutages those for some nodes only.
 	disturbed                    map[int][]span
 	storeOutages, partialOutages []span
-	// expired lists the seconds after the store's return in which workers whose entries
-	// had lapsed listed themselves again.
+	// expired are the times after an outage of the store in which workers whose entries had
+	// expired were listed again.
 	expired []span
 }
 
-// matches reports whether an answer is one that a version gives. An answer that
-// tells nothing of the configuration, such as a refusal for want of a worker, is
-// one that all versions give.
+// matches reports whether a response is consistent with a version. A response that reveals
+// nothing about the configuration, such as a refusal because no worker is available, is
+// consistent with all versions.
 func (o observation) matches(v published) bool {
 	switch {
 	case o.kind == probeMark && o.status == http.StatusOK, o.kind == probeKey && o.status == http.StatusOK:
@@ -103,8 +104,8 @@
 	return true
 }
 
-// anyMatches reports whether one of the versions from an index on that were sent before
-// a moment gives the answer.
+// anyMatches reports whether the response matches any version that has at least the given index
+// and was sent before the response.
 func (h *history) anyMatches(o observation, from int) bool {
 	for i := from; i < len(h.versions) && h.versions[i].sent.Before(o.got); i++ {
 		if o.matches(h.versions[i]) {
@@ -114,8 +115,8 @@
 	return false
 }
 
-// oldestInForce is the index of the oldest version that may still be in force at a
-// moment, when a change takes a time.
+// oldestInForce returns the index of the oldest version that may be in force at a point in time
+// if changes take up to the given time.
 func (h *history) oldestInForce(at time.Time, apply time.Duration) int {
 	oldest := 0
 	for i, v := range h.versions {
@@ -135,8 +136,8 @@
 	return false
 }
 
-// checkStale judges one answer by the bound of changes: it returns why the answer is
-// out of it, or "".
+// checkStale checks one response against the bound on changes. It returns a message if the
+// response is too old, else "".
 func (h *history) checkStale(o observation) string {
 	calm := o.sent.Add(-h.contact)
 	if overlaps(h.disturbed[o.node], calm, o.got) || overlaps(h.storeOutages, calm, o.got) {
@@ -157,14 +158,15 @@
 			break
 		}
 	}
-	return fmt.Sprintf("LATE: %s of %d answered %d %s; it is that of version %s, the oldest allowed is %d", o.kind, o.version, o.status, o.service, behind, h.versions[oldest].version)
+	return fmt.Sprintf("LATE: %s of %d responded %d %s, which matches version %s; the oldest allowed is %d", o.kind, o.version, o.status, o.service, behind, h.versions[oldest].version)
 }
 
-// findRollbacks finds answers by which a node went back within one life. The list is of
-// one node's life.
+// findRollbacks returns a message for each response that shows an older version than a response that
+// arrived more than the rollback slack before the request. The list must be from a single
+// incarnation of one node.
 func (h *history) findRollbacks(list []observation) []string {
 	sort.Slice(list, func(i, j int) bool { return list[i].got.Before(list[j].got) })
-	// shown are the moments at which the newest version that was shown changed.
+	// shown is a point in time at which the newest version seen changed.
 	type shown struct {
 		got    time.Time
 		newest int
@@ -174,7 +176,7 @@
 	for _, o := range list {
 		before := sort.Search(len(steps), func(i int) bool { return !steps[i].got.Add(h.rollback).Before(o.sent) })
 		if before > 0 && !h.anyMatches(o, steps[before-1].newest) {
-			found = append(found, fmt.Sprintf("BACK: %s of %d answered %d %s after version %d had been served", o.kind, o.version, o.status, o.service, h.versions[steps[before-1].newest].version))
+			found = append(found, fmt.Sprintf("BACK: %s of %d responded %d %s after version %d had been served", o.kind, o.version, o.status, o.service, h.versions[steps[before-1].newest].version))
 		}
 		if o.status != http.StatusOK || o.kind != probeMark && o.kind != probeKey {
 			continue
@@ -186,8 +188,8 @@
 	return found
 }
 
-// overdue is how long after the longest time that the route could have an answer came,
-// or less than 0.
+// overdue returns how long after the longest possible timeout of the route a response arrived.
+// It is negative if the response arrived before that.
 func (h *history) overdue(o observation) time.Duration {
 	longest := time.Duration(0)
 	for i := h.oldestInForce(o.sent, h.apply+h.skew); i < len(h.versions) && h.versions[i].sent.Before(o.got); i++ {
--- a/internal/soak/leaving_test.go
+++ b/internal/soak/leaving_test.go
@@ -16,30 +16,31 @@
 const (
 	// listingTime is how long nodes take to list a new worker.
 	listingTime = 2 * time.Second
-	// queryTime is how long the nodes that stay are asked, and askEvery how often.
+	// queryTime is how long the remaining nodes are queried, and queryInterval the interval.
 	queryTime     = 6 * time.Second
 	queryInterval = 40 * time.Millisecond
-	// strictDrainTime is how long after a worker has left a node to which nothing was done
-	// may send it requests. It holds in runs by hand; one whose verdict must not hang on
-	// the machine's speed allows drained.
+	// strictDrainTime is the time after a worker has left from which an undisturbed node must
+	// not send it requests. It applies if several seeds are requested, as in manual runs. Other
+	// runs use maxDrainTime, because their verdict must not depend on the speed of the machine.
 	strictDrainTime = 3 * time.Second
-	// leavingPrefix begins the ids of the questions that are sent to such nodes.
+	// leavingPrefix is the prefix of the IDs of requests that are sent to the undisturbed
+	// nodes.
 	leavingPrefix = probePrefix + "leaving-"
 )
 
-// splitReaders splits the nodes into those that read the store for the others and the
-// others. Where all read it, the last one stays.
+// splitReaders separates the nodes that read the store on behalf of the others from the rest.
+// If all nodes read it, the last one counts as a non-reader.
 func (r *run) splitReaders() (readers, others []*process) {
 	var names []string
 	for _, p := range r.nodes {
 		names = append(names, p.Node)
 	}
-	usual := discovery.Rank(names, nil).Readers(0)
-	if len(usual) == len(names) {
-		usual = usual[:len(usual)-1]
+	primary := discovery.Rank(names, nil).Readers(0)
+	if len(primary) == len(names) {
+		primary = primary[:len(primary)-1]
 	}
 	for _, p := range r.nodes {
-		if slices.Contains(usual, p.Node) {
+		if slices.Contains(primary, p.Node) {
 			readers = append(readers, p)
 			continue
 		}
@@ -48,38 +49,38 @@
 	return readers, others
 }
 
-// runLeavePhase freezes the nodes that read the store for the others, and has two
-// workers leave at that moment: one says so, the entry of the other one goes. Both serve
-// on. The nodes that stay are asked all the while; check holds what reached the workers
-// against the bound.
+// runLeavePhase pauses the nodes that read the store on behalf of the others, and makes two
+// workers leave at that moment: one announces it, the entry of the other is removed. Both keep
+// serving. The remaining nodes are queried meanwhile. checkLeaving compares what reached the
+// two workers with the bound.
 func (r *run) runLeavePhase() {
-	lost, stay := r.splitReaders()
-	// None of these has crashed or left before.
+	paused, remaining := r.splitReaders()
+	// New workers, none of which has crashed or left before.
 	fresh := r.site.AddWorkers("desk", 4)
 	r.workers["desk"] = append(r.workers["desk"], fresh...)
 	r.leaving = fresh[:2]
 	time.Sleep(listingTime)
 	r.beginUnplanned()
-	for _, p := range lost {
+	for _, p := range paused {
 		p.signal(syscall.SIGSTOP)
 	}
 	time.Sleep(leaveDelay)
 	r.leaving[0].Drain()
 	r.leaving[1].Unlist()
-	r.queryAll(stay)
-	for _, p := range lost {
+	r.queryAll(remaining)
+	for _, p := range paused {
 		p.signal(syscall.SIGCONT)
 	}
 	r.endUnplanned()
 }
 
-// queryAll asks nodes for a while.
+// queryAll sends requests to nodes for queryTime.
 func (r *run) queryAll(nodes []*process) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTime)
 	defer cancel()
-	var asking sync.WaitGroup
+	var querying sync.WaitGroup
 	for _, p := range nodes {
-		asking.Go(func() {
+		querying.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				id := fmt.Sprintf("%s%s-%d", leavingPrefix, p.name, n)
 				platformtest.Do(ctx, p.Front, platformtest.Request{ID: id, Path: "/read/x", Key: apiKey, Deadline: time.Second})
@@ -87,11 +88,11 @@
 			}
 		})
 	}
-	asking.Wait()
+	querying.Wait()
 }
 
-// checkLeaving holds that the nodes to which nothing was done sent nothing to a worker
-// long after it had left, and that they sent anything to the others meanwhile.
+// checkLeaving verifies that undisturbed nodes sent nothing to a worker long after it had left,
+// and that they sent requests to other workers meanwhile.
 func (r *run) checkLeaving() {
 	bound := maxDrainTime
 	if *seeds > 1 {
@@ -105,20 +106,20 @@
 			}
 			last = max(last, late.After)
 			if late.After > bound {
-				r.fail("%s got %s from a node to which nothing was done %v after it had left", w.ID, late.ID, late.After.Round(time.Millisecond))
+				r.fail("%s received %s from an undisturbed node %v after it had left", w.ID, late.ID, late.After.Round(time.Millisecond))
 			}
 		}
 	}
-	asked := 0
+	delivered := 0
 	for _, w := range r.workers["desk"] {
 		for id := range w.RunCounts() {
 			if strings.HasPrefix(id, leavingPrefix) {
-				asked++
+				delivered++
 			}
 		}
 	}
-	r.t.Logf("nodes to which nothing was done sent workers that had left nothing after %v; %d questions to others", last.Round(time.Millisecond), asked)
-	if asked == 0 {
-		r.fail("no worker was sent anything while others left and the readers were lost")
+	r.t.Logf("undisturbed nodes sent nothing to workers that had left after %v; %d requests to others", last.Round(time.Millisecond), delivered)
+	if delivered == 0 {
+		r.fail("no worker received a request while others left and the readers were paused")
 	}
 }
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// limitsSeed parts the draws of limits from the others, limitShare is how many troubles
-	// there are for one worker that names a limit.
+	// limitsSeed separates the draws of rate limits from the others. One in rateLimitOdds
+	// faults is accompanied by a worker that advertises a rate limit.
 	limitsSeed    = 19
 	rateLimitOdds = 3
-	// limitPhaseTime is how long workers name their limits in the end with nothing else wrong,
-	// and again while a node is paused and another one killed.
+	// limitPhaseTime is how long workers advertise their limits in the final phase without
+	// other faults, and again while one node is paused and another is killed.
 	limitPhaseTime = intaketest.GracePeriod + 4*time.Second
-	// limitPropagation is how long it may take until all nodes are told.
+	// limitPropagation is the time in which all nodes must know a limit.
 	limitPropagation = 1500 * time.Millisecond
 )
 
-// rateLimits are what workers name, in requests a second.
+// rateLimits are the rate limits that workers advertise, in requests per second.
 var rateLimits = []float64{0, 0.5, 1, 1.5, 3, 5}
 
-// rateLimitedWorker is a worker that named a limit in the last phase.
+// rateLimitedWorker is a worker that advertised a rate limit for some time.
 type rateLimitedWorker struct {
 	worker    *platformtest.Worker
 	perSecond float64
 	from, to  time.Time
 }
 
-// excuse is a node to which something was done in the last phase: what it sent then, and until
-// intaketest.Contact after it, does not count.
+// excuse is a disturbance of a node in a final phase. What the node sends during this time
+// doesn't count as a violation.
 type excuse struct {
 	front    string
 	from, to time.Time
@@ -47,8 +47,9 @@
 	w.AnnounceRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 }
 
-// maybeAdvertiseLimit has, now and then, a worker name a limit for a while, another one after a
-// part of it, or one that comes and goes.
+// maybeAdvertiseLimit makes a random worker advertise a rate limit for a while, with a
+// probability of 1/rateLimitOdds. Halfway, the worker changes the limit, in half of the cases
+// after a short time without one.
 func (r *run) maybeAdvertiseLimit() {
 	if r.limitRand.IntN(rateLimitOdds) > 0 {
 		return
@@ -68,16 +69,16 @@
 	time.AfterFunc(length, func() { w.AnnounceRateLimit("") })
 }
 
-// runLimitPhase has two of the workers of each service, or all of one service, name limits,
-// first with nothing else wrong, then while nodes are paused and killed.
+// runLimitPhase makes all workers of one service and two of each other service advertise rate
+// limits, first without other faults, then while nodes are paused and killed.
 func (r *run) runLimitPhase() {
 	all := []string{"desk", "model", "encode", "rank"}
-	crowded := all[r.limitRand.IntN(len(all))]
+	wholeService := all[r.limitRand.IntN(len(all))]
 	from := time.Now()
 	for _, service := range all {
 		count := 0
 		for _, w := range r.workers[service] {
-			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || count == 2 && service != crowded {
+			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || count == 2 && service != wholeService {
 				continue
 			}
 			count++
@@ -95,8 +96,8 @@
 	}
 }
 
-// pauseAndKill pauses a node for a while and restarts another one, and excuses them until some time
-// after that.
+// pauseAndKill pauses one node for a while and kills and restarts another. It excuses both from
+// the beginning until the given time after the end.
 func (r *run) pauseAndKill(draw *rand.Rand, excused time.Duration) {
 	paused, killed := r.nodes[draw.IntN(len(r.nodes))], r.nodes[draw.IntN(len(r.nodes))]
 	began := time.Now()
@@ -113,7 +114,8 @@
 	}
 }
 
-// isRunning reports whether a worker runs. One that has crashed for good stays in the run's list.
+// isRunning reports whether a worker runs. Permanently crashed workers stay in the lists of the
+// run.
 func isRunning(w *platformtest.Worker) bool {
 	c, err := net.Dial("tcp", w.Address())
 	if err != nil {
@@ -123,8 +125,9 @@
 	return true
 }
 
-// checkLimits holds that no worker got more than it allowed in the last phase, from all nodes
-// together but those to which something was done, and that those that take any were sent some.
+// checkLimits verifies that in the final phase no worker received more requests from
+// undisturbed nodes together than its rate limit allows, and that desk workers with a limit of
+// at least 1 per second received some.
 func (r *run) checkLimits() {
 	nodes := make(map[string]string)
 	for _, s := range r.record.list {
@@ -141,19 +144,20 @@
 		got, all := l.maxArrivals(excused)
 		highest = max(highest, float64(got)/float64(allowed))
 		if got > allowed {
-			r.fail("LIMIT: %s of %s named %v requests a second and got %d in %v, %d are allowed", l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed)
+			r.fail("LIMIT: %s of %s advertised %v requests per second and received %d in %v, %d are allowed", l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed)
 		}
 		if all == 0 && l.perSecond >= 1 && l.worker.Service == "desk" {
-			r.fail("LIMIT: %s of %s named %v requests a second and got none in %v", l.worker.ID, l.worker.Service, l.perSecond, l.to.Sub(l.from))
+			r.fail("LIMIT: %s of %s advertised %v requests per second and received none in %v", l.worker.ID, l.worker.Service, l.perSecond, l.to.Sub(l.from))
 		}
 	}
 	if len(r.rateLimited) > 0 {
-		r.t.Logf("%d workers named limits, at most %.2f of what is allowed", len(r.rateLimited), highest)
+		r.t.Logf("%d workers advertised rate limits, at most %.2f of what is allowed", len(r.rateLimited), highest)
 	}
 }
 
-// maxArrivals is the most that reached the worker in any span that ends intaketest.Contact or more after
-// it named its limit, counted from when all nodes had time to be told, and all that did.
+// maxArrivals returns the maximum number of requests that reached the worker in any span that
+// ends intaketest.GracePeriod or more after it advertised the limit, and the number of all
+// requests. Both count only requests from limitPropagation after that.
 func (l rateLimitedWorker) maxArrivals(excused func(platformtest.Arrival) bool) (highest, all int) {
 	var times []time.Time
 	for _, a := range l.worker.Arrivals() {
--- a/internal/soak/poison_test.go
+++ b/internal/soak/poison_test.go
@@ -12,39 +12,39 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-var poisonCount = flag.Int("poisons", 2, "requests in a run that crash the workers that run them; runs of old seeds have none")
+var poisonCount = flag.Int("poisons", 2, "number of requests that crash the workers on which they run; old regression seeds have none")
 
 const (
-	// poisonMarker is the text in a request by which workers crash, poisonID begins the ids of
-	// the tries of such requests.
+	// poisonMarker is the text in a request that crashes workers. poisonPrefix is the prefix of
+	// the IDs of such requests.
 	poisonMarker = "divide by zero"
 	poisonPrefix = probePrefix + "poison-"
-	// poisonInterval is how often such a request comes back.
+	// poisonInterval is the interval at which such a request is repeated.
 	poisonInterval = 300 * time.Millisecond
-	// crashExpiryDelay and crashBack are how long after a crash the worker's entry goes, and
-	// it begins anew.
+	// crashExpiryDelay and crashRestartDelay are the times after a crash at which the worker's
+	// entry expires and the worker restarts.
 	crashExpiryDelay  = 900 * time.Millisecond
 	crashRestartDelay = 1500 * time.Millisecond
-	// poisonSeed parts what poisons draw from what the other troubles draw, so that these
-	// are the same with and without.
+	// poisonSeed separates the draws of these requests from those of other faults, which are
+	// therefore the same with and without them.
 	poisonSeed = 11
-	// crashesToRefuse is after how many crashes a request is known to cause them; poisonLate
-	// how many it may cause later than the contact time after that, by nodes to which
-	// nothing was done.
+	// crashesToRefuse is the number of crashes after which nodes refuse a request.
+	// maxLateCrashes is the maximum number of crashes that undisturbed nodes may cause with it
+	// later than the contact time after that.
 	crashesToRefuse = 3
 	maxLateCrashes  = 3
-	// poisonContact is the contact time where no deployment gives one.
+	// poisonContact is the contact time if no deployment defines one.
 	poisonContact = 3 * time.Second
-	// maxRetryAfter is more than anybody is told to wait whose request is not refused
-	// because it crashes workers.
+	// maxRetryAfter is the maximum Retry-After of requests that are refused for another reason.
 	maxRetryAfter = time.Minute
-	// settleRounds is how often all nodes are asked in the end, with lastPause between.
+	// settleRounds is how often all nodes are queried in the end, settlePause the time between
+	// rounds.
 	settleRounds = 6
 	settlePause  = 2 * time.Second
 )
 
-// poisonKinds are the requests that crash workers: of a plain service, a model, and the
-// stages before one.
+// poisonKinds are the requests that crash workers: workers of a plain service, of a model, and
+// of the stages before a model.
 var poisonKinds = []platformtest.Request{
 	{Path: "/read/x"},
 	{Path: "/book/x"},
@@ -53,10 +53,10 @@
 	{Path: "/staged/x", Streaming: true, Pieces: []int{2, 3}, Prefix: "a1:10,b1:20"},
 }
 
-// poisons sends requests that crash workers while other things happen.
+// poisons sends requests that crash workers during a run.
 type poisons struct {
 	site *platformtest.Site
-	// fronts are where nodes are reached.
+	// fronts are the front addresses of the nodes.
 	fronts   []string
 	list     []platformtest.Request
 	rand     *rand.Rand
@@ -64,7 +64,7 @@
 	attempts map[string]poisonAttempt
 }
 
-// poisonAttempt is one try: which node it was sent to, and when.
+// poisonAttempt is one attempt of a request that crashes workers.
 type poisonAttempt struct {
 	node    int
 	at      time.Time
@@ -87,16 +87,16 @@
 	return p
 }
 
-// send has each request come again and again from some moment on, until ctx ends.
+// send repeats each request from a random time within the given duration until ctx ends.
 func (p *poisons) send(ctx context.Context, within time.Duration) {
 	var sending sync.WaitGroup
 	for i := range p.list {
 		first := time.Duration(p.rand.Int64N(int64(within)))
-		draw := rand.New(rand.NewPCG(p.rand.Uint64(), poisonSeed))
+		rng := rand.New(rand.NewPCG(p.rand.Uint64(), poisonSeed))
 		sending.Go(func() {
 			sleep(ctx, first)
 			for ctx.Err() == nil {
-				p.attempt(ctx, i, draw.IntN(len(p.fronts)))
+				p.attempt(ctx, i, rng.IntN(len(p.fronts)))
 				sleep(ctx, poisonInterval)
 			}
 		})
@@ -104,7 +104,7 @@
 	sending.Wait()
 }
 
-// attempt sends a request to a node and reports whether it is refused since it crashes
+// attempt sends a request to a node and reports whether it is refused because it crashes
 // workers.
 func (p *poisons) attempt(ctx context.Context, i, node int) bool {
 	q := p.list[i]
@@ -114,23 +114,22 @@
 	t := poisonAttempt{node: node, at: time.Now()}
 	p.attempts[q.ID] = t
 	p.mu.Unlock()
-	limited, cancel := context.WithTimeout(ctx, q.Deadline)
+	requestCtx, cancel := context.WithTimeout(ctx, q.Deadline)
 	defer cancel()
-	t.refused = refusedAsPoison(platformtest.Do(limited, p.fronts[node], q))
+	t.refused = refusedAsPoison(platformtest.Do(requestCtx, p.fronts[node], q))
 	p.mu.Lock()
 	p.attempts[q.ID] = t
 	p.mu.Unlock()
 	return t.refused
 }
 
-// refusedAsPoison reports whether an answer tells that its request is refused because it
-// crashes workers.
+// refusedAsPoison reports whether a request was refused because it crashes workers.
 func refusedAsPoison(a platformtest.Response) bool {
-	again, err := strconv.ParseFloat(a.RetryAfter, 64)
-	return err == nil && time.Duration(again*float64(time.Second)) > maxRetryAfter
+	seconds, err := strconv.ParseFloat(a.RetryAfter, 64)
+	return err == nil && time.Duration(seconds*float64(time.Second)) > maxRetryAfter
 }
 
-// crashes lists when a request crashed workers, and by which tries.
+// crashes returns the crashes caused by a request.
 func (p *poisons) crashes(i int) (list []platformtest.Crash) {
 	for _, c := range p.site.Crashes() {
 		if c.Content == p.list[i].Body {
@@ -140,38 +139,39 @@
 	return list
 }
 
-// settle asks all nodes for all requests that have crashed enough workers, until all nodes
-// refuse them, and returns what is wrong in the end.
+// settle sends the requests that caused at least crashesToRefuse crashes to all nodes until all
+// refuse them. It returns a message for each request that is still not refused.
 func (p *poisons) settle() (found []string) {
 	for i := range p.list {
 		if len(p.crashes(i)) < crashesToRefuse {
 			continue
 		}
-		wrong := ""
+		violation := ""
 		for round := range settleRounds {
 			if round > 0 {
 				time.Sleep(settlePause)
 			}
-			wrong = ""
+			violation = ""
 			for node := range p.fronts {
 				if !p.attempt(context.Background(), i, node) {
-					wrong = fmt.Sprintf("POISON: request %d to %s is not refused in the end by node %d, and maybe others", i, p.list[i].Path, node+1)
+					violation = fmt.Sprintf("POISON: request %d to %s is still not refused by node %d, and possibly others", i, p.list[i].Path, node+1)
 				}
 			}
-			if wrong == "" {
+			if violation == "" {
 				break
 			}
 		}
-		if wrong != "" {
-			found = append(found, wrong)
+		if violation != "" {
+			found = append(found, violation)
 		}
 	}
 	return found
 }
 
-// lateCrashes finds the requests that crashed too many workers later than the contact time after
-// they had crashed enough, by nodes that were in touch.
-func (p *poisons) lateCrashes(contact time.Duration, inTouch func(t poisonAttempt) bool) (found, told []string) {
+// lateCrashes returns a message for each request with more than maxLateCrashes crashes caused
+// by nodes in contact, later than the contact time after the request was to be refused. It also
+// returns a summary.
+func (p *poisons) lateCrashes(contact time.Duration, inContact func(t poisonAttempt) bool) (found, summary []string) {
 	for i, q := range p.list {
 		list := p.crashes(i)
 		late := 0
@@ -179,23 +179,24 @@
 			p.mu.Lock()
 			t := p.attempts[c.RequestID]
 			p.mu.Unlock()
-			if n >= crashesToRefuse && t.at.Sub(list[crashesToRefuse-1].At) > contact && inTouch(t) {
+			if n >= crashesToRefuse && t.at.Sub(list[crashesToRefuse-1].At) > contact && inContact(t) {
 				late++
 			}
 		}
-		told = append(told, fmt.Sprintf("%s crashed %d workers, %d late", q.Path, len(list), late))
+		summary = append(summary, fmt.Sprintf("%s crashed %d workers, %d late", q.Path, len(list), late))
 		if late > maxLateCrashes {
-			found = append(found, fmt.Sprintf("POISON: request %d to %s crashed %d workers, %d of them late by nodes in touch, %d are allowed", i, q.Path, len(list), late, maxLateCrashes))
+			found = append(found, fmt.Sprintf("POISON: request %d to %s crashed %d workers, %d of them late by nodes in contact, %d are allowed", i, q.Path, len(list), late, maxLateCrashes))
 		}
 	}
-	return found, told
+	return found, summary
 }
 
-// crashedDuring reports whether a worker crashed while a request was under way, or about then.
+// crashedDuring reports whether a worker crashed while a request was active, or up to a second
+// before or after.
 func (p *poisons) crashedDuring(from time.Time, took time.Duration) bool {
-	const about = time.Second
+	const margin = time.Second
 	for _, c := range p.site.Crashes() {
-		if c.At.After(from.Add(-about)) && c.At.Before(from.Add(took+about)) {
+		if c.At.After(from.Add(-margin)) && c.At.Before(from.Add(took+margin)) {
 			return true
 		}
 	}
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -15,22 +15,21 @@
 	"gradetiller.example/platform/platformtest"
 )
 
-// process is one node that is run as a separate process, and started again
-// when the soak has ended it.
+// process is a node that runs as a separate process and can be restarted.
 type process struct {
 	platformtest.Addresses
 	t        testing.TB
 	name     string
 	program  string
 	settings string
-	peer     string // where other nodes reach it
+	peer     string // address at which other nodes reach it
 	logs     string
 	grace    time.Duration
 
 	mu           sync.Mutex
 	command      *exec.Cmd
 	exited       chan struct{}
-	exitExpected bool // the soak has ended it
+	exitExpected bool // the test has ended the process
 	incarnation  int
 	unexpected   []string
 	reserved     bool
@@ -38,14 +37,13 @@
 	starts       []time.Time
 }
 
-// stop is one planned stop: when SIGTERM was sent and when the process was gone,
-// or zero while it is not.
+// stop is a planned stop. exitedAt is zero while the process runs.
 type stop struct {
 	sigtermAt, exitedAt time.Time
 }
 
-// reserve reserves the process for one fault that ends or stops it, and reports
-// false while another one has it.
+// reserve reserves the process for one fault that ends or pauses it. It reports false if
+// another fault has reserved it.
 func (p *process) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +60,7 @@
 	p.reserved = false
 }
 
-// build builds the program under test once for all runs.
+// build builds the program under test.
 func build(t testing.TB, folder string) string {
 	program := filepath.Join(folder, "gradetiller-node")
 	command := exec.Command("go", "build", "-o", program, "gradetiller.example/cmd/gradetiller-node")
@@ -72,7 +70,7 @@
 	return program
 }
 
-// start starts the process with the settings of this moment.
+// start starts the process with its current settings.
 func (p *process) start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,15 +94,15 @@
 		_ = log.Close()
 		p.mu.Lock()
 		if !p.exitExpected {
-			p.unexpected = append(p.unexpected, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+			p.unexpected = append(p.unexpected, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 		}
 		p.mu.Unlock()
 		close(exited)
 	}()
 }
 
-// startedWithin reports whether the process was started in a time before a moment. Such a
-// node is not in touch yet, whether it was ended as planned or not.
+// startedWithin reports whether the process was started within d before the given time. Such a
+// node is not yet in contact, whether it was stopped as planned or not.
 func (p *process) startedWithin(d time.Duration, at time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,23 +116,22 @@
 	_ = p.command.Process.Signal(s)
 }
 
-// end ends the process with a signal and waits until it is gone.
+// end terminates the process with a signal and waits for its exit.
 func (p *process) end(s syscall.Signal) {
 	p.mu.Lock()
 	p.exitExpected = true
 	exited := p.exited
 	_ = p.command.Process.Signal(s)
 	if s == syscall.SIGKILL {
-		// A stopped process takes the kill only when it goes on.
+		// Resume a process that is stopped, so that it exits.
 		_ = p.command.Process.Signal(syscall.SIGCONT)
 	}
 	p.mu.Unlock()
 	<-exited
 }
 
-// terminate stops the process as planned and waits until it is gone: SIGTERM,
-// and SIGKILL when the grace period is over. It reports whether the process
-// ended before that.
+// terminate performs a planned stop: it sends SIGTERM, then SIGKILL when the grace period is
+// over, and waits for the exit. It reports whether the process exited within the grace period.
 func (p *process) terminate() bool {
 	p.mu.Lock()
 	command := p.command
@@ -149,33 +146,33 @@
 	return inTime
 }
 
-// stopping reports whether SIGTERM was sent and the process is not gone.
+// stopping reports whether the process has received SIGTERM and still runs.
 func (p *process) stopping() bool {
 	_, ok := p.sinceStop(time.Now())
 	return ok
 }
 
-// sinceStop tells how long before a moment SIGTERM was sent to the process that
-// ran then, and whether it was.
-func (p *process) sinceStop(moment time.Time) (time.Duration, bool) {
+// sinceStop returns the time from SIGTERM to the given time, and whether the process was
+// stopping then.
+func (p *process) sinceStop(at time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.stops {
-		if !moment.Before(s.sigtermAt) && (s.exitedAt.IsZero() || moment.Before(s.exitedAt)) {
-			return moment.Sub(s.sigtermAt), true
+		if !at.Before(s.sigtermAt) && (s.exitedAt.IsZero() || at.Before(s.exitedAt)) {
+			return at.Sub(s.sigtermAt), true
 		}
 	}
 	return 0, false
 }
 
-// currentIncarnation counts the starts.
+// currentIncarnation returns the number of starts so far.
 func (p *process) currentIncarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.incarnation
 }
 
-// unexpectedExits lists how often and why the process ended by itself.
+// unexpectedExits describes each exit that the test did not cause.
 func (p *process) unexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// mode is what a proxy does with the connections through it.
+// mode is what a proxy does with its connections.
 type mode int
 
 const (
-	// pass hands all bytes on.
+	// pass forwards all bytes.
 	pass mode = iota
-	// delay hands bytes on late.
+	// delay forwards bytes after delayTime.
 	delay
-	// reset ends connections, open and new ones.
+	// reset resets open and new connections.
 	reset
-	// cutForward loses what the caller sends, cutBack what it would receive.
+	// cutForward drops what the caller sends, cutBack what it would receive.
 	cutForward
 	cutBack
-	// silent loses the bytes of both sides.
+	// silent drops the bytes of both directions.
 	silent
 )
 
-// modes are the harmful modes.
+// modes are the modes that disrupt connections.
 var modes = []mode{delay, reset, cutForward, cutBack, silent}
 
 func (m mode) String() string {
@@ -37,7 +37,7 @@
 	chunkSize = 32 << 10
 )
 
-// proxy stands between callers and one address.
+// proxy forwards connections to one address.
 type proxy struct {
 	address string
 	target  string
@@ -46,24 +46,24 @@
 	open    map[*link]struct{}
 }
 
-// link is one connection through a proxy. Bytes that were lost can't be made up
-// for, so a link that lost any is ended when its proxy is healed.
+// link is a connection through a proxy. A link that dropped bytes is aborted when its proxy
+// returns to pass, because the bytes cannot be recovered.
 type link struct {
 	caller, callee net.Conn
 	lost           bool
 }
 
-// proxies are all proxies of a run, by the address behind them.
+// proxies are all proxies of a run by target address.
 type proxies struct {
 	t    testing.TB
 	mu   sync.Mutex
 	list map[string]*proxy
 }
 
-// addressOf returns the address of the proxy before an address.
+// addressOf returns the address of the proxy to a target.
 func (p *proxies) addressOf(target string) string { return p.proxyFor(target).address }
 
-// proxyFor returns the proxy before an address, which is started at its first use.
+// proxyFor returns the proxy to a target, which it starts at the first use.
 func (p *proxies) proxyFor(target string) *proxy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,8 +85,8 @@
 	return x
 }
 
-// set changes the mode. A link that lost bytes ends, as does every link when
-// connections are reset.
+// set changes the mode. It aborts links that dropped bytes if the new mode is pass, and all
+// links if it is reset.
 func (x *proxy) set(m mode) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -140,7 +140,7 @@
 	_ = callee.Close()
 }
 
-// copy hands bytes on in one direction, which the mode lost loses.
+// copy forwards bytes in one direction. The mode lost drops them.
 func (x *proxy) copy(l *link, to, from net.Conn, lost mode) {
 	buffer := make([]byte, chunkSize)
 	for {
@@ -174,7 +174,7 @@
 	}
 }
 
-// abort resets both sides.
+// abort resets both connections.
 func (l *link) abort() {
 	for _, c := range []net.Conn{l.caller, l.callee} {
 		if t, ok := c.(*net.TCPConn); ok {
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// signalsSeed parts the draws of signals from the others, signalShare is how many troubles
-	// there are for one worker that rejects requests with a backoff.
+	// signalsSeed separates the draws of signals from the others. One in signalOdds faults is
+	// accompanied by a worker that rejects requests with a backoff.
 	signalsSeed = 29
 	signalOdds  = 3
-	// signalPhaseTime is how long workers announce signals in the last phase with no node harmed, and
-	// again while one is paused and one killed.
+	// signalPhaseTime is how long workers send signals in the final phase without faults of
+	// nodes, and again while one node is paused and another is killed.
 	signalPhaseTime = 6 * time.Second
-	// storeOutage is how long the store is away meanwhile.
+	// storeOutage is how long the store is unavailable during the first part of that phase.
 	storeOutage = 2 * time.Second
-	// maxRejectInterval is the most requests of which a worker rejects one.
+	// A worker rejects one in at most maxRejectInterval requests.
 	maxRejectInterval = 4
 )
 
-// signalPhase is what the last phase recorded.
+// signalPhase is the record of the final phase with signals.
 type signalPhase struct {
 	draining []*platformtest.Worker
-	// announced is when they announced draining.
+	// announced is when the workers in draining announced draining.
 	announced time.Time
 	rejecting []*platformtest.Worker
-	// calm is until when no node was harmed.
+	// calm is the time until which no node was disturbed.
 	from, calm, to time.Time
 }
 
@@ -39,8 +39,8 @@
 	w.RejectEvery(1+r.signalRand.IntN(maxRejectInterval), r.randomBackoff())
 }
 
-// maybeRejectRequests has, now and then, a worker reject requests with a backoff for a while, and with
-// another one after a part of it.
+// maybeRejectRequests makes a random worker reject requests with a backoff for a while, with a
+// probability of 1/signalOdds. The backoff changes halfway.
 func (r *run) maybeRejectRequests() {
 	if r.signalRand.IntN(signalOdds) > 0 {
 		return
@@ -53,15 +53,15 @@
 	time.AfterFunc(length, func() { w.RejectEvery(0, 0) })
 }
 
-// runSignalPhase has workers announce draining that the store lists as ready, and others reject
-// requests with backoffs that come and go, while the store is away for a part; then again while
-// nodes are paused and killed.
+// runSignalPhase makes workers that the store lists as ready announce draining, and others
+// reject requests with backoffs that change. The store is unavailable for some of that time.
+// Then nodes are paused and killed.
 func (r *run) runSignalPhase() {
 	s := &r.signalPhase
 	all := []string{"desk", "model", "encode", "rank"}
-	crowded := all[r.signalRand.IntN(len(all))]
+	wholeService := all[r.signalRand.IntN(len(all))]
 	for _, service := range all {
-		s.rejecting = append(s.rejecting, r.pickRejecting(service, service == crowded)...)
+		s.rejecting = append(s.rejecting, r.pickRejecting(service, service == wholeService)...)
 		s.draining = append(s.draining, r.site.AddWorkers(service, 2)...)
 	}
 	time.Sleep(listingTime)
@@ -87,11 +87,12 @@
 	}
 }
 
-// pickRejecting lists two of a service's workers that run and stay, or all.
-func (r *run) pickRejecting(service string, crowded bool) []*platformtest.Worker {
+// pickRejecting returns two running workers of a service that have not left, or all of them if
+// wholeService is set.
+func (r *run) pickRejecting(service string, wholeService bool) []*platformtest.Worker {
 	var list []*platformtest.Worker
 	for _, w := range r.workers[service] {
-		if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || len(list) == 2 && !crowded {
+		if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || len(list) == 2 && !wholeService {
 			continue
 		}
 		list = append(list, w)
@@ -105,7 +106,7 @@
 	}
 }
 
-// takeStoreDown has the store be away for a while.
+// takeStoreDown makes the store unavailable for storeOutage.
 func (r *run) takeStoreDown() {
 	began := time.Now()
 	r.beginUnplanned()
@@ -116,8 +117,8 @@
 	r.storeFaults.add(began, time.Now())
 }
 
-// checkSignals holds the arrivals at the workers of the last phase against the rules on draining
-// and backoffs.
+// checkSignals checks the arrivals at the workers of the final phase against the rules for
+// draining and backoffs.
 func (r *run) checkSignals() {
 	s := &r.signalPhase
 	if s.from.IsZero() {
@@ -133,17 +134,18 @@
 	rejected := 0
 	for _, w := range s.rejecting {
 		rejections := slices.DeleteFunc(w.Rejections(), func(x platformtest.Rejection) bool {
-			// Calls carry no id: of whom they are is known only while their leader stays.
+			// Calls have no ID. Their sender is known only as long as the leader of the pool
+			// stays the same.
 			over := x.At.Add(x.Backoff)
 			return x.At.Before(s.from) || over.After(s.to) || x.ID == "" && over.After(s.calm)
 		})
 		rejected += len(rejections)
 		r.failures = append(r.failures, withPrefix("BACKOFF", log.BackoffViolations(rejections, w.Arrivals()))...)
 	}
-	r.t.Logf("%d workers drained and got %d requests, %d rejected %d", len(s.draining), requests, len(s.rejecting), rejected)
+	r.t.Logf("%d workers announced draining and received %d requests, %d workers rejected %d requests", len(s.draining), requests, len(s.rejecting), rejected)
 }
 
-// signalLog is what clients saw of the workers that drained.
+// signalLog returns what clients sent, and the draining announcements they received.
 func (r *run) signalLog() *signaltest.Log {
 	log := &signaltest.Log{Excused: func(node string, from, to time.Time) bool {
 		return slices.ContainsFunc(r.excuses, func(e excuse) bool {
@@ -163,7 +165,7 @@
 	return log
 }
 
-// arrivalsBetween returns the arrivals between two moments.
+// arrivalsBetween returns the arrivals between two points in time.
 func arrivalsBetween(list []platformtest.Arrival, from, to time.Time) []platformtest.Arrival {
 	return slices.DeleteFunc(list, func(a platformtest.Arrival) bool { return a.At.Before(from) || a.At.After(to) })
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,44 +21,45 @@
 
 var (
 	firstSeed    = flag.Uint64("first", 1, "first seed")
-	seeds        = flag.Int("seeds", 1, "how many seeds in a row")
-	secondsEach  = flag.Float64("seconds", 5, "how long faults come, in seconds a seed")
-	processCount = flag.Int("processes", 3, "nodes that run at once")
-	clientCount  = flag.Int("clients", 12, "clients that send at once")
-	logFolder    = flag.String("logs", "", "folder that keeps the nodes' logs; empty keeps them only of seeds that fail")
+	seeds        = flag.Int("seeds", 1, "number of consecutive seeds")
+	secondsEach  = flag.Float64("seconds", 5, "duration of the faults of each seed, in seconds")
+	processCount = flag.Int("processes", 3, "number of nodes")
+	clientCount  = flag.Int("clients", 12, "number of concurrent clients")
+	logFolder    = flag.String("logs", "", "directory for the nodes' logs; if empty, only the logs of failed seeds are kept")
 )
 
-// faultSet is what troubles a run has. Seeds that failed are run with those of their
-// time, so that they go on as they did; what came later is none of their troubles.
+// faultSet selects the faults of a run. From restartFaults on, each set adds to the one
+// before it. A regression seed runs with the set that it failed with, so that it still draws the
+// same faults.
 type faultSet int
 
 const (
-	// baseFaults runs have workers that say that they leave, and crashes for good.
+	// baseFaults has workers that announce that they leave, and permanent crashes.
 	baseFaults faultSet = iota
-	// alternatingFaults runs have every second worker leave without a word and every second
-	// one that crashes begin anew, other writers in the list, and in the end workers that
-	// leave while the readers are lost.
+	// alternatingFaults makes every second leaving worker leave unannounced and every second
+	// crashed worker restart. It adds entries of another writer to the list of workers, and a
+	// final phase in which workers leave while the readers are paused.
 	alternatingFaults
-	// restartFaults runs have the troubles of the first, and beside them, by draws of their own,
-	// all that came later: each a kind of its own.
+	// restartFaults has the faults of baseFaults. In addition, drawn from a separate random
+	// source, workers restart under their ID and workers leave unannounced. It includes the
+	// other entries and the final phase of alternatingFaults.
 	restartFaults
-	// evacuationFaults runs have beside all these an evacuation of one of two zones, and a store that
-	// comes back from older copies, by further draws of their own.
+	// evacuationFaults adds the evacuation of one of two zones and restorations of the store
+	// from older snapshots, drawn from another random source.
 	evacuationFaults
-	// rateLimitFaults runs have beside all these workers that name how many requests a second they
-	// take, by further draws of their own, and in the end a phase in which that is checked.
+	// rateLimitFaults adds workers that advertise rate limits, drawn from another random
+	// source, and a final phase that checks these limits.
 	rateLimitFaults
-	// coldFaults runs have beside all these workers that turn cold, by further draws of their own, and
-	// in the end a phase in which what they get is checked.
+	// coldFaults adds workers that turn cold, drawn from another random source, and a final
+	// phase that checks the load of cold workers.
 	coldFaults
-	// signalFaults runs have beside all these workers that reject requests with a backoff, by further
-	// draws of their own, and in the end a phase in which workers announce draining too.
+	// signalFaults adds workers that reject requests with a backoff, drawn from another random
+	// source, and a final phase in which workers also announce draining.
 	signalFaults
 )
 
-// regressions are the seeds that ever failed, with the cause. They are run each
-// time, those of longRegressions only beside several other seeds: all take half a
-// minute each.
+// regressions are seeds that failed once, with the cause. They run each time. Those of
+// longRegressions run only if several other seeds are requested, because each takes about 30 s.
 var regressions = []regression{
 	{521, baseFaults, causeNoEndpointList},
 	{526, baseFaults, causeNoEndpointList},
@@ -73,7 +74,7 @@
 	{704, baseFaults, causeLateStream},
 	{705, baseFaults, causeLateStream},
 	{706, baseFaults, causeLateStream},
-	{707, baseFaults, causeLateStream + "; and idle connections were closed just when their request had been read"},
+	{707, baseFaults, causeLateStream + "; and idle connections were closed at the moment their next request had been read"},
 	{708, baseFaults, causeLateStream},
 	{709, baseFaults, causeLateStream},
 	// With six nodes.
@@ -83,9 +84,9 @@
 	// With five nodes.
 	{3430, restartFaults, causeServedElsewhere},
 	{3511, restartFaults, causeNeverExecuted},
-	// With four nodes, six seconds.
+	// With four nodes, 6 s.
 	{3619, restartFaults, causeStoreUnavailable},
-	// With four nodes, four seconds.
+	// With four nodes, 4 s.
 	{5002, rateLimitFaults, causeStartedWithoutSeeds},
 	{6100, rateLimitFaults, causeSIGHUPAtStart},
 	{6118, rateLimitFaults, causeStartedWithoutSeeds},
@@ -97,32 +98,34 @@
 	cause  string
 }
 
-const causeLateStream = "a node that was stopping took streams that it could not end in its grace period"
+const causeLateStream = "a stopping node accepted streams that it could not complete within its grace period"
 
-const causeStreamUnderestimated = "a node that was stopping foretold a long stream too short by what many short ones had taken, and cut it before its last event"
+const causeStreamUnderestimated = "a stopping node underestimated the duration of a long stream, because its estimate came from many short streams, and cut the stream off before its last event"
 
-const causeServedElsewhere = "a request that all nodes were sent was refused as one that crashes workers, since it ran at three that had crashed, while it was served elsewhere"
+const causeServedElsewhere = "a request that was sent to all nodes was refused as one that crashes workers, because it was running on three workers that crashed, although other workers served it"
 
-const causeNeverExecuted = "a request that was sent to workers which had crashed already, by way of proxies that took its connections, was refused as one that crashes them"
+const causeNeverExecuted = "a request was refused as one that crashes workers, although it was sent to workers that had crashed before, through proxies that still accepted connections"
 
-const causeStoreUnavailable = "no fault of a node: a worker had left while the store was away twice and the leader of its cell was paused, which took its entry for one that had lapsed; the check did not ask whether the store was well"
+const causeStoreUnavailable = "fault of the check: a worker left while the store was unavailable twice and the leader of its cell was paused, so that the leader treated its entry as expired; the check did not consider the state of the store"
 
-const causeStartedWithoutSeeds = "no fault of a node: one that had just been started, without seeds, served before others told it what they knew; such a node is not in touch, and the check counted it"
+const causeStartedWithoutSeeds = "fault of the check: a node that had just been started without seeds served before it had received state from the others; such a node is not in contact, but the check counted it"
 
-const causeSIGHUPAtStart = "open: SIGHUP in the first milliseconds of a process, before the program can take it, ends it"
+const causeSIGHUPAtStart = "open: SIGHUP in the first milliseconds of a process, before the program handles it, terminates the process"
 
-const causeSIGHUPBeforeSettings = "likely: a node that got SIGHUP before it had read its settings ended without a line"
+const causeSIGHUPBeforeSettings = "probable cause: a node that received SIGHUP before it had read its settings exited without a log line"
 
-const causeNoEndpointList = "a node that was sent work before its first list of endpoints ended with a nil pointer"
+const causeNoEndpointList = "a node that received requests before its first list of endpoints dereferenced a nil pointer"
 
-// run is one seed's whole system.
+// run is the system under test for one seed.
 type run struct {
 	t      *testing.T
 	faults faultSet
 	rand   *rand.Rand
-	// laterRand draws the troubles that came later.
+	// laterRand draws the faults that restartFaults adds.
 	laterRand *rand.Rand
-	// restoreRand draws when the store comes back from a copy, limits which workers name what.
+	// restoreRand draws when the store is restored from a snapshot, limitRand which workers
+	// advertise which limits, and coldRand and signalRand the faults of coldFaults and
+	// signalFaults.
 	restoreRand *rand.Rand
 	limitRand   *rand.Rand
 	coldRand    *rand.Rand
@@ -140,31 +143,31 @@
 	workers     map[string][]*platformtest.Worker
 	retired     []retired
 	crashes     int
-	// storeFaults are when something was wrong with the store or the way to it.
+	// storeFaults are the spans in which the store or the connection to it was disrupted.
 	storeFaults spans
 	poisons     *poisons
-	// leaving are the workers that left while the readers were lost.
+	// leaving are the workers that left while the readers were paused.
 	leaving []*platformtest.Worker
-	// activeUnplanned counts the faults in force that are no planned work, and
-	// lastUnplanned is when the last one ended.
+	// activeUnplanned counts the active unplanned faults, which are all faults except planned
+	// operations. lastUnplannedEnd is the end of the latest one in Unix milliseconds.
 	activeUnplanned  atomic.Int64
 	lastUnplannedEnd atomic.Int64
-	// unplannedCount counts all faults so far that are no planned work.
+	// unplannedCount counts the unplanned faults begun so far.
 	unplannedCount atomic.Int64
-	// overdueStops counts planned stops that outlasted the grace period.
+	// overdueStops counts the planned stops that exceeded the grace period.
 	overdueStops atomic.Int64
 	probes       atomic.Int64
 	failures     []string
-	// endFault ends the trouble that is being started, or is nil.
+	// endFault ends the fault that is being started. It is nil if there is nothing to end.
 	endFault func()
-	// found are failures that were seen while troubles came.
+	// asyncFailures are failures detected by other goroutines while faults were active.
 	asyncMu       sync.Mutex
 	asyncFailures []string
-	// calmSince is when the last fault ended that was no planned work.
+	// calmSince is when the last unplanned fault ended.
 	calmSince time.Time
 }
 
-// retired is a worker that has left, with or without a word.
+// retired is a worker that has left, announced or not.
 type retired struct {
 	worker *platformtest.Worker
 	at     time.Time
@@ -173,22 +176,22 @@
 const (
 	// gracePeriod is the time between SIGTERM and SIGKILL.
 	gracePeriod = 5 * time.Second
-	// maxReadDelay is how long after it was sent a request without an answer has
-	// been read for certain: one that crosses the close of its connection ends
-	// at once. It is generous, since the machine may be busy.
+	// maxReadDelay is the time after which an unanswered request has certainly been read. A
+	// request that arrives while its connection is being closed fails at once. The value is
+	// generous because the machine may be busy.
 	maxReadDelay = 2 * time.Second
-	// calmTime is how long after the last unplanned fault only planned work
-	// counts as under way.
+	// calmTime is the time after the last unplanned fault from which only planned operations
+	// count as active.
 	calmTime = 4 * time.Second
-	// maxDrainTime is how long after the store has taken that a worker leaves nothing may
-	// reach it any more; it is generous, since the machine may be busy.
+	// maxDrainTime is the time after the store has accepted that a worker leaves from which
+	// nothing may reach the worker. The value is generous because the machine may be busy.
 	maxDrainTime = 8 * time.Second
 	recoveryTime = 5 * time.Second
-	// maxSeeds is how many seeds a node's settings name.
+	// maxSeeds is the maximum number of seeds in a node's settings.
 	maxSeeds = 3
 )
 
-// TestSoak runs the seeds asked for, and each seed that ever failed.
+// TestSoak runs the requested seeds and the regression seeds.
 func TestSoak(t *testing.T) {
 	program := build(t, t.TempDir())
 	list := regressions
@@ -211,13 +214,13 @@
 		c := newClient(r, c.seed, i)
 		sending.Go(func() { c.loop(clients) })
 	}
-	lasts := time.Duration(*secondsEach * float64(time.Second))
+	duration := time.Duration(*secondsEach * float64(time.Second))
 	r.poisons = newPoisons(r.site, r.frontAddresses(), c.seed, c.faults.poisonRequests())
-	sending.Go(func() { r.poisons.send(clients, lasts/2) })
+	sending.Go(func() { r.poisons.send(clients, duration/2) })
 	if r.faults >= evacuationFaults {
-		time.AfterFunc(lasts/4, r.evacuate)
+		time.AfterFunc(duration/4, r.evacuate)
 	}
-	r.injectFaults(lasts)
+	r.injectFaults(duration)
 	time.Sleep(recoveryTime)
 	r.awaitConfig()
 	if r.faults >= evacuationFaults {
@@ -248,9 +251,9 @@
 	}
 }
 
-// poisonRequests is how many requests that crash workers a run has.
-func (g faultSet) poisonRequests() int {
-	if g >= restartFaults {
+// poisonRequests returns the number of requests in a run that crash workers.
+func (f faultSet) poisonRequests() int {
+	if f >= restartFaults {
 		return *poisonCount
 	}
 	return 0
@@ -282,15 +285,15 @@
 	return r
 }
 
-// unusableEntries are entries of another writer in the list of workers: none names a worker
-// to use.
+// unusableEntries are entries of another writer in the list of workers. None of them describes
+// a usable worker.
 var unusableEntries = []string{
 	"", "{", "[1]", "7", `{}`, `{"service":"desk","slots":"many"}`,
 	`{"service":"desk","addr":"127.0.0.1:1","zone":"zone-a","slots":4,"state":"paused"}`,
 	`{"service":"model","addr":"nowhere","zone":"zone-a","slots":4,"state":"ready"}`,
 }
 
-// longTimeoutRoutes are routes whose timeouts never come before the client's deadline.
+// longTimeoutRoutes returns routes whose timeouts never expire before the client's deadline.
 func longTimeoutRoutes() []platformtest.Route {
 	routes := platformtest.SampleRoutes()
 	for i := range routes {
@@ -299,7 +302,7 @@
 	return routes
 }
 
-// frontAddresses lists where clients reach the nodes.
+// frontAddresses returns the addresses at which clients reach the nodes.
 func (r *run) frontAddresses() []string {
 	var list []string
 	for _, p := range r.nodes {
@@ -319,14 +322,14 @@
 	if err := os.MkdirAll(logs, 0o700); err != nil {
 		r.t.Fatal(err)
 	}
-	var known []string
+	var seedPeers []string
 	for i := range *processCount {
-		text, addresses := r.site.Settings(known...)
+		text, addresses := r.site.Settings(seedPeers...)
 		p := &process{
 			Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", i+1), program: program, logs: logs, grace: gracePeriod,
 			settings: r.site.WriteSettings(text), peer: r.proxies.addressOf(addresses.Peer),
 		}
-		known = append(known, p.peer)
+		seedPeers = append(seedPeers, p.peer)
 		r.nodes = append(r.nodes, p)
 		p.start()
 	}
@@ -342,16 +345,16 @@
 		r.awaitReady(p)
 	}
 	if r.faults >= coldFaults {
-		r.writeSeeds(known)
+		r.writeSeeds(seedPeers)
 	}
 }
 
-// emptySeeds is how settings without seeds end.
+// emptySeeds is the last line of settings without seeds.
 const emptySeeds = "seeds: []"
 
-// writeSeeds writes the addresses of some others into the settings of the node that began as the
-// first of all, for its next start. Where nodes run, all of them have seeds then: one that has
-// none takes itself for the only one, and serves before any other has told it anything.
+// writeSeeds adds the addresses of other nodes to the settings of the node that was started
+// first, for its next start. In production all nodes have seeds. A node without seeds considers
+// itself the only one and serves before it has received any state from the others.
 func (r *run) writeSeeds(addresses []string) {
 	for _, p := range r.nodes {
 		text, err := os.ReadFile(p.settings)
@@ -366,8 +369,8 @@
 	}
 }
 
-// awaitReady waits until a node serves; the bound is generous because no
-// verdict depends on speed.
+// awaitReady waits until a node is ready. The time limit is generous because no verdict depends
+// on speed.
 func (r *run) awaitReady(p *process) {
 	for range 3000 {
 		if platformtest.Ready(p.Ready) == http.StatusOK {
@@ -375,26 +378,28 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("%s does not become ready, logs in %s, ends by itself: %v", p.name, p.logs, p.unexpectedExits())
+	r.t.Fatalf("%s does not become ready, logs in %s, unexpected exits: %v", p.name, p.logs, p.unexpectedExits())
 }
 
 func (r *run) fail(format string, values ...any) {
 	r.failures = append(r.failures, fmt.Sprintf(format, values...))
 }
 
-// failAsync notes a failure from any goroutine.
+// failAsync records a failure. It is safe for concurrent use.
 func (r *run) failAsync(text string) {
 	r.asyncMu.Lock()
 	defer r.asyncMu.Unlock()
 	r.asyncFailures = append(r.asyncFailures, text)
 }
 
-// isCalm reports whether no unplanned fault is in force or was lately.
+// isCalm reports whether no unplanned fault is active and the last one ended more than calmTime
+// ago.
 func (r *run) isCalm() bool {
 	return r.activeUnplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplannedEnd.Load())) > calmTime
 }
 
-// wasCalmAt reports whether a moment lies some time after the last unplanned fault of the run.
+// wasCalmAt reports whether a point in time is more than calmTime after the last unplanned
+// fault of the run.
 func (r *run) wasCalmAt(at time.Time) bool {
 	r.asyncMu.Lock()
 	defer r.asyncMu.Unlock()
