--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -21,174 +21,177 @@
 
 var (
 	firstSeed    = flag.Uint64("first", 1, "first seed")
-	seeds        = flag.Int("seeds", 1, "how many seeds in a row")
-	secondsEach  = flag.Float64("seconds", 5, "how long faults come, in seconds a seed")
-	processCount = flag.Int("processes", 3, "nodes that run at once")
-	clientCount  = flag.Int("clients", 12, "clients that send at once")
-	logFolder    = flag.String("logs", "", "folder that keeps the nodes' logs; empty keeps them only of seeds that fail")
+	seeds        = flag.Int("seeds", 1, "number of consecutive seeds")
+	secondsEach  = flag.Float64("seconds", 5, "duration of the faults of each seed, in seconds")
+	processCount = flag.Int("processes", 3, "number of nodes")
+	clientCount  = flag.Int("clients", 12, "number of concurrent clients")
+	logFolder    = flag.String("logs", "", "directory for the nodes' logs; if empty, only the logs of failed seeds are kept")
 )
 
-// generation is what troubles a run has. Seeds that failed are run with those of their
-// time, so that they go on as they did; what came later is none of their troubles.
-type generation int
+// faultSet selects the faults of a run. From restartFaults on, each set adds to the one
+// before it. A regression seed runs with the set that it failed with, so that it still draws the
+// same faults.
+type faultSet int
 
 const (
-	// spoken runs have workers that say that they leave, and crashes for good.
-	spoken generation = iota
-	// alternating runs have every second worker leave without a word and every second
-	// one that crashes begin anew, other writers in the list, and in the end workers that
-	// leave while the readers are lost.
-	alternating
-	// newest runs have the troubles of the first, and beside them, by draws of their own,
-	// all that came later: each a kind of its own.
-	newest
-	// placed runs have beside all these an evacuation of one of two zones, and a store that
-	// comes back from older copies, by further draws of their own.
-	placed
-	// limited runs have beside all these workers that name how many requests a second they
-	// take, by further draws of their own, and in the end a phase in which that is checked.
-	limited
-	// cold runs have beside all these workers that turn cold, by further draws of their own, and
-	// in the end a phase in which what they get is checked.
-	cold
-	// announcing runs have beside all these workers that reject requests with a backoff, by further
-	// draws of their own, and in the end a phase in which workers announce draining too.
-	announcing
+	// baseFaults has workers that announce that they leave, and permanent crashes.
+	baseFaults faultSet = iota
+	// alternatingFaults makes every second leaving worker leave unannounced and every second
+	// crashed worker restart. It adds entries of another writer to the list of workers, and a
+	// final phase in which workers leave while the readers are paused.
+	alternatingFaults
+	// restartFaults has the faults of baseFaults. In addition, drawn from a separate random
+	// source, workers restart under their ID and workers leave unannounced. It includes the
+	// other entries and the final phase of alternatingFaults.
+	restartFaults
+	// evacuationFaults adds the evacuation of one of two zones and restorations of the store
+	// from older snapshots, drawn from another random source.
+	evacuationFaults
+	// rateLimitFaults adds workers that advertise rate limits, drawn from another random
+	// source, and a final phase that checks these limits.
+	rateLimitFaults
+	// coldFaults adds workers that turn cold, drawn from another random source, and a final
+	// phase that checks the load of cold workers.
+	coldFaults
+	// signalFaults adds workers that reject requests with a backoff, drawn from another random
+	// source, and a final phase in which workers also announce draining.
+	signalFaults
 )
 
-// regressions are the seeds that ever failed, with the cause. They are run each
-// time, those of longRegressions only beside several other seeds: all take half a
-// minute each.
+// regressions are seeds that failed once, with the cause. They run each time. Those of
+// longRegressions run only if several other seeds are requested, because each takes about 30 s.
 var regressions = []regression{
-	{521, spoken, noViewYet},
-	{526, spoken, noViewYet},
-	{538, spoken, noViewYet},
+	{521, baseFaults, causeNoEndpointList},
+	{526, baseFaults, causeNoEndpointList},
+	{538, baseFaults, causeNoEndpointList},
 }
 
 var longRegressions = []regression{
-	{700, spoken, takenLate},
-	{701, spoken, takenLate},
-	{702, spoken, takenLate},
-	{703, spoken, takenLate},
-	{704, spoken, takenLate},
-	{705, spoken, takenLate},
-	{706, spoken, takenLate},
-	{707, spoken, takenLate + "; and idle connections were closed just when their request had been read"},
-	{708, spoken, takenLate},
-	{709, spoken, takenLate},
+	{700, baseFaults, causeLateStream},
+	{701, baseFaults, causeLateStream},
+	{702, baseFaults, causeLateStream},
+	{703, baseFaults, causeLateStream},
+	{704, baseFaults, causeLateStream},
+	{705, baseFaults, causeLateStream},
+	{706, baseFaults, causeLateStream},
+	{707, baseFaults, causeLateStream + "; and idle connections were closed at the moment their next request had been read"},
+	{708, baseFaults, causeLateStream},
+	{709, baseFaults, causeLateStream},
 	// With six nodes.
-	{1044, spoken, takenTooLong},
+	{1044, baseFaults, causeStreamUnderestimated},
 	// With four nodes.
-	{1108, alternating, hungUpEarly},
+	{1108, alternatingFaults, causeSIGHUPBeforeSettings},
 	// With five nodes.
-	{3430, newest, sharedRequest},
-	{3511, newest, neverBegun},
-	// With four nodes, six seconds.
-	{3619, newest, leftAndListed},
-	// With four nodes, four seconds.
-	{5002, limited, begunAlone},
-	{6100, limited, hungUpAtOnce},
-	{6118, limited, begunAlone},
+	{3430, restartFaults, causeServedElsewhere},
+	{3511, restartFaults, causeNeverExecuted},
+	// With four nodes, 6 s.
+	{3619, restartFaults, causeStoreUnavailable},
+	// With four nodes, 4 s.
+	{5002, rateLimitFaults, causeStartedWithoutSeeds},
+	{6100, rateLimitFaults, causeSIGHUPAtStart},
+	{6118, rateLimitFaults, causeStartedWithoutSeeds},
 }
 
 type regression struct {
-	seed  uint64
-	of    generation
-	cause string
+	seed   uint64
+	faults faultSet
+	cause  string
 }
 
-const takenLate = "a node that was stopping took streams that it could not end in its grace period"
+const causeLateStream = "a stopping node accepted streams that it could not complete within its grace period"
 
-const takenTooLong = "a node that was stopping foretold a long stream too short by what many short ones had taken, and cut it before its last event"
+const causeStreamUnderestimated = "a stopping node underestimated the duration of a long stream, because its estimate came from many short streams, and cut the stream off before its last event"
 
-const sharedRequest = "a request that all nodes were sent was refused as one that crashes workers, since it ran at three that had crashed, while it was served elsewhere"
+const causeServedElsewhere = "a request that was sent to all nodes was refused as one that crashes workers, because it was running on three workers that crashed, although other workers served it"
 
-const neverBegun = "a request that was sent to workers which had crashed already, by way of proxies that took its connections, was refused as one that crashes them"
+const causeNeverExecuted = "a request was refused as one that crashes workers, although it was sent to workers that had crashed before, through proxies that still accepted connections"
 
-const leftAndListed = "no fault of a node: a worker had left while the store was away twice and the leader of its cell was paused, which took its entry for one that had lapsed; the check did not ask whether the store was well"
+const causeStoreUnavailable = "fault of the check: a worker left while the store was unavailable twice and the leader of its cell was paused, so that the leader treated its entry as expired; the check did not consider the state of the store"
 
-const begunAlone = "no fault of a node: one that had just been started, without seeds, served before others told it what they knew; such a node is not in touch, and the check counted it"
+const causeStartedWithoutSeeds = "fault of the check: a node that had just been started without seeds served before it had received state from the others; such a node is not in contact, but the check counted it"
 
-const hungUpAtOnce = "open: SIGHUP in the first milliseconds of a process, before the program can take it, ends it"
+const causeSIGHUPAtStart = "open: SIGHUP in the first milliseconds of a process, before the program handles it, terminates the process"
 
-const hungUpEarly = "likely: a node that got SIGHUP before it had read its settings ended without a line"
+const causeSIGHUPBeforeSettings = "probable cause: a node that received SIGHUP before it had read its settings exited without a log line"
 
-const noViewYet = "a node that was sent work before its first list of endpoints ended with a nil pointer"
+const causeNoEndpointList = "a node that received requests before its first list of endpoints dereferenced a nil pointer"
 
-// run is one seed's whole system.
+// run is the system under test for one seed.
 type run struct {
-	t    *testing.T
-	of   generation
-	rand *rand.Rand
-	// later draws the troubles that came later.
-	later *rand.Rand
-	// restores draws when the store comes back from a copy, limits which workers name what.
-	restores *rand.Rand
-	limits   *rand.Rand
-	colds    *rand.Rand
-	signals  *rand.Rand
-	signaled signaled
-	limited  []limitedWorker
-	cooled   []cooled
-	excuses  []excuse
-	operator operator
-	site     *platformtest.Site
-	proxies  *proxies
-	nodes    []*process
-	record   record
-	config   platformtest.Config
-	workers  map[string][]*platformtest.Worker
-	retired  []retired
-	crashes  int
-	// storeTroubles are when something was wrong with the store or the way to it.
-	storeTroubles spans
-	poisons       *poisons
-	// leaving are the workers that left while the readers were lost.
+	t      *testing.T
+	faults faultSet
+	rand   *rand.Rand
+	// laterRand draws the faults that restartFaults adds.
+	laterRand *rand.Rand
+	// restoreRand draws when the store is restored from a snapshot, limitRand which workers
+	// advertise which limits, and coldRand and signalRand the faults of coldFaults and
+	// signalFaults.
+	restoreRand *rand.Rand
+	limitRand   *rand.Rand
+	coldRand    *rand.Rand
+	signalRand  *rand.Rand
+	signalPhase signalPhase
+	rateLimited []rateLimitedWorker
+	coldWorkers []coldWorker
+	excuses     []excuse
+	operator    operator
+	site        *platformtest.Site
+	proxies     *proxies
+	nodes       []*process
+	record      record
+	config      platformtest.Config
+	workers     map[string][]*platformtest.Worker
+	retired     []retired
+	crashes     int
+	// storeFaults are the spans in which the store or the connection to it was disrupted.
+	storeFaults spans
+	poisons     *poisons
+	// leaving are the workers that left while the readers were paused.
 	leaving []*platformtest.Worker
-	// unplanned counts the faults in force that are no planned work, and
-	// lastUnplanned is when the last one ended.
-	unplanned     atomic.Int64
-	lastUnplanned atomic.Int64
-	// begun counts all faults so far that are no planned work.
-	begun atomic.Int64
-	// killedLate counts planned stops that outlasted the grace period.
-	killedLate atomic.Int64
-	probes     atomic.Int64
-	failures   []string
-	// afterwards ends the trouble that is being started, or is nil.
-	afterwards func()
-	// found are failures that were seen while troubles came.
-	foundMu sync.Mutex
-	found   []string
-	// calmSince is when the last fault ended that was no planned work.
+	// activeUnplanned counts the active unplanned faults, which are all faults except planned
+	// operations. lastUnplannedEnd is the end of the latest one in Unix milliseconds.
+	activeUnplanned  atomic.Int64
+	lastUnplannedEnd atomic.Int64
+	// unplannedCount counts the unplanned faults begun so far.
+	unplannedCount atomic.Int64
+	// overdueStops counts the planned stops that exceeded the grace period.
+	overdueStops atomic.Int64
+	probes       atomic.Int64
+	failures     []string
+	// endFault ends the fault that is being started. It is nil if there is nothing to end.
+	endFault func()
+	// asyncFailures are failures detected by other goroutines while faults were active.
+	asyncMu       sync.Mutex
+	asyncFailures []string
+	// calmSince is when the last unplanned fault ended.
 	calmSince time.Time
 }
 
-// retired is a worker that has left, with or without a word.
+// retired is a worker that has left, announced or not.
 type retired struct {
 	worker *platformtest.Worker
 	at     time.Time
 }
 
 const (
-	// grace is the time between SIGTERM and SIGKILL.
-	grace = 5 * time.Second
-	// unanswered is how long after it was sent a request without an answer has
-	// been read for certain: one that crosses the close of its connection ends
-	// at once. It is generous, since the machine may be busy.
-	unanswered = 2 * time.Second
-	// settled is how long after the last unplanned fault only planned work
-	// counts as under way.
-	settled = 4 * time.Second
-	// drained is how long after the store has taken that a worker leaves nothing may
-	// reach it any more; it is generous, since the machine may be busy.
-	drained  = 8 * time.Second
-	healTime = 5 * time.Second
-	// mostSeeds is how many seeds a node's settings name.
-	mostSeeds = 3
+	// gracePeriod is the time between SIGTERM and SIGKILL.
+	gracePeriod = 5 * time.Second
+	// maxReadDelay is the time after which an unanswered request has certainly been read. A
+	// request that arrives while its connection is being closed fails at once. The value is
+	// generous because the machine may be busy.
+	maxReadDelay = 2 * time.Second
+	// calmTime is the time after the last unplanned fault from which only planned operations
+	// count as active.
+	calmTime = 4 * time.Second
+	// maxDrainTime is the time after the store has accepted that a worker leaves from which
+	// nothing may reach the worker. The value is generous because the machine may be busy.
+	maxDrainTime = 8 * time.Second
+	recoveryTime = 5 * time.Second
+	// maxSeeds is the maximum number of seeds in a node's settings.
+	maxSeeds = 3
 )
 
-// TestSoak runs the seeds asked for, and each seed that ever failed.
+// TestSoak runs the requested seeds and the regression seeds.
 func TestSoak(t *testing.T) {
 	program := build(t, t.TempDir())
 	list := regressions
@@ -196,14 +199,14 @@
 		list = slices.Concat(regressions, longRegressions)
 	}
 	for i := range *seeds {
-		list = append(list, regression{seed: *firstSeed + uint64(i), of: announcing})
+		list = append(list, regression{seed: *firstSeed + uint64(i), faults: signalFaults})
 	}
 	for _, c := range list {
-		t.Run(fmt.Sprintf("seed-%d", c.seed), func(t *testing.T) { soak(t, program, c) })
+		t.Run(fmt.Sprintf("seed-%d", c.seed), func(t *testing.T) { runSeed(t, program, c) })
 	}
 }
 
-func soak(t *testing.T, program string, c regression) {
+func runSeed(t *testing.T, program string, c regression) {
 	r := newRun(t, program, c)
 	clients, stop := context.WithCancel(context.Background())
 	var sending sync.WaitGroup
@@ -211,34 +214,34 @@
 		c := newClient(r, c.seed, i)
 		sending.Go(func() { c.loop(clients) })
 	}
-	lasts := time.Duration(*secondsEach * float64(time.Second))
-	r.poisons = newPoisons(r.site, r.fronts(), c.seed, c.of.poisons())
-	sending.Go(func() { r.poisons.send(clients, lasts/2) })
-	if r.of >= placed {
-		time.AfterFunc(lasts/4, r.evacuate)
+	duration := time.Duration(*secondsEach * float64(time.Second))
+	r.poisons = newPoisons(r.site, r.frontAddresses(), c.seed, c.faults.poisonRequests())
+	sending.Go(func() { r.poisons.send(clients, duration/2) })
+	if r.faults >= evacuationFaults {
+		time.AfterFunc(duration/4, r.evacuate)
 	}
-	r.trouble(lasts)
-	time.Sleep(healTime)
+	r.injectFaults(duration)
+	time.Sleep(recoveryTime)
 	r.awaitConfig()
-	if r.of >= placed {
+	if r.faults >= evacuationFaults {
 		r.endEvacuation()
 	}
-	if r.of != spoken {
-		r.leaveWithReadersLost()
+	if r.faults != baseFaults {
+		r.runLeavePhase()
 		r.awaitConfig()
 	}
-	if r.of >= limited {
-		r.limitWorkers()
+	if r.faults >= rateLimitFaults {
+		r.runLimitPhase()
 		r.awaitConfig()
 	}
-	if r.of >= cold {
-		r.coolWorkers()
+	if r.faults >= coldFaults {
+		r.runColdPhase()
 	}
-	if r.of >= announcing {
-		r.signalWorkers()
+	if r.faults >= signalFaults {
+		r.runSignalPhase()
 		r.awaitConfig()
 	}
-	r.rollAll()
+	r.rollingRestart()
 	stop()
 	sending.Wait()
 	r.failures = append(r.failures, r.poisons.settle()...)
@@ -248,33 +251,33 @@
 	}
 }
 
-// poisons is how many requests that crash workers a run has.
-func (g generation) poisons() int {
-	if g >= newest {
+// poisonRequests returns the number of requests in a run that crash workers.
+func (f faultSet) poisonRequests() int {
+	if f >= restartFaults {
 		return *poisonCount
 	}
 	return 0
 }
 
 func newRun(t *testing.T, program string, c regression) *run {
-	r := &run{t: t, of: c.of, rand: rand.New(rand.NewPCG(c.seed, 0)), later: rand.New(rand.NewPCG(c.seed, laterSeed)), restores: rand.New(rand.NewPCG(c.seed, restoresSeed)), limits: rand.New(rand.NewPCG(c.seed, limitsSeed)), colds: rand.New(rand.NewPCG(c.seed, coldSeed)), signals: rand.New(rand.NewPCG(c.seed, signalsSeed)), workers: make(map[string][]*platformtest.Worker)}
+	r := &run{t: t, faults: c.faults, rand: rand.New(rand.NewPCG(c.seed, 0)), laterRand: rand.New(rand.NewPCG(c.seed, laterSeed)), restoreRand: rand.New(rand.NewPCG(c.seed, restoresSeed)), limitRand: rand.New(rand.NewPCG(c.seed, limitsSeed)), coldRand: rand.New(rand.NewPCG(c.seed, coldSeed)), signalRand: rand.New(rand.NewPCG(c.seed, signalsSeed)), workers: make(map[string][]*platformtest.Worker)}
 	r.proxies = &proxies{t: t, list: make(map[string]*proxy)}
 	r.site = platformtest.NewSite(t)
-	r.site.ProxyAddress = r.proxies.through
-	r.site.GracePeriod, r.site.TokensPerEvent, r.site.EventInterval = grace, eventTokens, eventPause
+	r.site.ProxyAddress = r.proxies.addressOf
+	r.site.GracePeriod, r.site.TokensPerEvent, r.site.EventInterval = gracePeriod, tokensPerEvent, eventInterval
 	r.config = platformtest.Config{
 		Version: 1, Keys: map[string]string{apiKey: account}, Models: []string{"model"}, Stages: []string{"encode", "rank"},
-		Routes: append(deskRoutes(), platformtest.Route{Prefix: versionPath(1), Kind: "safe", Service: "desk"}),
+		Routes: append(longTimeoutRoutes(), platformtest.Route{Prefix: versionPath(1), Kind: "safe", Service: "desk"}),
 	}
-	if r.of >= cold {
+	if r.faults >= coldFaults {
 		r.config.ColdPerSecond = coldPerSecond
 	}
 	r.site.Publish(r.config)
 	for _, service := range []string{"desk", "model", "encode", "rank"} {
-		r.workers[service] = r.firstWorkers(service)
+		r.workers[service] = r.addInitialWorkers(service)
 	}
-	if r.of != spoken {
-		for i, text := range otherEntries {
+	if r.faults != baseFaults {
+		for i, text := range unusableEntries {
 			r.site.Store.PutEntry(fmt.Sprintf("other-%d", i), []byte(text))
 		}
 	}
@@ -282,16 +285,16 @@
 	return r
 }
 
-// otherEntries are entries of another writer in the list of workers: none names a worker
-// to use.
-var otherEntries = []string{
+// unusableEntries are entries of another writer in the list of workers. None of them describes
+// a usable worker.
+var unusableEntries = []string{
 	"", "{", "[1]", "7", `{}`, `{"service":"desk","slots":"many"}`,
 	`{"service":"desk","addr":"127.0.0.1:1","zone":"zone-a","slots":4,"state":"paused"}`,
 	`{"service":"model","addr":"nowhere","zone":"zone-a","slots":4,"state":"ready"}`,
 }
 
-// deskRoutes are routes whose timeouts never come before the client's deadline.
-func deskRoutes() []platformtest.Route {
+// longTimeoutRoutes returns routes whose timeouts never expire before the client's deadline.
+func longTimeoutRoutes() []platformtest.Route {
 	routes := platformtest.SampleRoutes()
 	for i := range routes {
 		routes[i].Timeout = 2 * clientDeadline
@@ -299,11 +302,11 @@
 	return routes
 }
 
-// fronts lists where clients reach the nodes.
-func (r *run) fronts() []string {
+// frontAddresses returns the addresses at which clients reach the nodes.
+func (r *run) frontAddresses() []string {
 	var list []string
 	for _, p := range r.nodes {
-		list = append(list, r.proxies.through(p.Front))
+		list = append(list, r.proxies.addressOf(p.Front))
 	}
 	return list
 }
@@ -319,14 +322,14 @@
 	if err := os.MkdirAll(logs, 0o700); err != nil {
 		r.t.Fatal(err)
 	}
-	var known []string
+	var seedPeers []string
 	for i := range *processCount {
-		text, addresses := r.site.Settings(known...)
+		text, addresses := r.site.Settings(seedPeers...)
 		p := &process{
-			Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", i+1), program: program, logs: logs, grace: grace,
-			settings: r.site.WriteSettings(text), peer: r.proxies.through(addresses.Peer),
+			Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", i+1), program: program, logs: logs, grace: gracePeriod,
+			settings: r.site.WriteSettings(text), peer: r.proxies.addressOf(addresses.Peer),
 		}
-		known = append(known, p.peer)
+		seedPeers = append(seedPeers, p.peer)
 		r.nodes = append(r.nodes, p)
 		p.start()
 	}
@@ -341,33 +344,33 @@
 	for _, p := range r.nodes {
 		r.awaitReady(p)
 	}
-	if r.of >= cold {
-		r.giveSeeds(known)
+	if r.faults >= coldFaults {
+		r.writeSeeds(seedPeers)
 	}
 }
 
-// noSeeds is how settings without seeds end.
-const noSeeds = "seeds: []"
+// emptySeeds is the last line of settings without seeds.
+const emptySeeds = "seeds: []"
 
-// giveSeeds writes the addresses of some others into the settings of the node that began as the
-// first of all, for its next start. Where nodes run, all of them have seeds then: one that has
-// none takes itself for the only one, and serves before any other has told it anything.
-func (r *run) giveSeeds(addresses []string) {
+// writeSeeds adds the addresses of other nodes to the settings of the node that was started
+// first, for its next start. In production all nodes have seeds. A node without seeds considers
+// itself the only one and serves before it has received any state from the others.
+func (r *run) writeSeeds(addresses []string) {
 	for _, p := range r.nodes {
 		text, err := os.ReadFile(p.settings)
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		others := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == p.peer })
-		list := `seeds: ["` + strings.Join(others[:min(len(others), mostSeeds)], `", "`) + `"]`
-		if err := os.WriteFile(p.settings, []byte(strings.Replace(string(text), noSeeds, list, 1)), 0o600); err != nil {
+		list := `seeds: ["` + strings.Join(others[:min(len(others), maxSeeds)], `", "`) + `"]`
+		if err := os.WriteFile(p.settings, []byte(strings.Replace(string(text), emptySeeds, list, 1)), 0o600); err != nil {
 			r.t.Fatal(err)
 		}
 	}
 }
 
-// awaitReady waits until a node serves; the bound is generous because no
-// verdict depends on speed.
+// awaitReady waits until a node is ready. The time limit is generous because no verdict depends
+// on speed.
 func (r *run) awaitReady(p *process) {
 	for range 3000 {
 		if platformtest.Ready(p.Ready) == http.StatusOK {
@@ -375,41 +378,43 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("%s does not become ready, logs in %s, ends by itself: %v", p.name, p.logs, p.ownEnds())
+	r.t.Fatalf("%s does not become ready, logs in %s, unexpected exits: %v", p.name, p.logs, p.unexpectedExits())
 }
 
 func (r *run) fail(format string, values ...any) {
 	r.failures = append(r.failures, fmt.Sprintf(format, values...))
 }
 
-// failLater notes a failure from any goroutine.
-func (r *run) failLater(text string) {
-	r.foundMu.Lock()
-	defer r.foundMu.Unlock()
-	r.found = append(r.found, text)
+// failAsync records a failure. It is safe for concurrent use.
+func (r *run) failAsync(text string) {
+	r.asyncMu.Lock()
+	defer r.asyncMu.Unlock()
+	r.asyncFailures = append(r.asyncFailures, text)
 }
 
-// onlyPlanned reports whether no unplanned fault is in force or was lately.
-func (r *run) onlyPlanned() bool {
-	return r.unplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplanned.Load())) > settled
+// isCalm reports whether no unplanned fault is active and the last one ended more than calmTime
+// ago.
+func (r *run) isCalm() bool {
+	return r.activeUnplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplannedEnd.Load())) > calmTime
 }
 
-// calmAt reports whether a moment lies some time after the last unplanned fault of the run.
-func (r *run) calmAt(at time.Time) bool {
-	r.foundMu.Lock()
-	defer r.foundMu.Unlock()
-	return at.Sub(r.calmSince) > settled
+// wasCalmAt reports whether a point in time is more than calmTime after the last unplanned
+// fault of the run.
+func (r *run) wasCalmAt(at time.Time) bool {
+	r.asyncMu.Lock()
+	defer r.asyncMu.Unlock()
+	return at.Sub(r.calmSince) > calmTime
 }
 
 func (r *run) beginUnplanned() {
-	r.begun.Add(1)
-	r.unplanned.Add(1)
+	r.unplannedCount.Add(1)
+	r.activeUnplanned.Add(1)
 }
 
 func (r *run) endUnplanned() {
-	r.lastUnplanned.Store(time.Now().UnixMilli())
-	r.foundMu.Lock()
+	r.lastUnplannedEnd.Store(time.Now().UnixMilli())
+	r.asyncMu.Lock()
 	r.calmSince = time.Now()
-	r.foundMu.Unlock()
-	r.unplanned.Add(-1)
+	r.asyncMu.Unlock()
+	r.activeUnplanned.Add(-1)
 }
