--- a/cmd/gradetiller-load/cmd/main.go
+++ b/cmd/gradetiller-load/cmd/main.go
@@ -61,9 +61,9 @@
 		fmt.Printf("%s %s\n", c.Row, report.Row())
 	} else {
 		fmt.Println(strings.Join(report.Details(), "\n"))
-		fmt.Println(report.Line())
+		fmt.Println(report.Summary())
 	}
-	if report.Harm() > 0 {
+	if report.Violations() > 0 {
 		os.Exit(1)
 	}
 }
@@ -124,8 +124,8 @@
 	if err != nil {
 		return load.Fault{}, fmt.Errorf("fault %q: %w", s, err)
 	}
-	f := load.Fault{At: at, Order: standin.Order{Target: parts[1], Fault: standin.Fault(parts[2])}}
-	for i, field := range []*float64{&f.Order.Seconds, &f.Order.Factor} {
+	f := load.Fault{At: at, Spec: standin.FaultSpec{Target: parts[1], Fault: standin.Fault(parts[2])}}
+	for i, field := range []*float64{&f.Spec.Seconds, &f.Spec.Factor} {
 		if len(parts) <= 3+i {
 			break
 		}
--- a/cmd/gradetiller-standin/cmd/main.go
+++ b/cmd/gradetiller-standin/cmd/main.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	w := standin.NewWorld(c.Seed, cfg, standin.ParseInstances(c.Instances), standin.DefaultWork)
+	w := standin.NewWorld(c.Seed, cfg, standin.ParseInstances(c.Instances), standin.DefaultLatency)
 	failed := make(chan error)
 	serve := func(a settings.Address, h http.Handler) error {
 		l, err := settings.Listen(a)
--- a/internal/control/jobs_test.go
+++ b/internal/control/jobs_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &fleetWorld{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, standin.DefaultWork)}
+	w := &fleetWorld{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, standin.DefaultLatency)}
 	for _, l := range listeners {
 		server := &httptest.Server{Listener: l, Config: &http.Server{Handler: w.world.Endpoints()[l.Addr().String()].Handler()}}
 		server.Start()
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (w *fleetWorld) orders() (sum standin.Orders) {
+func (w *fleetWorld) orders() (sum standin.OrderCounts) {
 	for _, e := range w.world.Endpoints() {
 		o := e.Orders()
 		sum.Loads += o.Loads
@@ -118,7 +118,7 @@
 	first, _ := a.placement.held()
 	b, _ := w.start("b")
 	stopA()
-	if err := w.world.Fault(standin.Order{Target: "platform", Fault: standin.FaultLoseAnswer, Seconds: 1}); err != nil {
+	if err := w.world.InjectFault(standin.FaultSpec{Target: "platform", Fault: standin.FaultLoseAnswer, Seconds: 1}); err != nil {
 		t.Fatal(err)
 	}
 	w.until("the fleet is loaded", w.settled)
--- a/internal/core/workqueue/queue_test.go
+++ b/internal/core/workqueue/queue_test.go
@@ -28,7 +28,7 @@
 					switch rapid.IntRange(0, 3).Draw(t, "step") {
 					case 0, 1:
 						account := rapid.IntRange(0, 3).Draw(t, "account")
-						w := naive.Waiting{
+						w := naive.Item{
 							ID:        id,
 							Deadline:  start.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "deadline")) * time.Millisecond),
 							Remaining: time.Duration(rapid.IntRange(0, 10).Draw(t, "remaining")) * time.Millisecond,
--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -71,11 +71,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	work := func(p *config.Pool, _ *config.Endpoint) standin.Work {
+	work := func(p *config.Pool, _ *config.Endpoint) standin.Latency {
 		if p.Kind() == config.KindEngine {
-			return standin.Work{Base: 2 * time.Millisecond, Token: time.Millisecond, Cache: 8}
+			return standin.Latency{Base: 2 * time.Millisecond, Token: time.Millisecond, Cache: 8}
 		}
-		return standin.Work{Base: 2 * time.Millisecond}
+		return standin.Latency{Base: 2 * time.Millisecond}
 	}
 	s := &system{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, work)}
 	for _, l := range listeners {
@@ -141,7 +141,7 @@
 }
 
 func (s *system) fault(target string, f standin.Fault, calls int) {
-	if err := s.world.Fault(standin.Order{Target: target, Fault: f, Calls: calls, Factor: 10}); err != nil {
+	if err := s.world.InjectFault(standin.FaultSpec{Target: target, Fault: f, Calls: calls, Factor: 10}); err != nil {
 		s.t.Fatal(err)
 	}
 }
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -28,7 +28,7 @@
 // Fault is an order to the stand-in at a time of the load.
 type Fault struct {
 	At    time.Duration
-	Order standin.Order
+	Spec standin.FaultSpec
 }
 
 // Options describe the load.
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -126,7 +126,7 @@
 		return
 	case <-time.After(f.At):
 	}
-	body, err := json.Marshal(f.Order)
+	body, err := json.Marshal(f.Spec)
 	if err != nil {
 		return
 	}
@@ -158,8 +158,8 @@
 	return json.Unmarshal(data, out)
 }
 
-// Harm returns the number of lost, doubled and crossed results.
-func (r *Report) Harm() int { return r.lost + r.doubled + r.crossed }
+// Violations returns the number of lost, doubled and crossed results.
+func (r *Report) Violations() int { return r.lost + r.doubled + r.crossed }
 
 // Attainment returns the share of the measured accounts' requests that
 // finished within their deadline.
@@ -174,8 +174,8 @@
 	return float64(onTime) / float64(max(requests, 1))
 }
 
-// Line returns the counts as one line.
-func (r *Report) Line() string {
+// Summary returns the counts as one line.
+func (r *Report) Summary() string {
 	return fmt.Sprintf("requests=%d answered=%d on_time=%d not_run=%d failed=%d lost=%d doubled=%d crossed=%d",
 		r.requests, r.answered, r.onTime, r.notRun, r.failed, r.lost, r.doubled, r.crossed)
 }
--- a/internal/naive/queue.go
+++ b/internal/naive/queue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Waiting is one item of a Queue.
-type Waiting struct {
+// Item is one item of a Queue.
+type Item struct {
 	ID        int
 	Deadline  time.Time
 	Remaining time.Duration
@@ -21,13 +21,13 @@
 type Queue struct {
 	Policy string
 
-	items  []Waiting
+	items  []Item
 	finish map[int]float64
 	clock  float64
 }
 
 // Push adds an item behind the others.
-func (q *Queue) Push(w Waiting) {
+func (q *Queue) Push(w Item) {
 	if q.finish == nil {
 		q.finish = make(map[int]float64)
 	}
@@ -71,7 +71,7 @@
 	return false
 }
 
-func (q *Queue) before(a, b Waiting) bool {
+func (q *Queue) before(a, b Item) bool {
 	slackA, slackB := a.Deadline.Add(-a.Remaining), b.Deadline.Add(-b.Remaining)
 	switch q.Policy {
 	case "earliest_deadline":
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Work is how long the calls of one kind of endpoint take.
-type Work struct {
+// Latency is how long the calls of one kind of endpoint take.
+type Latency struct {
 	// Base is the time of a call, or of an engine's prefill.
 	Base time.Duration
 	// Token is the time of a token of a lone call; 0 for services.
 	Token time.Duration
-	// Batch is by how much a token slows down with each further call.
-	Batch float64
+	// BatchSlowdown is by how much a token slows down with each further call.
+	BatchSlowdown float64
 	// Cache is how many prompt prefixes an engine holds.
 	Cache int
 }
@@ -37,7 +37,7 @@
 	pool   string
 	slots  int
 	cost   float64
-	work   Work
+	work   Latency
 	faults faults
 	counts *Counts
 
@@ -55,7 +55,7 @@
 
 // NewEndpoint returns an endpoint with the given slots; it holds as many
 // calls again in its queue and refuses further ones as not run.
-func NewEndpoint(pool, name string, slots int, cost float64, work Work, seed uint64, counts *Counts) *Endpoint {
+func NewEndpoint(pool, name string, slots int, cost float64, work Latency, seed uint64, counts *Counts) *Endpoint {
 	return &Endpoint{
 		name: name, pool: pool, slots: slots, cost: cost, work: work, counts: counts,
 		rand: rand.New(rand.NewPCG(seed, uint64(len(name)))),
@@ -63,8 +63,8 @@
 	}
 }
 
-// Fault puts an order in force.
-func (e *Endpoint) Fault(o Order) {
+// InjectFault puts an order in force.
+func (e *Endpoint) InjectFault(o FaultSpec) {
 	e.mu.Lock()
 	e.leaving = o.Fault == FaultLeaving
 	e.mu.Unlock()
@@ -255,7 +255,7 @@
 	marker := Marker(body.Input)
 	for i := body.Resume; i < body.MaxTokens; i++ {
 		e.mu.Lock()
-		d := float64(e.work.Token) * factor * (1 + e.work.Batch*float64(e.running-1))
+		d := float64(e.work.Token) * factor * (1 + e.work.BatchSlowdown*float64(e.running-1))
 		e.mu.Unlock()
 		if !sleep(r.Context(), time.Duration(d)) {
 			return
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -30,9 +30,9 @@
 	FaultCloseWork, FaultCloseAnswer, FaultOutage, FaultLoseAnswer,
 }
 
-// Order sets a fault on a target from now on, for a time or for a number of
+// FaultSpec sets a fault on a target from now on, for a time or for a number of
 // calls; both 0 mean until the next order.
-type Order struct {
+type FaultSpec struct {
 	Target  string  `json:"target"`
 	Fault   Fault   `json:"fault"`
 	Factor  float64 `json:"factor"`
@@ -40,7 +40,7 @@
 	Calls   int     `json:"calls"`
 }
 
-func (o Order) check() error {
+func (o FaultSpec) check() error {
 	for _, f := range knownFaults {
 		if o.Fault == f {
 			return nil
@@ -52,12 +52,12 @@
 // faults is the switch of one stand-in.
 type faults struct {
 	mu    sync.Mutex
-	order Order
+	order FaultSpec
 	until time.Time
 	calls int
 }
 
-func (f *faults) set(o Order) {
+func (f *faults) set(o FaultSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.order = o
@@ -69,21 +69,21 @@
 }
 
 // now returns the fault in force and counts one call against it.
-func (f *faults) now() Order {
+func (f *faults) now() FaultSpec {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.order.Fault == FaultNone {
-		return Order{}
+		return FaultSpec{}
 	}
 	if !f.until.IsZero() && time.Now().After(f.until) {
-		f.order = Order{}
-		return Order{}
+		f.order = FaultSpec{}
+		return FaultSpec{}
 	}
 	o := f.order
 	if o.Calls > 0 {
 		f.calls--
 		if f.calls <= 0 {
-			f.order = Order{}
+			f.order = FaultSpec{}
 		}
 	}
 	return o
--- a/internal/standin/order.go
+++ b/internal/standin/order.go
@@ -9,8 +9,8 @@
 
 const loadTime = 200 * time.Millisecond
 
-// Orders counts what orders did to one engine.
-type Orders struct {
+// OrderCounts counts what orders did to one engine.
+type OrderCounts struct {
 	Loads   int `json:"loads"`
 	Stale   int `json:"stale"`   // carried out although a higher epoch was seen
 	Refused int `json:"refused"` // refused for that reason
@@ -29,7 +29,7 @@
 	op       string
 	epoch    uint64
 	ready    time.Time
-	orders   Orders
+	orders   OrderCounts
 }
 
 func (m *models) loading() bool { return time.Now().Before(m.ready) }
@@ -51,8 +51,8 @@
 	return true
 }
 
-// SetChecks makes the engine refuse orders of an earlier epoch.
-func (e *Endpoint) SetChecks(checks bool) {
+// SetEpochCheck makes the engine refuse orders of an earlier epoch.
+func (e *Endpoint) SetEpochCheck(checks bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.models.checks = checks
@@ -66,7 +66,7 @@
 }
 
 // Orders returns the counts.
-func (e *Endpoint) Orders() Orders {
+func (e *Endpoint) Orders() OrderCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.models.orders
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Fault puts an order in force.
-func (p *Platform) Fault(o Order) { p.faults.set(o) }
+// InjectFault puts an order in force.
+func (p *Platform) InjectFault(o FaultSpec) { p.faults.set(o) }
 
 // SetInstances replaces the instance list.
 func (p *Platform) SetInstances(list []platform.Instance) {
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -21,30 +21,30 @@
 // fullPrice is the cost of an engine of full speed.
 const fullPrice = 4
 
-// DefaultWork is how long calls take at an endpoint. Cheaper engines are
+// DefaultLatency is how long calls take at an endpoint. Cheaper engines are
 // slower, by less than they are cheaper.
-func DefaultWork(pool *config.Pool, e *config.Endpoint) Work {
+func DefaultLatency(pool *config.Pool, e *config.Endpoint) Latency {
 	if pool.Kind() != config.KindEngine {
-		return Work{Base: 8 * time.Millisecond}
+		return Latency{Base: 8 * time.Millisecond}
 	}
 	slower := max(1, math.Sqrt(fullPrice/e.Cost()))
-	return Work{
+	return Latency{
 		Base:  time.Duration(slower * float64(30*time.Millisecond)),
 		Token: time.Duration(slower * float64(2*time.Millisecond)),
-		Batch: 0.05,
+		BatchSlowdown: 0.05,
 		Cache: 8,
 	}
 }
 
 // NewWorld returns stand-ins for everything that the configuration names.
-func NewWorld(seed uint64, cfg *config.Config, instances []platform.Instance, work func(*config.Pool, *config.Endpoint) Work) *World {
+func NewWorld(seed uint64, cfg *config.Config, instances []platform.Instance, work func(*config.Pool, *config.Endpoint) Latency) *World {
 	w := &World{platform: NewPlatform(instances), counts: NewCounts(), endpoints: make(map[string]*Endpoint)}
 	for i := range cfg.Pools() {
 		pool := &cfg.Pools()[i]
 		for j := range pool.Endpoints() {
 			ep := &pool.Endpoints()[j]
 			e := NewEndpoint(pool.Name(), ep.Name(), ep.Slots(), ep.Cost(), work(pool, ep), seed+uint64(len(w.endpoints)), w.counts)
-			e.SetChecks(ep.ChecksOrders())
+			e.SetEpochCheck(ep.ChecksOrders())
 			w.endpoints[ep.Address()] = e
 		}
 	}
@@ -60,20 +60,20 @@
 // Endpoints returns the endpoints by address.
 func (w *World) Endpoints() map[string]*Endpoint { return w.endpoints }
 
-// Fault puts an order in force on the platform, an endpoint by name, or all
+// InjectFault puts an order in force on the platform, an endpoint by name, or all
 // endpoints of a pool.
-func (w *World) Fault(o Order) error {
+func (w *World) InjectFault(o FaultSpec) error {
 	if err := o.check(); err != nil {
 		return err
 	}
 	if o.Target == "platform" {
-		w.platform.Fault(o)
+		w.platform.InjectFault(o)
 		return nil
 	}
 	found := false
 	for _, e := range w.endpoints {
 		if e.name == o.Target || e.pool == o.Target {
-			e.Fault(o)
+			e.InjectFault(o)
 			found = true
 		}
 	}
@@ -88,10 +88,10 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", w.platform.Handler())
 	mux.HandleFunc("POST /admin/fault", func(rw http.ResponseWriter, r *http.Request) {
-		var o Order
+		var o FaultSpec
 		err := json.NewDecoder(r.Body).Decode(&o)
 		if err == nil {
-			err = w.Fault(o)
+			err = w.InjectFault(o)
 		}
 		if err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
@@ -104,7 +104,7 @@
 		reply(rw, http.StatusOK, w.counts.Cost())
 	})
 	mux.HandleFunc("GET /admin/orders", func(rw http.ResponseWriter, _ *http.Request) {
-		var sum Orders
+		var sum OrderCounts
 		for _, e := range w.endpoints {
 			o := e.Orders()
 			sum.Loads += o.Loads
