--- a/cmd/gradetiller-control/cmd/main.go
+++ b/cmd/gradetiller-control/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd holds the settings and the start of gradetiller-control.
+// Package cmd implements the gradetiller-control command.
 package cmd
 
 import (
@@ -17,17 +17,17 @@
 
 const (
 	name = "gradetiller-control"
-	help = "Keeps the configuration in force and the view of the other nodes for the entry processes, and serves operators."
+	help = "Distributes the configuration in force and the membership of the system to the entry processes, and serves operators."
 
-	// collectAt has the collector run often enough that the process keeps under
-	// its 64 MB while a file of 3,900 accounts is parsed. A limit on memory
-	// instead cost 23 s of processor time for five such files, since what is
-	// alive meanwhile is over any limit that would help.
-	collectAt = 30
+	// gcPercent keeps the process below its 64 MB while it parses a file of 3,900
+	// accounts. A soft memory limit is no alternative: the live heap during a parse
+	// exceeds any limit that would help, and five such files cost 23 s of CPU time
+	// in garbage collection.
+	gcPercent = 30
 
-	// answerTime is what the answers of requests that the stop ended have to get
-	// out.
-	answerTime = time.Second
+	// responseGrace is the time for writing the responses of requests that were
+	// canceled by the shutdown.
+	responseGrace = time.Second
 )
 
 type cli struct {
@@ -44,14 +44,14 @@
 
 func (c *cli) run() error {
 	if c.Token == "" && !c.Listen.Loopback() {
-		return fmt.Errorf("operators on %s would need no token: set --token", c.Listen)
+		return fmt.Errorf("operators could connect to %s without a token: set --token", c.Listen)
 	}
 	r, err := c.Open(c.Listen)
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	ctl := control.New(control.Identity{
 		System: c.System, Node: c.Node, Incarnation: settings.Incarnation(), PeerAddress: c.PeerListen.String(),
 		Domain: c.FailureDomain, Region: c.Region,
@@ -64,14 +64,14 @@
 	first, second := settings.Signals()
 	r.Log().Info("listening", zap.Stringer("peers", c.PeerListen), zap.Stringer("operators", c.Listen), zap.String("node", c.Node))
 	err = ctl.Run(first, r.PeerListener())
-	stop(second, server, endRequests, r.Log())
+	shutdown(second, server, endRequests, r.Log())
 	return err
 }
 
-// stop waits for operators' requests, as long as an apply may take and until the
-// second signal at most. It then ends them: one that waits for the store is
-// answered with what is known of it.
-func stop(second context.Context, server *http.Server, endRequests func(), log *zap.Logger) {
+// shutdown waits for operators' requests until control.ApplyTimeout has passed or the
+// second signal arrives. It then cancels them; a request that is waiting for the
+// store is answered with what is known about its outcome.
+func shutdown(second context.Context, server *http.Server, endRequests func(), log *zap.Logger) {
 	bounded, cancel := context.WithTimeout(second, control.ApplyTimeout)
 	defer cancel()
 	if server.Shutdown(bounded) == nil {
@@ -79,7 +79,7 @@
 	}
 	log.Warn("operators' requests ended by the stop")
 	endRequests()
-	last, cancelLast := context.WithTimeout(context.Background(), answerTime)
+	last, cancelLast := context.WithTimeout(context.Background(), responseGrace)
 	defer cancelLast()
 	if err := server.Shutdown(last); err != nil {
 		log.Warn("stopped before all answers were out", zap.Error(err))
--- a/cmd/gradetiller-control/cmd/stop_test.go
+++ b/cmd/gradetiller-control/cmd/stop_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	// signalGap is how long a signal has to take effect before the next is sent.
-	signalGap = 2 * time.Second
-	// longEnough is far more than a process needs to end.
-	longEnough = 20 * time.Second
+	// signalInterval is the time between two signals.
+	signalInterval = 2 * time.Second
+	// exitTimeout bounds the wait for the process to end.
+	exitTimeout = 20 * time.Second
 
-	testFile = `
+	testConfig = `
 format: 1
 name: test
 accounts: [{name: a, key_sha256: "0000000000000000000000000000000000000000000000000000000000000001"}]
@@ -33,19 +33,13 @@
 `
 )
 
-// TestSecondSignalEnds stops a control process, with two signals, while one
-// operator's file does not come to its end and another's waits for the store.
-//
-// What an operator sees: the process goes on, whatever it is sent, until it is
-// killed; an operator whose file was on its way to the store then sees a closed
-// connection, and nothing tells whether the file is in force.
-// How it comes about: a caller is slow or has gone without a word, or the store
-// hangs.
-// The cause: the process waits for operators' requests without any end, and the
-// second signal is taken and not looked at.
-// What proves it: the process ends, and the operator whose file had come gets
-// an answer that tells what became of it.
-func TestSecondSignalEnds(t *testing.T) {
+// TestSecondSignalEndsProcess guards against a shutdown that waits for operators'
+// requests forever and ignores the second signal, so that the process must be killed
+// and an operator with an apply in progress sees a closed connection without an outcome.
+// Here one operator never completes the request body, as a slow or vanished client, and
+// another's apply waits for a store that hangs. The process must end, and the second
+// operator must get a response that states the outcome.
+func TestSecondSignalEndsProcess(t *testing.T) {
 	store := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -57,22 +51,22 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- c.run() }()
-	send(t, c.Listen, 100, "{")
-	file, err := json.Marshal(control.ApplyRequest{Operator: "o", Data: testFile})
+	sendApply(t, c.Listen, 100, "{")
+	file, err := json.Marshal(control.ApplyRequest{Operator: "o", Data: testConfig})
 	if err != nil {
 		t.Fatal(err)
 	}
-	waiting := send(t, c.Listen, len(file), string(file))
-	// Connections are accepted in their order, so the two before are open.
+	waiting := sendApply(t, c.Listen, len(file), string(file))
+	// Connections are accepted in order, so the two earlier ones are open by now.
 	resp, err := http.Get("http://" + c.Listen.String() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
-	signalUntil(t, ended)
+	signalUntilExit(t, ended)
 	answer, err := io.ReadAll(waiting)
 	if err != nil || !strings.Contains(string(answer), "nothing was changed") {
-		t.Errorf("answer %q, error %v; want one that tells that nothing was changed", answer, err)
+		t.Errorf("answer %q, error %v; want one that says that nothing was changed", answer, err)
 	}
 }
 
@@ -85,11 +79,11 @@
 	return settings.Address(l.Addr().String())
 }
 
-// send begins to apply a file whose length is told, as soon as the process
-// listens.
-func send(t *testing.T, to settings.Address, length int, body string) net.Conn {
+// sendApply connects as soon as the process listens, and sends an apply request
+// with the given Content-Length and body.
+func sendApply(t *testing.T, to settings.Address, length int, body string) net.Conn {
 	t.Helper()
-	for end := time.Now().Add(longEnough); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(exitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		conn, err := net.Dial("tcp", to.String())
 		if err != nil && time.Now().Before(end) {
 			continue
@@ -106,14 +100,14 @@
 	}
 }
 
-// signalUntil sends signals until the process has ended, and fails when it does
-// not.
-func signalUntil(t *testing.T, ended chan error) {
+// signalUntilExit sends a signal each signalInterval until the process ends, and
+// fails the test after exitTimeout.
+func signalUntilExit(t *testing.T, ended chan error) {
 	t.Helper()
-	kept := make(chan os.Signal, 1) // the test itself outlives the signals
-	signal.Notify(kept, syscall.SIGTERM)
-	defer signal.Stop(kept)
-	for sent := time.Duration(0); sent < longEnough; sent += signalGap {
+	signals := make(chan os.Signal, 1) // keeps the signals from ending the test process
+	signal.Notify(signals, syscall.SIGTERM)
+	defer signal.Stop(signals)
+	for sent := time.Duration(0); sent < exitTimeout; sent += signalInterval {
 		_ = syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		select {
 		case err := <-ended:
@@ -121,8 +115,8 @@
 				t.Errorf("the process ended with %v", err)
 			}
 			return
-		case <-time.After(signalGap):
+		case <-time.After(signalInterval):
 		}
 	}
-	t.Fatalf("the process goes on after %v and a signal each %v", longEnough, signalGap)
+	t.Fatalf("the process is still running after %v with a signal each %v", exitTimeout, signalInterval)
 }
--- a/cmd/gradetiller-entry/cmd/main.go
+++ b/cmd/gradetiller-entry/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd holds the settings and the start of gradetiller-entry.
+// Package cmd implements the gradetiller-entry command.
 package cmd
 
 import (
@@ -14,25 +14,25 @@
 	"gradetiller.example/internal/settings"
 )
 
-// collectAt keeps the process under 64 MB while a file of 3,900 accounts is
-// parsed; with the default of 100 it peaked at 66 MB.
-const collectAt = 50
+// gcPercent keeps the process below 64 MB while it parses a file of 3,900
+// accounts. With the default of 100 it peaks at 66 MB.
+const gcPercent = 50
 
-// answerTime is the part of a planned stop that the answers of the requests
-// that it ended have to get out, and their records to be taken back. Writing
-// one takes far less; the rest is for an instance that is busy.
-const answerTime = time.Second
+// responseGrace is the part of the drain timeout for writing the responses of
+// canceled requests and for withdrawing their records. A response takes far
+// less; the rest is reserve for a busy instance.
+const responseGrace = time.Second
 
 const (
 	name = "gradetiller-entry"
-	help = "Serves callers: tells them which addresses to use, and takes their requests through the stages of their pipelines."
+	help = "Serves clients: tells them which addresses to use, and runs their requests through the stages of their pipelines."
 )
 
 type cli struct {
 	settings.Common
-	Listen       settings.Address   `help:"IP address and port for callers; also what callers are told." required:"" placeholder:"IP:PORT"`
-	Control      []settings.Address `help:"Control processes; this instance's own first." required:"" placeholder:"IP:PORT,..."`
-	DrainTimeout time.Duration      `help:"Longest time of a planned stop." default:"60s"`
+	Listen       settings.Address   `help:"IP address and port for clients; also the address that is advertised to them." required:"" placeholder:"IP:PORT"`
+	Control      []settings.Address `help:"Addresses of the control processes; the one on this instance first." required:"" placeholder:"IP:PORT,..."`
+	DrainTimeout time.Duration      `help:"Maximum duration of a graceful shutdown." default:"60s"`
 }
 
 // Main runs the program.
@@ -47,7 +47,7 @@
 		return err
 	}
 	defer r.Close()
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	node := entry.NewNode(entry.Identity{
 		Node: c.Node, Incarnation: settings.Incarnation(), Address: c.Listen.String(), PeerAddress: c.PeerListen.String(),
 		Domain: c.FailureDomain, Region: c.Region,
@@ -64,9 +64,9 @@
 	return c.waitAndDrain(node, server, served, r.Log())
 }
 
-// waitAndDrain serves until the first signal, then stops as planned. The
-// second signal or the drain timeout ends the stop early; the requests that
-// are in flight then are answered before the process ends.
+// waitAndDrain serves until the first signal and then drains the node. The
+// second signal or the drain timeout cuts draining short; the requests that are
+// still in flight are then canceled and answered before the process ends.
 func (c *cli) waitAndDrain(node *entry.Node, server *http.Server, served chan error, log *zap.Logger) error {
 	first, second := settings.Signals()
 	select {
@@ -74,10 +74,10 @@
 		return err
 	case <-first.Done():
 	}
-	bounded, cancel := context.WithTimeout(second, max(c.DrainTimeout-answerTime, c.DrainTimeout/2))
+	bounded, cancel := context.WithTimeout(second, max(c.DrainTimeout-responseGrace, c.DrainTimeout/2))
 	defer cancel()
 	node.Drain(bounded)
-	last, cancelLast := outlast(bounded, answerTime)
+	last, cancelLast := withGrace(bounded, responseGrace)
 	defer cancelLast()
 	if err := server.Shutdown(last); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		log.Warn("stopped before all answers were out", zap.Error(err))
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// outlast returns a context that ends a time after ctx.
-func outlast(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+// withGrace returns a context that ends d after ctx.
+func withGrace(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	last, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	context.AfterFunc(ctx, func() { time.AfterFunc(d, cancel) })
 	return last, cancel
--- a/cmd/gradetiller-entry/cmd/script_test.go
+++ b/cmd/gradetiller-entry/cmd/script_test.go
@@ -8,7 +8,7 @@
 
 func TestMain(m *testing.M) { testscript.Main(m, map[string]func(){name: Main}) }
 
-// TestScripts checks what unusable settings are answered with.
+// TestScripts checks the error messages for invalid settings.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
--- a/cmd/gradetiller-entry/cmd/stop_test.go
+++ b/cmd/gradetiller-entry/cmd/stop_test.go
@@ -27,18 +27,18 @@
 
 const (
 	testKey = "key-a"
-	// signalGap is how long a signal has to take effect before it is sent again.
-	signalGap = 2 * time.Second
-	// longAnswer is more than the buffers of a connection take, of which the
-	// reader's has smallBuffer bytes.
-	longAnswer  = 7 << 20
-	smallBuffer = 4 << 10
+	// signalInterval is the time between two signals.
+	signalInterval = 2 * time.Second
+	// largeResponse is the size of a response that exceeds the socket buffers of a
+	// connection whose reader has a buffer of readBufferSize bytes.
+	largeResponse  = 7 << 20
+	readBufferSize = 4 << 10
 )
 
-// stopped is an entry process that is to be stopped with requests in flight:
-// one whose call does not end, one whose stream does not end, and one that
-// waits for the slot of the first.
-type stopped struct {
+// entryProcess is an entry process whose endpoints keep requests in flight: calls
+// and streams never complete, and the service has one slot, so that a second
+// request waits in its queue.
+type entryProcess struct {
 	t      *testing.T
 	node   *entry.Node
 	server *http.Server
@@ -48,14 +48,14 @@
 	lines  *observer.ObservedLogs
 }
 
-func newStopped(t *testing.T) *stopped {
-	desk, engine := httptest.NewServer(http.HandlerFunc(endless)), httptest.NewServer(http.HandlerFunc(endless))
-	archive := httptest.NewServer(http.HandlerFunc(long))
+func newEntryProcess(t *testing.T) *entryProcess {
+	desk, engine := httptest.NewServer(http.HandlerFunc(handleUnfinished)), httptest.NewServer(http.HandlerFunc(handleUnfinished))
+	archive := httptest.NewServer(http.HandlerFunc(handleLarge))
 	t.Cleanup(archive.Close)
 	t.Cleanup(desk.Close)
 	t.Cleanup(engine.Close)
 	core, lines := observer.New(zapcore.InfoLevel)
-	s := &stopped{t: t, log: zap.New(core), lines: lines, served: make(chan error, 1)}
+	s := &entryProcess{t: t, log: zap.New(core), lines: lines, served: make(chan error, 1)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,9 +87,9 @@
 	return s
 }
 
-// endless answers a call of a stream with its first token, any other with
-// nothing, and ends neither before its caller goes.
-func endless(w http.ResponseWriter, r *http.Request) {
+// handleUnfinished sends the first token of a streamed call and nothing for any other
+// call, and returns only when the caller disconnects.
+func handleUnfinished(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	if strings.Contains(string(body), `"stage":"generation"`) {
 		_, _ = io.WriteString(w, `{"i":0,"t":"first "}`+"\n")
@@ -98,28 +98,28 @@
 	<-r.Context().Done()
 }
 
-// long answers a call with a text of longAnswer bytes.
-func long(w http.ResponseWriter, r *http.Request) {
+// handleLarge answers a call with an output of largeResponse bytes.
+func handleLarge(w http.ResponseWriter, r *http.Request) {
 	var call struct {
 		RequestID string `json:"request_id"`
 	}
 	_ = json.NewDecoder(r.Body).Decode(&call)
-	_ = json.NewEncoder(w).Encode(map[string]string{"request_id": call.RequestID, "output": strings.Repeat("x", longAnswer)})
+	_ = json.NewEncoder(w).Encode(map[string]string{"request_id": call.RequestID, "output": strings.Repeat("x", largeResponse)})
 }
 
-// answer is all that a caller sees of a request.
-type answer struct {
-	id     string
-	begun  chan struct{} // closed when the answer has begun to come
-	done   chan struct{} // closed when it is whole, or the connection has ended
-	status int
-	text   string
-	err    error
+// response is what a client sees of a request.
+type response struct {
+	id      string
+	started chan struct{} // closed when the response header has arrived or the request failed
+	done    chan struct{} // closed when the body is complete or the connection has ended
+	status  int
+	body    string
+	err     error
 }
 
-// ask sends a request.
-func (s *stopped) ask(pipeline, id string, streamed bool) *answer {
-	a := &answer{id: id, begun: make(chan struct{}), done: make(chan struct{})}
+// startRequest sends a request and returns without waiting for its response.
+func (s *entryProcess) startRequest(pipeline, id string, streamed bool) *response {
+	a := &response{id: id, started: make(chan struct{}), done: make(chan struct{})}
 	body := fmt.Sprintf(`{"input":"x","stream":%t}`, streamed)
 	req, err := http.NewRequest(http.MethodPost, s.url+"/v1/pipelines/"+pipeline+"/run", strings.NewReader(body))
 	if err != nil {
@@ -131,20 +131,20 @@
 	return a
 }
 
-func (a *answer) receive(req *http.Request) {
+func (a *response) receive(req *http.Request) {
 	defer close(a.done)
 	resp, err := http.DefaultClient.Do(req)
-	close(a.begun)
+	close(a.started)
 	if err != nil {
 		a.err = err
 		return
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	a.status, a.text, a.err = resp.StatusCode, string(text), err
+	a.status, a.body, a.err = resp.StatusCode, string(text), err
 }
 
-func (s *stopped) inFlight(want int) {
+func (s *entryProcess) waitInFlight(want int) {
 	s.t.Helper()
 	for end := time.Now().Add(20 * time.Second); s.node.InFlight() != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -153,111 +153,104 @@
 	}
 }
 
-// stop has the process stop: it gets signals until enough says so, and then
-// ends as the program does, with every connection.
-func (s *stopped) stop(limit time.Duration, enough func() bool) {
-	kept := make(chan os.Signal, 1) // the test itself outlives the signals
-	signal.Notify(kept, syscall.SIGTERM)
-	defer signal.Stop(kept)
+// stop shuts the process down: it sends a signal each signalInterval until received
+// reports true, waits for the shutdown, and closes all connections as the program does
+// when it exits.
+func (s *entryProcess) stop(limit time.Duration, received func() bool) {
+	signals := make(chan os.Signal, 1) // keeps the signals from ending the test process
+	signal.Notify(signals, syscall.SIGTERM)
+	defer signal.Stop(signals)
 	ended := make(chan error, 1)
 	go func() { ended <- (&cli{DrainTimeout: limit}).waitAndDrain(s.node, s.server, s.served, s.log) }()
-	gap := time.NewTicker(signalGap)
-	defer gap.Stop()
+	ticker := time.NewTicker(signalInterval)
+	defer ticker.Stop()
 	for {
-		if !enough() {
+		if !received() {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGTERM)
 		}
 		select {
 		case err := <-ended:
 			if err != nil {
-				s.t.Errorf("the stop ended with %v", err)
+				s.t.Errorf("the shutdown ended with %v", err)
 			}
 			_ = s.server.Close()
 			return
-		case <-gap.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// check waits for an answer and looks at it and at the log.
-func (s *stopped) check(a *answer, status int, parts ...string) {
+// checkResponse waits for a response and checks its status, that it contains the
+// parts, and that the log has a warning about the request.
+func (s *entryProcess) checkResponse(a *response, status int, parts ...string) {
 	s.t.Helper()
 	<-a.done
 	if a.err != nil || a.status != status {
-		s.t.Errorf("%s: status %d, text %q, error %v; want status %d and a whole answer", a.id, a.status, a.text, a.err, status)
+		s.t.Errorf("%s: status %d, text %q, error %v; want status %d and a complete response", a.id, a.status, a.body, a.err, status)
 		return
 	}
 	for _, part := range parts {
-		if !strings.Contains(a.text, part) {
-			s.t.Errorf("%s: the answer %q lacks %q", a.id, a.text, part)
+		if !strings.Contains(a.body, part) {
+			s.t.Errorf("%s: response %q does not contain %q", a.id, a.body, part)
 		}
 	}
-	s.warned(a.id)
+	s.checkWarned(a.id)
 }
 
-// TestStopAnswersWhatItEnds ends a stop while requests are in flight, by its
-// longest time and by a second signal.
-//
-// What a caller sees: a closed connection without an answer, or a stream
-// without its last line, and nothing tells whether its request ran.
-// How it comes about: a request in flight needs more time than the stop has.
-// The cause: the process gives up waiting and ends, with its runs as they are.
-// What proves it: each caller gets a whole answer, which promises nothing for
-// a request whose call was sent and says "not run" for one that was waiting;
-// and the log names each.
-func TestStopAnswersWhatItEnds(t *testing.T) {
-	t.Run("longest time", func(t *testing.T) {
-		s := newStopped(t)
-		s.testStop(2*time.Second, s.node.Leaving)
+// TestStopAnswersRequestsInFlight guards against a process that exits with requests in
+// flight when the drain timeout or a second signal cuts draining short, so that clients
+// see a closed connection or a truncated stream and can't tell whether the request ran.
+// Each client must get a complete response: "unknown" for a request whose call was sent,
+// "not run" for one that was queued. The log must name each request.
+func TestStopAnswersRequestsInFlight(t *testing.T) {
+	t.Run("drain timeout", func(t *testing.T) {
+		s := newEntryProcess(t)
+		s.testInterruptedRequests(2*time.Second, s.node.Leaving)
 	})
 	t.Run("second signal", func(t *testing.T) {
-		s := newStopped(t)
-		s.testStop(time.Hour, func() bool { return false })
+		s := newEntryProcess(t)
+		s.testInterruptedRequests(time.Hour, func() bool { return false })
 	})
 }
 
-func (s *stopped) testStop(limit time.Duration, enough func() bool) {
-	called := s.ask("look", "called", false)
-	s.inFlight(1)
-	waiting := s.ask("look", "waiting", false)
-	s.inFlight(2)
-	streaming := s.ask("write", "streaming", true)
-	<-streaming.begun
-	s.stop(limit, enough)
-	s.check(called, http.StatusBadGateway, `"code":"stage_unknown"`, `"ran":"unknown"`)
-	s.check(waiting, http.StatusServiceUnavailable, `"code":"draining"`, `"ran":"no"`)
-	s.check(streaming, http.StatusOK, `"text":"first "`, `"code":"stage_unknown"`, `"ran":"unknown"`)
+func (s *entryProcess) testInterruptedRequests(limit time.Duration, received func() bool) {
+	called := s.startRequest("look", "called", false)
+	s.waitInFlight(1)
+	waiting := s.startRequest("look", "waiting", false)
+	s.waitInFlight(2)
+	streaming := s.startRequest("write", "streaming", true)
+	<-streaming.started
+	s.stop(limit, received)
+	s.checkResponse(called, http.StatusBadGateway, `"code":"stage_unknown"`, `"ran":"unknown"`)
+	s.checkResponse(waiting, http.StatusServiceUnavailable, `"code":"draining"`, `"ran":"no"`)
+	s.checkResponse(streaming, http.StatusOK, `"text":"first "`, `"code":"stage_unknown"`, `"ran":"unknown"`)
 }
 
-// TestStopNamesWhatItCuts ends a stop while one caller has not sent its request
-// whole and another does not read its answer.
-//
-// What a caller sees: its connection is closed. No answer can reach it.
-// How it comes about: the caller, or its way to the node, is slow.
-// The cause: the node counts runs, and neither of these has one; the log says
-// that answers were not out and not whose.
-// What proves it: the log names both requests.
-func TestStopNamesWhatItCuts(t *testing.T) {
-	s := newStopped(t)
-	s.send("half", 100, `{"input"`)
+// TestStopLogsUnansweredRequests guards against requests that are cut off at shutdown
+// without a trace in the log. With a slow client or network, one request's body is not
+// complete and another's response is not read, so that no response can reach them. Neither
+// is counted as a run in flight; the log must still name both.
+func TestStopLogsUnansweredRequests(t *testing.T) {
+	s := newEntryProcess(t)
+	s.sendUnread("half", 100, `{"input"`)
 	body := `{"input":"x"}`
-	s.send("unread", len(body), body)
-	s.await(`gradetiller_answers_total{result="ok"} 1`)
+	s.sendUnread("unread", len(body), body)
+	s.awaitMetric(`gradetiller_answers_total{result="ok"} 1`)
 	s.stop(time.Hour, func() bool { return false })
-	s.warned("half")
-	s.warned("unread")
+	s.checkWarned("half")
+	s.checkWarned("unread")
 }
 
-// send sends a request, whose length is told, to the pipeline of the long
-// answer and reads nothing.
-func (s *stopped) send(id string, length int, body string) {
+// sendUnread sends a request with the given Content-Length and body to the pipeline
+// with the large response, and does not read the response.
+func (s *entryProcess) sendUnread(id string, length int, body string) {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.(*net.TCPConn).SetReadBuffer(smallBuffer); err != nil {
+	if err := conn.(*net.TCPConn).SetReadBuffer(readBufferSize); err != nil {
 		s.t.Fatal(err)
 	}
 	if _, err := fmt.Fprintf(conn, "POST /v1/pipelines/long/run HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -266,8 +259,8 @@
 	}
 }
 
-// await waits until the node's metrics hold a line.
-func (s *stopped) await(line string) {
+// awaitMetric waits until the node's metrics contain line.
+func (s *entryProcess) awaitMetric(line string) {
 	s.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		resp, err := http.Get(s.url + "/metrics")
@@ -280,11 +273,11 @@
 			return
 		}
 	}
-	s.t.Fatalf("the metrics lack %q", line)
+	s.t.Fatalf("the metrics do not contain %q", line)
 }
 
-// warned checks that a warning in the log names a request.
-func (s *stopped) warned(id string) {
+// checkWarned checks that a warning in the log names the request.
+func (s *entryProcess) checkWarned(id string) {
 	s.t.Helper()
 	for _, line := range s.lines.FilterField(zap.String("request", id)).All() {
 		if line.Level == zapcore.WarnLevel {
--- a/cmd/gradetiller-entry/main.go
+++ b/cmd/gradetiller-entry/main.go
@@ -1,4 +1,7 @@
-// Command gradetiller-entry is described by its --help and in docs/OPERATIONS.md.
+// Command gradetiller-entry serves clients and runs their requests through the stages of
+// their pipelines.
+//
+// Its --help and docs/OPERATIONS.md describe its use.
 package main
 
 import "gradetiller.example/cmd/gradetiller-entry/cmd"
--- a/cmd/gradetiller-load/cmd/main.go
+++ b/cmd/gradetiller-load/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd holds the settings and the start of gradetiller-load.
+// Package cmd implements the gradetiller-load command.
 package cmd
 
 import (
@@ -17,34 +17,34 @@
 
 const (
 	name = "gradetiller-load"
-	help = "Sends requests as several client accounts, follows the system's locate answers, and checks every answer."
+	help = "Sends requests for several client accounts to the addresses that the system's locate responses name, and checks every response."
 )
 
 type cli struct {
-	Entries     []settings.Address `help:"Addresses to ask first." required:"" placeholder:"IP:PORT,..."`
-	Account     []string           `help:"Accounts as NAME=KEY or NAME=KEY:WEIGHT." required:"" sep:","`
+	Entries     []settings.Address `help:"Addresses of the first locate requests." required:"" placeholder:"IP:PORT,..."`
+	Account     []string           `help:"Client accounts as NAME=KEY or NAME=KEY:WEIGHT." required:"" sep:","`
 	Pipeline    []string           `help:"Pipelines as NAME, NAME:WEIGHT or NAME:WEIGHT:once." required:"" sep:","`
 	Requests    int                `help:"Number of requests." default:"300"`
-	Rate        float64            `help:"Requests a second (open loop); 0 for a closed loop." default:"0"`
-	Concurrency int                `help:"Callers of the closed loop." default:"16"`
-	BurstAt     time.Duration      `help:"When a burst begins."`
-	BurstFor    time.Duration      `help:"How long it lasts."`
-	BurstFactor float64            `help:"By how much the rate rises."`
+	Rate        float64            `help:"Requests per second (open loop); 0 for a closed loop." default:"0"`
+	Concurrency int                `help:"Concurrent requests of the closed loop." default:"16"`
+	BurstAt     time.Duration      `help:"Start of a burst, from the start of the load."`
+	BurstFor    time.Duration      `help:"Duration of the burst."`
+	BurstFactor float64            `help:"Factor of the rate during the burst."`
 	Deadline    time.Duration      `help:"Deadline of each request." default:"2s"`
-	OnceShare   float64            `help:"Share of requests marked not to be repeated." default:"0"`
+	OnceShare   float64            `help:"Share of requests that are marked as run at most once." default:"0"`
 	StreamShare float64            `help:"Share of streamed requests." default:"0"`
 	Prefixes    int                `help:"Number of prompt prefixes that requests share." default:"0"`
-	Retries     int                `help:"How often a request may be sent again." default:"8"`
-	Seed        uint64             `help:"Seed of all chance." default:"1"`
-	Fault       []string           `help:"Faults to order at the stand-in as AT:TARGET:FAULT[:SECONDS[:FACTOR]]." sep:","`
-	FaultAt     time.Duration      `help:"When a fault begins, for the time of recovery."`
-	Measured    []string           `help:"Accounts whose attainment is reported; all if left out." sep:","`
-	Standin     settings.Address   `help:"Admin address of the stand-in, for counts from outside." placeholder:"IP:PORT"`
-	Row         string             `help:"Print one row of a table under this name in place of the counts."`
+	Retries     int                `help:"Maximum retries of a request." default:"8"`
+	Seed        uint64             `help:"Seed of the random number generator." default:"1"`
+	Fault       []string           `help:"Faults to inject at the stand-in as AT:TARGET:FAULT[:SECONDS[:FACTOR]]." sep:","`
+	FaultAt     time.Duration      `help:"Start of a fault, from the start of the load, to report the recovery time."`
+	Measured    []string           `help:"Accounts whose attainment is reported; all if omitted." sep:","`
+	Standin     settings.Address   `help:"Admin address of the stand-in, to check its own counts of runs." placeholder:"IP:PORT"`
+	Row         string             `help:"Print the results as one table row with this name instead of the counts."`
 }
 
-// Main runs the program. It exits with 1 if something was lost, doubled or
-// crossed.
+// Main runs the program. It exits with status 1 if a result was lost, doubled, or
+// delivered to the wrong request.
 func Main() {
 	var c cli
 	settings.Parse(&c, name, help)
@@ -136,7 +136,7 @@
 	return f, nil
 }
 
-var errWeight = errors.New("expected a weight of 1 or more behind the colon")
+var errWeight = errors.New("expected a weight of at least 1 after the colon")
 
 func cutWeight(s string) (string, int, error) {
 	name, text, ok := strings.Cut(s, ":")
--- a/cmd/gradetiller-node/cmd/main.go
+++ b/cmd/gradetiller-node/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd holds the settings and the start of gradetiller-node.
+// Package cmd implements the gradetiller-node command.
 package cmd
 
 import (
@@ -18,33 +18,32 @@
 
 const (
 	name = "gradetiller-node"
-	help = "Carries one instance's whole part of the system on the users' platform. Its settings file is named by the variable " + platform.SettingsVariable + "."
-	// memoryShare is the part of the instance's memory from which on memory is
-	// collected more often.
-	memoryShare = 0.6
-	ownMemory   = 200
+	help = "Runs the node of one instance on the users' platform. The path of its settings file comes from the environment variable " + platform.SettingsVariable + "."
+	// memoryLimitShare is the soft memory limit as a share of the instance's memory.
+	memoryLimitShare = 0.6
+	gcPercent        = 200
 )
 
 type cli struct {
 	Check    bool   `help:"Check the settings file and exit."`
 	LogLevel string `help:"debug, info, warn or error." default:"info"`
-	// PeerAddress differs from the settings file's where ports are mapped.
-	// Without takes names of package mechanism.
-	Without     []string `help:"Mechanisms of the decisions to switch off, by commas, to measure what they are worth (docs/DECISIONS.md)." env:"GRADETILLER_WITHOUT"`
-	PeerAddress string   `help:"IP address and port at which other nodes reach this one, where they differ from those that it listens on." env:"GRADETILLER_PEER_ADDRESS"`
+	// Without holds names of package mechanism. PeerAddress differs from the address in
+	// the settings file where ports are mapped.
+	Without     []string `help:"Comma-separated mechanisms to disable, to measure what each is worth (docs/DECISIONS.md)." env:"GRADETILLER_WITHOUT"`
+	PeerAddress string   `help:"IP address and port at which other nodes reach this one, if they differ from its listen address." env:"GRADETILLER_PEER_ADDRESS"`
 }
 
-// Main runs the program. SIGHUP is taken before anything else: one that comes while the
-// settings are read must not end the process.
+// Main runs the program. It registers for SIGHUP before anything else, because the default
+// action of a SIGHUP that arrives while the settings are read would end the process.
 func Main() {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
 	var c cli
-	settings.Run(&c, name, help, func() error { return c.run(hangups) })
+	settings.Run(&c, name, help, func() error { return c.run(sighups) })
 }
 
-func (c *cli) run(hangups <-chan os.Signal) error {
-	off, err := mechanism.Parse(c.Without)
+func (c *cli) run(sighups <-chan os.Signal) error {
+	disabled, err := mechanism.Parse(c.Without)
 	if err != nil {
 		return err
 	}
@@ -57,18 +56,18 @@
 		return err
 	}
 	defer out.Stop()
-	debug.SetGCPercent(ownMemory)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
-	go reload(log, hangups)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
+	go recheckSettings(log, sighups)
 	stop, _ := settings.Signals()
-	return node.New(s, node.WithLog(log), node.WithDroppedLines(out.DroppedOf), node.WithMetrics(s.MetricsAddress), node.WithPeerAddress(c.PeerAddress), node.Without(off)).Run(stop)
+	return node.New(s, node.WithLog(log), node.WithDroppedLines(out.DroppedOf), node.WithMetrics(s.MetricsAddress), node.WithPeerAddress(c.PeerAddress), node.Without(disabled)).Run(stop)
 }
 
-// reload checks the settings file again at each SIGHUP. Addresses and names
-// stay those of the start; the file is checked so that a mistake is told when
-// it is made, not at the next start.
-func reload(log *zap.Logger, hangups <-chan os.Signal) {
-	for range hangups {
+// recheckSettings checks the settings file again at each SIGHUP and logs the result.
+// The process keeps the settings of its start; the check reports a mistake when it is
+// made rather than at the next start.
+func recheckSettings(log *zap.Logger, sighups <-chan os.Signal) {
+	for range sighups {
 		if _, err := platform.LoadSettings(platform.SettingsPath()); err != nil {
 			log.Error("settings refused", zap.Error(err))
 			continue
--- a/cmd/gradetiller-node/main.go
+++ b/cmd/gradetiller-node/main.go
@@ -1,4 +1,6 @@
-// Command gradetiller-node is described by its --help and in docs/PLATFORM.md.
+// Command gradetiller-node runs the node of one instance on the users' platform.
+//
+// Its --help and docs/PLATFORM.md describe its use.
 package main
 
 import "gradetiller.example/cmd/gradetiller-node/cmd"
--- a/cmd/gradetiller-standin/cmd/main.go
+++ b/cmd/gradetiller-standin/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd holds the settings and the start of gradetiller-standin.
+// Package cmd implements the gradetiller-standin command.
 package cmd
 
 import (
@@ -13,14 +13,14 @@
 
 const (
 	name = "gradetiller-standin"
-	help = "Stands in for the platform and for every endpoint that a configuration names, for trials and tests."
+	help = "Simulates the platform and every endpoint of a configuration, for trials and tests."
 )
 
 type cli struct {
-	Config    string           `help:"Configuration whose endpoints to stand in for." required:"" type:"existingfile"`
-	Listen    settings.Address `help:"IP address and port of the platform and the fault switches." required:"" placeholder:"IP:PORT"`
-	Instances string           `help:"Instance list: NODE=IP:PORT@DOMAIN,..."`
-	Seed      uint64           `help:"Seed of all chance." default:"1"`
+	Config    string           `help:"Configuration file whose endpoints are simulated." required:"" type:"existingfile"`
+	Listen    settings.Address `help:"IP address and port of the platform and the admin interface for faults." required:"" placeholder:"IP:PORT"`
+	Instances string           `help:"Instance list as NODE=IP:PORT@DOMAIN,..."`
+	Seed      uint64           `help:"Seed of the random number generators." default:"1"`
 }
 
 // Main runs the program.
@@ -56,7 +56,7 @@
 	if err := serve(c.Listen, w.Admin()); err != nil {
 		return err
 	}
-	fmt.Printf("standing in for %d endpoints and the platform on %s\n", len(w.Endpoints()), c.Listen)
+	fmt.Printf("simulating %d endpoints, and the platform on %s\n", len(w.Endpoints()), c.Listen)
 	first, _ := settings.Signals()
 	select {
 	case <-first.Done():
--- a/cmd/gradetiller-standin/main.go
+++ b/cmd/gradetiller-standin/main.go
@@ -1,4 +1,6 @@
-// Command gradetiller-standin is described by its --help and in docs/OPERATIONS.md.
+// Command gradetiller-standin simulates the platform and every endpoint of a configuration.
+//
+// Its --help and docs/OPERATIONS.md describe its use.
 package main
 
 import "gradetiller.example/cmd/gradetiller-standin/cmd"
--- a/cmd/gradetiller/cmd/apply.go
+++ b/cmd/gradetiller/cmd/apply.go
@@ -13,8 +13,8 @@
 type applyCmd struct {
 	remote
 	File     string  `arg:"" help:"Configuration file."`
-	Base     *uint64 `help:"Version that the file was made from; the default is the version in force now."`
-	Operator string  `help:"Name under which the change is recorded; the default is the user's."`
+	Base     *uint64 `help:"Version that the file is based on; the default is the version in force."`
+	Operator string  `help:"Operator name that is recorded with the change; the default is the user name."`
 }
 
 // Run implements the subcommand.
@@ -29,7 +29,7 @@
 	}
 	resp, err := c.apply(base, cfg)
 	if err != nil {
-		return c.advise(err, base, cfg)
+		return c.adviseIfUnknown(err, base, cfg)
 	}
 	for _, w := range resp.Warnings {
 		fmt.Fprintf(s.out, "warning: %s\n", w)
@@ -41,27 +41,28 @@
 func (c *applyCmd) apply(base uint64, cfg *config.Config) (*control.ApplyResponse, error) {
 	var resp control.ApplyResponse
 	req := control.ApplyRequest{Base: base, Operator: c.operator(), Data: string(cfg.Data())}
-	if err := c.ask(http.MethodPost, "/v1/config", req, &resp); err != nil {
+	if err := c.call(http.MethodPost, "/v1/config", req, &resp); err != nil {
 		return nil, err
 	}
-	// An accepted file is the version after its base; any other number is not
-	// the answer to this request.
+	// An accepted file becomes the version after its base. A response with any other
+	// version does not belong to this request.
 	if resp.Version != base+1 {
-		return nil, unknownf("control process %s answered with version %d, not %d", c.Control, resp.Version, base+1)
+		return nil, outcomeUnknownf("control process %s responded with version %d, expected %d", c.Control, resp.Version, base+1)
 	}
 	return &resp, nil
 }
 
-// advise tells what the operator can do about an apply whose outcome is
-// unknown. Applying again on the same base is safe: a version is written once.
-func (c *applyCmd) advise(err error, base uint64, cfg *config.Config) error {
-	var unknown *unknownError
+// adviseIfUnknown adds advice for the operator to the error of an apply whose outcome
+// is unknown. Applying again on the same base is safe, since each version is written
+// at most once.
+func (c *applyCmd) adviseIfUnknown(err error, base uint64, cfg *config.Config) error {
+	var unknown *outcomeUnknownError
 	if !errors.As(err, &unknown) {
 		return err
 	}
 	return &statusError{status: ExitUnknown, err: fmt.Errorf(
-		"%w; the file may be in force, or be so later: look for version=%d digest=%.12s in `gradetiller history --control %s`; "+
-			"to apply it again, add --base %d, so that only one of the two can take effect",
+		"%w; the file may be in force now or later: look for version=%d digest=%.12s in `gradetiller history --control %s`; "+
+			"to retry, add --base %d, so that at most one of the two applies takes effect",
 		err, base+1, cfg.Digest(), c.Control, base)}
 }
 
@@ -70,7 +71,7 @@
 		return *c.Base, nil
 	}
 	var current control.ConfigResponse
-	err := c.ask(http.MethodGet, "/v1/config", nil, &current)
+	err := c.call(http.MethodGet, "/v1/config", nil, &current)
 	return current.Version, err
 }
 
--- a/cmd/gradetiller/cmd/compare_test.go
+++ b/cmd/gradetiller/cmd/compare_test.go
@@ -8,15 +8,11 @@
 	"testing"
 )
 
-// TestCompareNeedsEveryEntry asks an entry that refuses to tell its counts.
-//
-// What an operator sees: "no requests were counted yet", or figures that lack
-// the requests of this entry.
-// How it comes about: the address is another program's, or the entry has a fault.
-// The cause: the answer's status was not looked at, and a text without counts
-// reads as none.
-// What proves it: the command fails and names the entry and the status.
-func TestCompareNeedsEveryEntry(t *testing.T) {
+// TestCompareFailsWithoutMetrics guards against a comparison that silently lacks the
+// requests of one entry, because an error response without counts is read as zero counts.
+// This happens if the address belongs to another program or the entry has a fault. The
+// command must fail and name the entry and the status.
+func TestCompareFailsWithoutMetrics(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	entry := server.Listener.Addr().String()
--- a/cmd/gradetiller/cmd/diff.go
+++ b/cmd/gradetiller/cmd/diff.go
@@ -11,8 +11,8 @@
 
 type diffCmd struct {
 	File    string           `arg:"" help:"Configuration file."`
-	Against string           `help:"Another file to compare with, in place of the version in force." placeholder:"FILE"`
-	Control settings.Address `help:"Operators' address of any control process." placeholder:"IP:PORT"`
+	Against string           `help:"File to compare with instead of the version in force." placeholder:"FILE"`
+	Control settings.Address `help:"Address of any control process for operators." placeholder:"IP:PORT"`
 	Token   string           `help:"The operators' token."`
 }
 
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	older, err := c.older()
+	older, err := c.baseline()
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,8 @@
 	return nil
 }
 
-func (c *diffCmd) older() (*config.Config, error) {
+// baseline returns the configuration to compare with, or nil if none is in force.
+func (c *diffCmd) baseline() (*config.Config, error) {
 	if c.Against != "" {
 		older, _, err := readConfig(c.Against)
 		return older, err
@@ -42,7 +43,7 @@
 	}
 	var current control.ConfigResponse
 	r := remote{Control: c.Control, Token: c.Token}
-	if err := r.ask(http.MethodGet, "/v1/config", nil, &current); err != nil {
+	if err := r.call(http.MethodGet, "/v1/config", nil, &current); err != nil {
 		return nil, err
 	}
 	if current.Version == 0 {
--- a/cmd/gradetiller/cmd/evacuate.go
+++ b/cmd/gradetiller/cmd/evacuate.go
@@ -11,16 +11,16 @@
 
 type evacuateCmd struct {
 	remote
-	Domain   string `arg:"" help:"Failure domain, as the endpoints of the configuration name it."`
-	End      bool   `help:"Use its endpoints again."`
-	Operator string `help:"Name under which the change is recorded; the default is the user's."`
+	Domain   string `arg:"" help:"Failure domain, as named by the endpoints of the configuration."`
+	End      bool   `help:"End the evacuation and use the endpoints again."`
+	Operator string `help:"Operator name that is recorded with the change; the default is the user name."`
 }
 
-// Run implements the subcommand. The change is an ordinary one of the configuration, which is
-// put in force as a whole on the version that it was made from.
+// Run implements the subcommand. An evacuation is an ordinary configuration change, which is
+// applied on the version that it is based on.
 func (c *evacuateCmd) Run(s *streams) error {
 	var current control.ConfigResponse
-	if err := c.ask(http.MethodGet, "/v1/config", nil, &current); err != nil {
+	if err := c.call(http.MethodGet, "/v1/config", nil, &current); err != nil {
 		return err
 	}
 	if current.Version == 0 {
@@ -41,7 +41,7 @@
 	apply := applyCmd{remote: c.remote, Operator: c.Operator}
 	resp, err := apply.apply(current.Version, changed)
 	if err != nil {
-		return apply.advise(err, current.Version, changed)
+		return apply.adviseIfUnknown(err, current.Version, changed)
 	}
 	fmt.Fprintf(s.out, "version %d is accepted\n", resp.Version)
 	return nil
--- a/cmd/gradetiller/cmd/logs.go
+++ b/cmd/gradetiller/cmd/explain_logs.go
@@ -11,9 +11,9 @@
 )
 
 type explainLogsCmd struct {
-	Subject string        `arg:"" help:"Request id, endpoint, node or version."`
-	Files   []string      `arg:"" help:"Log files of all nodes; - is standard input."`
-	Around  time.Duration `help:"How long before and after the subject's lines what the nodes believed is told too." default:"1s"`
+	Subject string        `arg:"" help:"Request ID, endpoint, node or version."`
+	Files   []string      `arg:"" help:"Log files of all nodes; - stands for standard input."`
+	Around  time.Duration `help:"Also show the state that the nodes logged up to this long before and after the lines about the subject." default:"1s"`
 }
 
 // Run implements the subcommand.
@@ -28,7 +28,7 @@
 	}
 	story := explain.Story(lines, c.Subject, c.Around)
 	if len(story) == 0 {
-		return fmt.Errorf("none of %d lines of %s names %s; give the logs of all nodes", len(lines), strings.Join(c.Files, ", "), c.Subject)
+		return fmt.Errorf("none of the %d lines of %s mentions %s; pass the logs of all nodes", len(lines), strings.Join(c.Files, ", "), c.Subject)
 	}
 	for _, l := range story {
 		fmt.Fprintln(s.out, l)
@@ -36,11 +36,11 @@
 	return nil
 }
 
-// standardInput stands for standard input among the log files.
-const standardInput = "-"
+// stdinName is the file name that stands for standard input.
+const stdinName = "-"
 
 func readLog(path string) ([]explain.Line, error) {
-	if path == standardInput {
+	if path == stdinName {
 		return explain.Read(os.Stdin, path)
 	}
 	file, err := os.Open(path)
--- a/cmd/gradetiller/cmd/main.go
+++ b/cmd/gradetiller/cmd/main.go
@@ -1,4 +1,4 @@
-// Package cmd holds the subcommands of gradetiller, the operators' command.
+// Package cmd implements gradetiller, the command for operators.
 package cmd
 
 import (
@@ -14,10 +14,10 @@
 
 const (
 	name = "gradetiller"
-	help = "Checks and applies configurations, and shows what the system does and why."
+	help = "Checks and applies configurations, and shows the state and the decisions of the system."
 )
 
-// Exit statuses of the command.
+// The exit statuses of the command.
 const (
 	ExitFailed   = 1
 	ExitUsage    = 2
@@ -26,18 +26,18 @@
 )
 
 type cli struct {
-	Check    checkCmd    `cmd:"" help:"Check a configuration file and print every problem with line and fix."`
-	Diff     diffCmd     `cmd:"" help:"Show what a file would change against the version in force, or against another file."`
-	Apply    applyCmd    `cmd:"" help:"Put a file in force as a whole."`
-	Evacuate evacuateCmd `cmd:"" help:"Send nothing further to the endpoints of a failure domain, or end that."`
+	Check    checkCmd    `cmd:"" help:"Check a configuration file and print every problem with its line and a fix."`
+	Diff     diffCmd     `cmd:"" help:"Show the differences between a file and the version in force or another file."`
+	Apply    applyCmd    `cmd:"" help:"Apply a configuration file."`
+	Evacuate evacuateCmd `cmd:"" help:"Stop sending work to the endpoints of a failure domain, or resume it."`
 	Show     showCmd     `cmd:"" help:"Print the configuration in force."`
 	History  historyCmd  `cmd:"" help:"List the latest versions of the configuration."`
-	Status   statusCmd   `cmd:"" help:"Show the nodes, what is impaired, and what the system does about it."`
-	Explain  explainCmd  `cmd:"" help:"Tell the decisions about a request, endpoint or version."`
+	Status   statusCmd   `cmd:"" help:"Show the nodes, what is impaired, and how the system responds."`
+	Explain  explainCmd  `cmd:"" help:"Show the decisions about a request, endpoint or version."`
 
-	ExplainLogs explainLogsCmd `cmd:"" help:"Tell the story of a request, endpoint, node or version from the logs of gradetiller-node."`
-	Compare     compareCmd     `cmd:"" help:"Show attainment and cost by stage of an experiment's arms, and whether they differ by more than noise."`
-	HashKey     hashKeyCmd     `cmd:"" help:"Print the key_sha256 of an account's key read from standard input."`
+	ExplainLogs explainLogsCmd `cmd:"" help:"Show the events about a request, endpoint, node or version in the logs of gradetiller-node."`
+	Compare     compareCmd     `cmd:"" help:"Show attainment and cost by stage for each arm of an experiment, and whether the differences are significant."`
+	HashKey     hashKeyCmd     `cmd:"" help:"Print the key_sha256 of an account key that is read from standard input."`
 }
 
 // Main runs the command.
@@ -58,16 +58,16 @@
 		return status
 	}
 	err = ctx.Run(&streams{in: stdin, out: stdout})
-	return report(stderr, err)
+	return exitStatus(stderr, err)
 }
 
-// streams are the command's input and output.
+// streams holds the standard input and output of the command.
 type streams struct {
 	in  io.Reader
 	out io.Writer
 }
 
-// statusError carries an exit status.
+// statusError is an error with the exit status of the command.
 type statusError struct {
 	status int
 	err    error
@@ -77,7 +77,8 @@
 
 func (e *statusError) Unwrap() error { return e.err }
 
-func report(stderr io.Writer, err error) int {
+// exitStatus prints the error, if any, and returns the exit status for it.
+func exitStatus(stderr io.Writer, err error) int {
 	if err == nil {
 		return 0
 	}
@@ -89,8 +90,8 @@
 	return ExitFailed
 }
 
-// remote are the settings of subcommands that ask a control process.
+// remote holds the flags of subcommands that call a control process.
 type remote struct {
-	Control settings.Address `help:"Operators' address of any control process." required:"" placeholder:"IP:PORT"`
+	Control settings.Address `help:"Address of any control process for operators." required:"" placeholder:"IP:PORT"`
 	Token   string           `help:"The operators' token."`
 }
--- a/cmd/gradetiller/cmd/remote.go
+++ b/cmd/gradetiller/cmd/remote.go
@@ -13,24 +13,24 @@
 	"gradetiller.example/internal/control"
 )
 
-// askTimeout bounds an exchange, an apply too; a test shortens it.
-var askTimeout = 30 * time.Second
+// requestTimeout bounds each request, including an apply. Tests shorten it.
+var requestTimeout = 30 * time.Second
 
-// unknownError tells that a request may have reached a control process, and
-// that no answer tells what became of it. Every other error of ask tells that
-// the request changed nothing.
-type unknownError struct{ err error }
+// outcomeUnknownError means that a request may have reached a control process and
+// that its outcome is unknown. Every other error of remote.call means that the
+// request changed nothing.
+type outcomeUnknownError struct{ err error }
 
-func (e *unknownError) Error() string { return e.err.Error() }
+func (e *outcomeUnknownError) Error() string { return e.err.Error() }
 
-func (e *unknownError) Unwrap() error { return e.err }
+func (e *outcomeUnknownError) Unwrap() error { return e.err }
 
-func unknownf(format string, args ...any) error {
-	return &unknownError{err: fmt.Errorf(format, args...)}
+func outcomeUnknownf(format string, args ...any) error {
+	return &outcomeUnknownError{err: fmt.Errorf(format, args...)}
 }
 
-// ask makes one exchange with a control process.
-func (r *remote) ask(method, path string, in, out any) error {
+// call sends a request to the control process and decodes the response into out.
+func (r *remote) call(method, path string, in, out any) error {
 	req, err := r.request(method, path, in)
 	if err != nil {
 		return err
@@ -42,13 +42,13 @@
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return unknownf("the answer of control process %s broke off: %w", r.Control, err)
+		return outcomeUnknownf("response of control process %s was cut off: %w", r.Control, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return r.refusal(resp.StatusCode, data)
+		return r.responseError(resp.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return unknownf("the answer of control process %s is unreadable: %w", r.Control, err)
+		return outcomeUnknownf("response of control process %s is not valid JSON: %w", r.Control, err)
 	}
 	return nil
 }
@@ -70,16 +70,16 @@
 	return req, nil
 }
 
-// send sends a request once. Nothing was sent as long as there was no
-// connection; the kind of the error does not tell, since a time-out while
-// dialing is the same error as one while waiting.
+// send sends a request once, without retries. It traces whether there was a connection,
+// because without one nothing was sent, and the error does not tell a time-out of the
+// dial from one of the response.
 func (r *remote) send(req *http.Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	client := &http.Client{
-		Transport: &http.Transport{}, Timeout: askTimeout,
-		// A control process leads nowhere else; an answer from there would be to
-		// another request.
+		Transport: &http.Transport{}, Timeout: requestTimeout,
+		// A control process does not redirect, and the response to a redirected
+		// request would say nothing about the original one.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	resp, err := client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
@@ -88,17 +88,18 @@
 	}
 	err = fmt.Errorf("control process %s does not answer: %w", r.Control, err)
 	if connected {
-		return nil, &unknownError{err: err}
+		return nil, &outcomeUnknownError{err: err}
 	}
 	return nil, err
 }
 
-// refusal reads an answer other than 200. Only a control process's own error
-// with a status that stands for "nothing changed" is a refusal.
-func (r *remote) refusal(status int, data []byte) error {
+// responseError returns the error for a response with a status other than 200. Only an
+// error body of a control process together with a status that means "nothing changed"
+// is a definite refusal.
+func (r *remote) responseError(status int, data []byte) error {
 	var body control.ErrorResponse
 	if json.Unmarshal(data, &body) != nil || body.Error == "" {
-		return unknownf("control process %s answered status %d without its error", r.Control, status)
+		return outcomeUnknownf("control process %s returned status %d without an error message", r.Control, status)
 	}
 	err := errors.New(body.Error)
 	switch status {
@@ -107,5 +108,5 @@
 	case http.StatusConflict:
 		return &statusError{status: ExitConflict, err: err}
 	}
-	return &unknownError{err: err}
+	return &outcomeUnknownError{err: err}
 }
--- a/cmd/gradetiller/cmd/script_test.go
+++ b/cmd/gradetiller/cmd/script_test.go
@@ -14,22 +14,22 @@
 	"gradetiller.example/internal/standin"
 )
 
-var update = flag.Bool("update", false, "renew the expected output in the scripts")
+var update = flag.Bool("update", false, "update the expected output in the scripts")
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){name: Main})
 }
 
-// TestScripts runs each scenario under testdata/script against a control
-// process of its own; go test -update renews the expected output.
+// TestScripts runs each script in testdata/script against its own control process.
+// Use go test -update to update the expected output.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata/script",
 		UpdateScripts: *update,
 		Setup: func(env *testscript.Env) error {
-			world := httptest.NewServer(standin.NewPlatform(nil).Handler())
-			env.Defer(world.Close)
-			p, err := platform.NewHTTP(world.URL)
+			platformServer := httptest.NewServer(standin.NewPlatform(nil).Handler())
+			env.Defer(platformServer.Close)
+			p, err := platform.NewHTTP(platformServer.URL)
 			if err != nil {
 				return err
 			}
--- a/cmd/gradetiller/cmd/show.go
+++ b/cmd/gradetiller/cmd/show.go
@@ -15,7 +15,7 @@
 // Run implements the subcommand.
 func (c *showCmd) Run(s *streams) error {
 	var current control.ConfigResponse
-	if err := c.ask(http.MethodGet, "/v1/config", nil, &current); err != nil {
+	if err := c.call(http.MethodGet, "/v1/config", nil, &current); err != nil {
 		return err
 	}
 	fmt.Fprint(s.out, current.Data)
@@ -27,7 +27,7 @@
 // Run implements the subcommand.
 func (c *historyCmd) Run(s *streams) error {
 	var lines []control.HistoryLine
-	if err := c.ask(http.MethodGet, "/v1/history", nil, &lines); err != nil {
+	if err := c.call(http.MethodGet, "/v1/history", nil, &lines); err != nil {
 		return err
 	}
 	for _, l := range lines {
@@ -41,7 +41,7 @@
 // Run implements the subcommand.
 func (c *statusCmd) Run(s *streams) error {
 	var st control.StatusResponse
-	if err := c.ask(http.MethodGet, "/v1/status", nil, &st); err != nil {
+	if err := c.call(http.MethodGet, "/v1/status", nil, &st); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "seen by %s: version %d\n", st.Node, st.Version)
@@ -65,17 +65,17 @@
 
 type explainCmd struct {
 	remote
-	Subject string `arg:"" help:"Request id, endpoint name, or version/N."`
+	Subject string `arg:"" help:"Request ID, endpoint name, or version/N."`
 }
 
 // Run implements the subcommand.
 func (c *explainCmd) Run(s *streams) error {
 	var lines []string
-	if err := c.ask(http.MethodGet, "/v1/explain?subject="+url.QueryEscape(c.Subject), nil, &lines); err != nil {
+	if err := c.call(http.MethodGet, "/v1/explain?subject="+url.QueryEscape(c.Subject), nil, &lines); err != nil {
 		return err
 	}
 	if len(lines) == 0 {
-		fmt.Fprintf(s.out, "nothing is remembered about %s here; ask the control process of another node\n", c.Subject)
+		fmt.Fprintf(s.out, "no decisions about %s are kept here; ask the control process of another node\n", c.Subject)
 	}
 	for _, l := range lines {
 		fmt.Fprintln(s.out, l)
--- a/cmd/gradetiller/main.go
+++ b/cmd/gradetiller/main.go
@@ -1,4 +1,7 @@
-// Command gradetiller is described by its --help and in docs/OPERATIONS.md.
+// Command gradetiller checks and applies configurations, and shows the state and the decisions of
+// the system.
+//
+// Its --help and docs/OPERATIONS.md describe its use.
 package main
 
 import "gradetiller.example/cmd/gradetiller/cmd"
