--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,8 +1,9 @@
-// Package load is a caller that makes load and checks every answer from
-// outside: whole, of its own request, and run no more often than allowed.
+// Package load generates load as a client of the system and checks every response:
+// it must be complete, belong to its request, and not stem from more runs than
+// allowed.
 //
 // # Usage
 //
 //	report, err := load.Run(ctx, load.Options{...})
-//	fmt.Println(report.Line())
+//	fmt.Println(report.Summary())
 package load
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -10,63 +10,64 @@
 	"gradetiller.example/internal/standin"
 )
 
-// Account is one client account and its part of the load.
+// Account is a client account and its weight in the load.
 type Account struct {
 	Name   string
 	Key    string
 	Weight int
 }
 
-// Pipeline is one pipeline and its part of the load.
+// Pipeline is a pipeline and its weight in the load.
 type Pipeline struct {
 	Name   string
 	Weight int
-	// Once pipelines are always marked as not to be repeated.
+	// Once marks all requests of the pipeline as run at most once.
 	Once bool
 }
 
-// Fault is an order to the stand-in at a time of the load.
+// Fault is a fault that is injected at the stand-in at a time after the start of the load.
 type Fault struct {
-	At    time.Duration
+	At   time.Duration
 	Spec standin.FaultSpec
 }
 
-// Options describe the load.
+// Options describes the load.
 type Options struct {
 	Entries   []string
 	Accounts  []Account
 	Pipelines []Pipeline
 	Requests  int
-	// Rate is in requests a second (open loop); 0 means a closed loop of
-	// Concurrency callers.
+	// Rate is in requests per second (open loop); 0 means a closed loop of
+	// Concurrency concurrent requests.
 	Rate        float64
 	Concurrency int
-	// BurstAt, BurstFor and BurstFactor raise the rate for a while.
+	// BurstAt, BurstFor and BurstFactor are the start, duration and rate factor of a
+	// burst.
 	BurstAt     time.Duration
 	BurstFor    time.Duration
 	BurstFactor float64
 	Deadline    time.Duration
-	// OnceShare and StreamShare are shares of the requests.
+	// OnceShare and StreamShare are the shares of requests that run at most once and
+	// that are streamed.
 	OnceShare   float64
 	StreamShare float64
-	// Prefixes is the number of prompt prefixes that requests share; 0 means
-	// that every prompt is its own.
+	// Prefixes is the number of prompt prefixes that requests share; 0 means that
+	// prompts have no shared prefix.
 	Prefixes int
 	Retries  int
 	Seed     uint64
-	// Faults are ordered at the stand-in while the load runs.
+	// Faults are injected at the stand-in while the load runs.
 	Faults []Fault
-	// FaultAt is when a fault begins, for the time of recovery.
+	// FaultAt is the start of the fault from which the recovery time is measured.
 	FaultAt time.Duration
-	// Measured names the accounts whose attainment is reported; empty means
-	// all.
+	// Measured names the accounts whose attainment is reported; all if empty.
 	Measured []string
-	// Standin is the stand-in's admin address; "" skips the outside counts.
+	// Standin is the stand-in's admin address; if empty, its counts are not checked.
 	Standin string
 }
 
-// planned is one request to send.
-type planned struct {
+// plannedRequest is one request and the time at which it is sent.
+type plannedRequest struct {
 	at      time.Duration
 	account int
 	request client.Request
@@ -74,21 +75,21 @@
 	marker  string
 }
 
-// plan lays the whole load out from the seed.
-func plan(o Options) []planned {
+// plan derives all requests of the load from the seed.
+func plan(o Options) []plannedRequest {
 	r := rand.New(rand.NewPCG(o.Seed, 0))
-	list := make([]planned, o.Requests)
+	list := make([]plannedRequest, o.Requests)
 	var at time.Duration
 	for i := range list {
-		account := pick(r, len(o.Accounts), func(i int) int { return o.Accounts[i].Weight })
-		pipeline := o.Pipelines[pick(r, len(o.Pipelines), func(i int) int { return o.Pipelines[i].Weight })]
+		account := pickWeighted(r, len(o.Accounts), func(i int) int { return o.Accounts[i].Weight })
+		pipeline := o.Pipelines[pickWeighted(r, len(o.Pipelines), func(i int) int { return o.Pipelines[i].Weight })]
 		marker := fmt.Sprintf("r%d-%d", o.Seed, i)
-		list[i] = planned{
+		list[i] = plannedRequest{
 			at: at, account: account, marker: marker, stream: r.Float64() < o.StreamShare,
 			request: client.Request{
 				Pipeline: pipeline.Name,
 				ID:       marker,
-				Input:    input(r, o, marker),
+				Input:    buildInput(r, o, marker),
 				Deadline: o.Deadline,
 				Once:     pipeline.Once || r.Float64() < o.OnceShare,
 				Class:    "interactive",
@@ -101,6 +102,7 @@
 	return list
 }
 
+// rate returns the request rate at a time after the start of the load.
 func (o Options) rate(at time.Duration) float64 {
 	if o.BurstFactor > 0 && at >= o.BurstAt && at < o.BurstAt+o.BurstFor {
 		return o.Rate * o.BurstFactor
@@ -108,7 +110,8 @@
 	return o.Rate
 }
 
-func pick(r *rand.Rand, n int, weight func(int) int) int {
+// pickWeighted returns a random index below n with probability proportional to its weight.
+func pickWeighted(r *rand.Rand, n int, weight func(int) int) int {
 	total := 0
 	for i := range n {
 		total += weight(i)
@@ -123,9 +126,9 @@
 	return n - 1
 }
 
-// input builds a prompt: a prefix that others may share, then the marker that
-// every result must carry.
-func input(r *rand.Rand, o Options, marker string) string {
+// buildInput builds a prompt: a prefix that other requests may share, then the marker
+// that every result must contain.
+func buildInput(r *rand.Rand, o Options, marker string) string {
 	prefix := ""
 	if o.Prefixes > 0 {
 		prefix = fmt.Sprintf("%-70s", fmt.Sprintf("prompt %d of clinic rosters and slot plans ", r.IntN(o.Prefixes)))
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	longest   = int64(time.Minute / time.Microsecond)
-	precision = 3
+	maxLatencyMicros  = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Report is what came of a load.
+// Report holds the results of a load.
 type Report struct {
 	requests, answered, onTime, notRun, failed int
 	lost, doubled, crossed                     int
 	byKind                                     map[failure.Kind]int
 	accounts                                   []accountReport
-	took                                       *hdrhistogram.Histogram
+	latencies                                  *hdrhistogram.Histogram
 	cost                                       map[string]float64
 	duration                                   time.Duration
 	outcomes                                   []outcome
@@ -44,7 +44,7 @@
 func newReport(o Options, outcomes []outcome, d time.Duration) *Report {
 	r := &Report{
 		byKind: make(map[failure.Kind]int), duration: d, outcomes: outcomes,
-		took: hdrhistogram.New(1, longest, precision),
+		latencies: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	for _, a := range o.Accounts {
 		r.accounts = append(r.accounts, accountReport{name: a.Name, measured: len(o.Measured) == 0 || slices.Contains(o.Measured, a.Name)})
@@ -57,7 +57,7 @@
 
 func (r *Report) add(o Options, out *outcome) {
 	r.requests++
-	if at := out.planned.at; !out.inTime(o) && at+out.took > o.FaultAt {
+	if at := out.planned.at; !out.onTime(o) && at+out.latency > o.FaultAt {
 		r.recovery = max(r.recovery, at-o.FaultAt)
 	}
 	account := &r.accounts[out.planned.account]
@@ -79,29 +79,29 @@
 		return
 	}
 	r.answered++
-	_ = r.took.RecordValue(min(int64(out.took/time.Microsecond), longest))
-	if out.inTime(o) {
+	_ = r.latencies.RecordValue(min(int64(out.latency/time.Microsecond), maxLatencyMicros))
+	if out.onTime(o) {
 		r.onTime++
 		account.onTime++
 	}
 }
 
-func (o *outcome) inTime(opts Options) bool {
-	return o.err == nil && o.answer.OnTime() && o.took <= opts.Deadline
+func (o *outcome) onTime(opts Options) bool {
+	return o.err == nil && o.answer.OnTime() && o.latency <= opts.Deadline
 }
 
-// Recovery returns how long after the fault a request that missed its
-// deadline was still sent; 0 means that none missed.
+// Recovery returns the time from FaultAt to the sending of the last request that
+// missed its deadline; 0 if none did.
 func (r *Report) Recovery() time.Duration { return r.recovery }
 
-// addOutside adds what the stand-ins counted. A request that was told "not
-// run" and that may run at most once must not have run at all.
-func (r *Report) addOutside(ctx context.Context, address string) error {
+// addStandinCounts adds the stand-in's costs and counts doubled runs. An at-most-once
+// request that was answered with "not run" must not have run at all.
+func (r *Report) addStandinCounts(ctx context.Context, address string) error {
 	var counts []standin.Count
-	if err := get(ctx, address, "/admin/counts", &counts); err != nil {
+	if err := getJSON(ctx, address, "/admin/counts", &counts); err != nil {
 		return err
 	}
-	if err := get(ctx, address, "/admin/cost", &r.cost); err != nil {
+	if err := getJSON(ctx, address, "/admin/cost", &r.cost); err != nil {
 		return err
 	}
 	refused := make(map[string]bool)
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// orderFault waits for the fault's time and orders it.
-func orderFault(ctx context.Context, address string, f Fault) {
+// injectFault waits for the fault's time and injects it at the stand-in.
+func injectFault(ctx context.Context, address string, f Fault) {
 	select {
 	case <-ctx.Done():
 		return
@@ -141,14 +141,14 @@
 	_ = resp.Body.Close()
 }
 
-func get(ctx context.Context, address, path string, out any) error {
+func getJSON(ctx context.Context, address, path string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return err
 	}
 	resp, err := (&http.Transport{}).RoundTrip(req)
 	if err != nil {
-		return fmt.Errorf("ask the stand-in: %w", err)
+		return fmt.Errorf("query the stand-in: %w", err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
@@ -158,11 +158,12 @@
 	return json.Unmarshal(data, out)
 }
 
-// Violations returns the number of lost, doubled and crossed results.
+// Violations returns the number of lost results, doubled runs, and responses that
+// belong to another request ("crossed").
 func (r *Report) Violations() int { return r.lost + r.doubled + r.crossed }
 
-// Attainment returns the share of the measured accounts' requests that
-// finished within their deadline.
+// Attainment returns the share of the measured accounts' requests that completed
+// within their deadline.
 func (r *Report) Attainment() float64 {
 	requests, onTime := 0, 0
 	for _, a := range r.accounts {
@@ -180,11 +181,11 @@
 		r.requests, r.answered, r.onTime, r.notRun, r.failed, r.lost, r.doubled, r.crossed)
 }
 
-// Row returns the measures as one line of a table.
+// Row returns the results as one table row.
 func (r *Report) Row() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "attainment=%.4f p50_ms=%.1f p99_ms=%.1f goodput=%.1f", r.Attainment(),
-		float64(r.took.ValueAtQuantile(50))/1000, float64(r.took.ValueAtQuantile(99))/1000,
+		float64(r.latencies.ValueAtQuantile(50))/1000, float64(r.latencies.ValueAtQuantile(99))/1000,
 		float64(r.onTime)/r.duration.Seconds())
 	for _, stage := range []string{"encoding", "retrieval", "reranking", "generation"} {
 		fmt.Fprintf(&b, " cost_%s=%.2f", stage, r.cost[stage])
@@ -193,7 +194,7 @@
 	return b.String()
 }
 
-// Details returns attainment by account and errors by kind, one a line.
+// Details returns lines with the attainment by account, errors by kind and cost by stage.
 func (r *Report) Details() []string {
 	var lines []string
 	for _, a := range r.accounts {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -12,21 +12,21 @@
 	"gradetiller.example/internal/standin"
 )
 
-// outcome is what the caller saw of one request.
+// outcome is the result of one request as seen by the client.
 type outcome struct {
-	planned *planned
-	took    time.Duration
+	planned *plannedRequest
+	latency time.Duration
 	answer  *client.Answer
 	err     error
 	crossed bool
 	partial bool
 }
 
-// hardStop is how long after its deadline a request may stay without an
-// answer before it counts as lost.
-const hardStop = 3 * time.Second
+// lostTimeout is the time after its deadline at which a request without a response
+// counts as lost.
+const lostTimeout = 3 * time.Second
 
-// Run sends the load and returns what came of it.
+// Run sends the load and returns its results.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	clients := make([]*client.Client, len(o.Accounts))
 	for i, a := range o.Accounts {
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for _, f := range o.Faults {
-		go orderFault(ctx, o.Standin, f)
+		go injectFault(ctx, o.Standin, f)
 	}
 	started := time.Now()
 	if o.Rate > 0 {
@@ -54,24 +54,24 @@
 	if o.Standin == "" {
 		return report, nil
 	}
-	return report, report.addOutside(ctx, o.Standin)
+	return report, report.addStandinCounts(ctx, o.Standin)
 }
 
-func openLoop(ctx context.Context, o Options, list []planned, outcomes []outcome, clients []*client.Client) {
-	var wait sync.WaitGroup
+func openLoop(ctx context.Context, o Options, list []plannedRequest, outcomes []outcome, clients []*client.Client) {
+	var wg sync.WaitGroup
 	started := time.Now()
 	for i := range list {
 		time.Sleep(time.Until(started.Add(list[i].at)))
-		wait.Go(func() { outcomes[i] = send(ctx, o, &list[i], clients[list[i].account]) })
+		wg.Go(func() { outcomes[i] = send(ctx, o, &list[i], clients[list[i].account]) })
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func closedLoop(ctx context.Context, o Options, list []planned, outcomes []outcome, clients []*client.Client) {
-	var wait sync.WaitGroup
+func closedLoop(ctx context.Context, o Options, list []plannedRequest, outcomes []outcome, clients []*client.Client) {
+	var wg sync.WaitGroup
 	next := make(chan int)
 	for range max(o.Concurrency, 1) {
-		wait.Go(func() {
+		wg.Go(func() {
 			for i := range next {
 				outcomes[i] = send(ctx, o, &list[i], clients[list[i].account])
 			}
@@ -81,11 +81,11 @@
 		next <- i
 	}
 	close(next)
-	wait.Wait()
+	wg.Wait()
 }
 
-func send(ctx context.Context, o Options, p *planned, c *client.Client) outcome {
-	ctx, cancel := context.WithTimeout(ctx, o.Deadline+hardStop)
+func send(ctx context.Context, o Options, p *plannedRequest, c *client.Client) outcome {
+	ctx, cancel := context.WithTimeout(ctx, o.Deadline+lostTimeout)
 	defer cancel()
 	out := outcome{planned: p}
 	started := time.Now()
@@ -94,16 +94,16 @@
 	} else {
 		out.answer, out.err = c.Run(ctx, p.request)
 	}
-	out.took = time.Since(started)
+	out.latency = time.Since(started)
 	if out.err == nil {
-		out.crossed, out.partial = inspect(out.answer.Output(), p.marker)
+		out.crossed, out.partial = checkOutput(out.answer.Output(), p.marker)
 	}
 	return out
 }
 
-// inspect reports whether an answer belongs to another request, and whether a
-// part of it is missing, doubled or out of order.
-func inspect(output, marker string) (crossed, partial bool) {
+// checkOutput reports whether an output belongs to another request (crossed), and
+// whether tokens are missing, duplicated or out of order (partial).
+func checkOutput(output, marker string) (crossed, partial bool) {
 	if strings.Contains(output, "req=") {
 		return standin.Marker(output) != marker, false
 	}
@@ -118,7 +118,7 @@
 	return false, output == ""
 }
 
-// lost reports whether the caller was left without a final answer.
+// lost reports whether the client got no complete final response.
 func (o *outcome) lost() bool {
 	if o.err == nil {
 		return o.partial
--- a/internal/naive/bucket.go
+++ b/internal/naive/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Bucket admits by going through all earlier admissions.
+// Bucket is a token bucket that replays all earlier admissions.
 type Bucket struct {
 	Rate, Burst float64
 	Start       time.Time
@@ -10,7 +10,7 @@
 	admitted []time.Time
 }
 
-// Admit reports whether one more request is allowed at now, and counts it.
+// Admit reports whether a request is admitted at now, and counts it if so.
 func (b *Bucket) Admit(now time.Time) bool {
 	if b.tokens(now) < 1 {
 		return false
--- a/internal/naive/queue.go
+++ b/internal/naive/queue.go
@@ -10,53 +10,54 @@
 	Account   int
 	Weight    int
 
-	start float64
-	ahead bool
+	virtualStart float64
+	overCredit   bool
 }
 
-// fairCredit is how many calls an account may be ahead under "fair_slack".
+// fairCredit is how far an account's virtual start may be ahead of virtual time
+// before its calls lose priority under "fair_slack".
 const fairCredit = 16
 
-// Queue is a list that is scanned at every Pop.
+// Queue is a list that every Pop scans.
 type Queue struct {
 	Policy string
 
-	items  []Item
-	finish map[int]float64
-	clock  float64
+	items         []Item
+	virtualFinish map[int]float64
+	virtualTime   float64
 }
 
-// Push adds an item behind the others.
+// Push appends an item.
 func (q *Queue) Push(w Item) {
-	if q.finish == nil {
-		q.finish = make(map[int]float64)
+	if q.virtualFinish == nil {
+		q.virtualFinish = make(map[int]float64)
 	}
-	w.start = max(q.clock, q.finish[w.Account])
-	w.ahead = w.start-q.clock > fairCredit
-	q.finish[w.Account] = w.start + 1/float64(w.Weight)
+	w.virtualStart = max(q.virtualTime, q.virtualFinish[w.Account])
+	w.overCredit = w.virtualStart-q.virtualTime > fairCredit
+	q.virtualFinish[w.Account] = w.virtualStart + 1/float64(w.Weight)
 	q.items = append(q.items, w)
 }
 
-// Pop takes the first item by the policy, or -1.
+// Pop removes the first item by the policy and returns its ID, or -1 if the queue is empty.
 func (q *Queue) Pop() int {
 	if len(q.items) == 0 {
 		return -1
 	}
 	first := 0
 	for i := range q.items {
-		if q.before(q.items[i], q.items[first]) {
+		if q.precedes(q.items[i], q.items[first]) {
 			first = i
 		}
 	}
 	w := q.items[first]
 	q.Remove(w.ID)
 	if (q.Policy == "weighted_fair" || q.Policy == "fair_slack") && len(q.items) > 0 {
-		q.clock = max(q.clock, w.start)
+		q.virtualTime = max(q.virtualTime, w.virtualStart)
 	}
 	return w.ID
 }
 
-// Remove takes an item out by its id.
+// Remove removes an item by its ID and reports whether it was queued.
 func (q *Queue) Remove(id int) bool {
 	for i := range q.items {
 		if q.items[i].ID != id {
@@ -64,14 +65,15 @@
 		}
 		q.items = append(q.items[:i:i], q.items[i+1:]...)
 		if len(q.items) == 0 {
-			q.finish, q.clock = nil, 0
+			q.virtualFinish, q.virtualTime = nil, 0
 		}
 		return true
 	}
 	return false
 }
 
-func (q *Queue) before(a, b Item) bool {
+// precedes reports whether the policy serves a before b.
+func (q *Queue) precedes(a, b Item) bool {
 	slackA, slackB := a.Deadline.Add(-a.Remaining), b.Deadline.Add(-b.Remaining)
 	switch q.Policy {
 	case "earliest_deadline":
@@ -79,18 +81,18 @@
 	case "least_slack":
 		return slackA.Before(slackB)
 	case "fair_slack":
-		if a.ahead || b.ahead {
-			if a.ahead != b.ahead {
-				return b.ahead
+		if a.overCredit || b.overCredit {
+			if a.overCredit != b.overCredit {
+				return b.overCredit
 			}
-			if a.start != b.start {
-				return a.start < b.start
+			if a.virtualStart != b.virtualStart {
+				return a.virtualStart < b.virtualStart
 			}
 		}
 		return slackA.Before(slackB)
 	case "weighted_fair":
-		if a.start != b.start {
-			return a.start < b.start
+		if a.virtualStart != b.virtualStart {
+			return a.virtualStart < b.virtualStart
 		}
 		return slackA.Before(slackB)
 	}
--- a/internal/platform/commit.go
+++ b/internal/platform/commit.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	firstPause   = 20 * time.Millisecond
-	longestPause = time.Second
-	// stepTimeout bounds one exchange, so that a hanging store costs one step
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
+	// stepTimeout bounds one read or write, so that a store that hangs costs one step
 	// and not the whole commit.
 	stepTimeout = 2 * time.Second
 )
 
-// Commit writes puts and settles the outcome until ctx ends. The first put
-// decides: mine tells whether its row holds this write's id. It returns the
-// deciding row as last seen.
-func Commit(ctx context.Context, table Table, puts []Put, mine func(value []byte) bool) (condwrite.Outcome, Row) {
+// Commit writes puts, and retries and reads back until the outcome is known or ctx
+// ends. The row of the first put decides the outcome: isOwn reports whether its value
+// contains the ID of this write. Commit returns that row as last seen.
+func Commit(ctx context.Context, table Table, puts []Put, isOwn func(value []byte) bool) (condwrite.Outcome, Row) {
 	w := condwrite.New(puts[0].IfVersion)
 	var seen Row
-	pause := firstPause
+	backoff := minBackoff
 	for w.Next() != condwrite.Stop {
-		if commitStep(ctx, table, puts, mine, w, &seen) {
+		if commitStep(ctx, table, puts, isOwn, w, &seen) {
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return w.Outcome(), seen
-		case <-time.After(pause):
-			pause = min(2*pause, longestPause)
+		case <-time.After(backoff):
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 	return w.Outcome(), seen
 }
 
-// commitStep takes one step and reports whether the next may follow at once.
-func commitStep(ctx context.Context, table Table, puts []Put, mine func([]byte) bool, w *condwrite.Write, seen *Row) bool {
+// commitStep performs one step and reports whether the next may follow without a pause.
+func commitStep(ctx context.Context, table Table, puts []Put, isOwn func([]byte) bool, w *condwrite.Write, seen *Row) bool {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	if w.Next() == condwrite.ReadBack {
@@ -47,7 +47,7 @@
 			return false
 		}
 		*seen = rows[0]
-		w.ReadDone(rows[0].Version, mine(rows[0].Value))
+		w.ReadDone(rows[0].Version, isOwn(rows[0].Value))
 		return true
 	}
 	err := table.Write(ctx, puts)
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	dialTimeout = 2 * time.Second
-	maxBody     = 16 << 20
-	maxIdle     = 16
+	dialTimeout  = 2 * time.Second
+	maxBodyBytes = 16 << 20
+	maxIdleConns = 16
 )
 
-// HTTP reaches all three services at one address.
+// HTTP is an adapter for all three services at one address.
 type HTTP struct {
 	base      string
 	transport *http.Transport
 }
 
-// NewHTTP returns an adapter for a base URL whose host is an IP number.
+// NewHTTP returns an adapter for a base URL whose host is an IP address with port.
 func NewHTTP(base string) (*HTTP, error) {
 	u, err := url.Parse(base)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	return &HTTP{base: u.Scheme + "://" + u.Host, transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		MaxIdleConnsPerHost: maxIdle,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     30 * time.Second,
 	}}, nil
 }
@@ -46,7 +46,7 @@
 	Keys []string `json:"keys"`
 }
 
-type rowsAnswer struct {
+type rowsResponse struct {
 	Rows []Row `json:"rows"`
 }
 
@@ -56,19 +56,19 @@
 
 // Read implements Table.
 func (h *HTTP) Read(ctx context.Context, keys ...string) ([]Row, error) {
-	var answer rowsAnswer
-	if err := h.exchange(ctx, "/table/read", readRequest{Keys: keys}, &answer); err != nil {
+	var answer rowsResponse
+	if err := h.post(ctx, "/table/read", readRequest{Keys: keys}, &answer); err != nil {
 		return nil, fmt.Errorf("read table: %w", err)
 	}
 	if len(answer.Rows) != len(keys) {
-		return nil, fmt.Errorf("read table: %d rows for %d keys", len(answer.Rows), len(keys))
+		return nil, fmt.Errorf("read table: got %d rows for %d keys", len(answer.Rows), len(keys))
 	}
 	return answer.Rows, nil
 }
 
 // Write implements Table.
 func (h *HTTP) Write(ctx context.Context, puts []Put) error {
-	if err := h.exchange(ctx, "/table/write", writeRequest{Puts: puts}, &struct{}{}); err != nil {
+	if err := h.post(ctx, "/table/write", writeRequest{Puts: puts}, &struct{}{}); err != nil {
 		return fmt.Errorf("write table: %w", err)
 	}
 	return nil
@@ -116,7 +116,9 @@
 	return nil
 }
 
-func (h *HTTP) exchange(ctx context.Context, path string, in, out any) error {
+// post sends in as JSON and decodes the response into out. A conflict is returned as a
+// *ConflictError.
+func (h *HTTP) post(ctx context.Context, path string, in, out any) error {
 	data, err := json.Marshal(in)
 	if err != nil {
 		return err
@@ -129,7 +131,7 @@
 	case http.StatusOK:
 		return json.Unmarshal(body, out)
 	case http.StatusConflict:
-		var rows rowsAnswer
+		var rows rowsResponse
 		if err := json.Unmarshal(body, &rows); err != nil {
 			return err
 		}
@@ -140,10 +142,11 @@
 	return fmt.Errorf("status %d", status)
 }
 
-// send makes one exchange. A connection that could not be opened did nothing
-// and is ErrRefused; every other error leaves open what happened.
+// send sends one request and reads its response. A failed dial had no effect and
+// returns ErrRefused; after any other error the outcome is unknown.
 func (h *HTTP) send(ctx context.Context, method, path string, data []byte) ([]byte, int, error) {
-	// The reader is wrapped so that the transport cannot repeat the request.
+	// The reader is wrapped, which hides its type, so that the transport cannot retry the
+	// request.
 	var in io.Reader
 	if data != nil {
 		in = struct{ io.Reader }{bytes.NewReader(data)}
@@ -162,6 +165,6 @@
 		return nil, 0, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	return body, resp.StatusCode, err
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -13,7 +13,7 @@
 	Value   []byte `json:"value"`
 }
 
-// Put writes a row if it has the given version.
+// Put writes a row if its version is IfVersion.
 type Put struct {
 	Key       string `json:"key"`
 	IfVersion int64  `json:"if_version"`
@@ -22,11 +22,11 @@
 
 // Table is the transactional table.
 type Table interface {
-	// Read returns one row for each key, in the order of the keys.
+	// Read returns one row per key, in the order of the keys.
 	Read(ctx context.Context, keys ...string) ([]Row, error)
-	// Write puts all rows or none. It returns a *ConflictError when a version
-	// differed, an error that wraps ErrRefused when the store did nothing,
-	// and any other error when the write may have taken effect.
+	// Write applies all puts or none. It returns a *ConflictError if a version
+	// differs, an error that wraps ErrRefused if nothing was written, and any other
+	// error if the write may have taken effect.
 	Write(ctx context.Context, puts []Put) error
 }
 
@@ -36,7 +36,7 @@
 	Put(ctx context.Context, name string, data []byte) error
 }
 
-// Instance is one line of the instance list, which lags.
+// Instance is an entry of the instance list, which lags behind reality.
 type Instance struct {
 	Node    string `json:"node"`
 	Address string `json:"address"`
@@ -49,13 +49,14 @@
 	List(ctx context.Context) ([]Instance, error)
 }
 
-// ErrRefused means that the platform did nothing, and said so.
+// ErrRefused means that the platform refused a request or could not be reached, and the
+// request had no effect.
 var ErrRefused = errors.New("refused by the platform")
 
-// ErrNotFound means that there is no such object.
+// ErrNotFound means that the object does not exist.
 var ErrNotFound = errors.New("object not found")
 
-// ConflictError tells the rows whose versions differed.
+// ConflictError holds the rows whose versions differ from those that were expected.
 type ConflictError struct{ Rows []Row }
 
 // Error implements the error interface.
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Count is what one request id caused in one pool.
+// Count is the number of runs of one request ID in one pool.
 type Count struct {
 	RequestID  string `json:"request_id"`
 	Pool       string `json:"pool"`
@@ -13,7 +13,7 @@
 	Repeatable bool   `json:"repeatable"`
 }
 
-// Counts counts runs by pool and request id, and cost by stage.
+// Counts counts runs by pool and request ID, and cost by stage.
 type Counts struct {
 	mu   sync.Mutex
 	runs map[[2]string]*Count
@@ -25,20 +25,20 @@
 	return &Counts{runs: make(map[[2]string]*Count), cost: make(map[string]float64)}
 }
 
-func (c *Counts) spent(stage string, cost float64) {
+func (c *Counts) addCost(stage string, cost float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cost[stage] += cost
 }
 
-// Cost returns the cost of each stage: seconds of processing times price.
+// Cost returns the cost by stage: processing seconds times the price of the endpoint.
 func (c *Counts) Cost() map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.cost)
 }
 
-func (c *Counts) ran(pool string, body callBody) {
+func (c *Counts) addRun(pool string, body callRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := [2]string{pool, body.RequestID}
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Doubled counts the calls that could not be repeated and ran more than once.
+// Doubled returns the number of non-repeatable calls that ran more than once.
 func (c *Counts) Doubled() int {
 	doubled := 0
 	for _, n := range c.All() {
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,12 +1,14 @@
-// Package standin holds small stand-ins for what is outside the system: model
-// engines, plain services, the platform's table, objects and instance list.
-// They have fault switches and count what each request id really caused, so
-// that lost, doubled and crossed results are seen from outside. It is test
-// scaffolding and no part of the product.
+// Package standin simulates what is outside the system: model engines, plain
+// services, and the platform's table, object store and instance list. The
+// stand-ins inject faults on request and count the runs of each request ID, so
+// that lost, doubled and misdelivered results can be detected independently of
+// the system. It is used for tests and trials only.
 //
 // # Usage
 //
-//	w := standin.NewWorld(seed, cfg)
-//	http.Handle("/", w.Platform().Handler())
-//	w.Endpoint("enc-1").Handler()
+//	w := standin.NewWorld(seed, cfg, instances, standin.DefaultLatency)
+//	http.Handle("/", w.Admin())
+//	for address, e := range w.Endpoints() {
+//		// serve e.Handler() at the address
+//	}
 package standin
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Fault is one way in which a stand-in misbehaves.
+// Fault is a fault that a stand-in can inject.
 type Fault string
 
-// The faults. The Close faults cut the connection at the named point.
+// The faults. The FaultClose faults close the connection at the named point.
 const (
 	FaultNone         Fault = ""
 	FaultSlow         Fault = "slow"
@@ -30,8 +30,8 @@
 	FaultCloseWork, FaultCloseAnswer, FaultOutage, FaultLoseAnswer,
 }
 
-// FaultSpec sets a fault on a target from now on, for a time or for a number of
-// calls; both 0 mean until the next order.
+// FaultSpec sets a fault on a target for Seconds or for a number of Calls. If both
+// are 0, the fault stays in force until the next FaultSpec for the target.
 type FaultSpec struct {
 	Target  string  `json:"target"`
 	Fault   Fault   `json:"fault"`
@@ -40,51 +40,51 @@
 	Calls   int     `json:"calls"`
 }
 
-func (o FaultSpec) check() error {
+func (spec FaultSpec) validate() error {
 	for _, f := range knownFaults {
-		if o.Fault == f {
+		if spec.Fault == f {
 			return nil
 		}
 	}
-	return fmt.Errorf("unknown fault %q, expected one of %v", o.Fault, knownFaults)
+	return fmt.Errorf("unknown fault %q, expected one of %v", spec.Fault, knownFaults)
 }
 
-// faults is the switch of one stand-in.
-type faults struct {
-	mu    sync.Mutex
-	order FaultSpec
-	until time.Time
-	calls int
+// faultSwitch holds the fault in force of one stand-in.
+type faultSwitch struct {
+	mu        sync.Mutex
+	current   FaultSpec
+	expires   time.Time
+	callsLeft int
 }
 
-func (f *faults) set(o FaultSpec) {
+func (f *faultSwitch) set(spec FaultSpec) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.order = o
-	f.calls = o.Calls
-	f.until = time.Time{}
-	if o.Seconds > 0 {
-		f.until = time.Now().Add(time.Duration(o.Seconds * float64(time.Second)))
+	f.current = spec
+	f.callsLeft = spec.Calls
+	f.expires = time.Time{}
+	if spec.Seconds > 0 {
+		f.expires = time.Now().Add(time.Duration(spec.Seconds * float64(time.Second)))
 	}
 }
 
-// now returns the fault in force and counts one call against it.
-func (f *faults) now() FaultSpec {
+// consume returns the fault in force for one call and counts the call against its limit.
+func (f *faultSwitch) consume() FaultSpec {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.order.Fault == FaultNone {
+	if f.current.Fault == FaultNone {
 		return FaultSpec{}
 	}
-	if !f.until.IsZero() && time.Now().After(f.until) {
-		f.order = FaultSpec{}
+	if !f.expires.IsZero() && time.Now().After(f.expires) {
+		f.current = FaultSpec{}
 		return FaultSpec{}
 	}
-	o := f.order
-	if o.Calls > 0 {
-		f.calls--
-		if f.calls <= 0 {
-			f.order = FaultSpec{}
+	spec := f.current
+	if spec.Calls > 0 {
+		f.callsLeft--
+		if f.callsLeft <= 0 {
+			f.current = FaultSpec{}
 		}
 	}
-	return o
+	return spec
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -11,46 +11,47 @@
 	"gradetiller.example/internal/platform"
 )
 
-// The platform's limits, from the brief.
+// The rate limits of the platform's table, and the delay of FaultSlow.
 const (
 	writesPerSecond = 100
 	readsPerSecond  = 2000
-	slowStore       = 500 * time.Millisecond
+	slowStoreDelay  = 500 * time.Millisecond
 )
 
-// Platform stands in for the table, the objects and the instance list.
+// Platform simulates the table, the object store and the instance list.
 type Platform struct {
-	faults    faults
+	faults    faultSwitch
 	mu        sync.Mutex
 	rows      map[string]platform.Row
 	objects   map[string][]byte
 	instances []platform.Instance
-	writes    meter
-	reads     meter
+	writes    rateMeter
+	reads     rateMeter
 }
 
-// meter counts calls by second and refuses above a limit.
-type meter struct {
-	second int64
-	inSec  int
-	total  int
-	peak   int
+// rateMeter counts calls and limits their number per second.
+type rateMeter struct {
+	second   int64
+	inSecond int
+	total    int
+	peak     int
 }
 
-func (m *meter) take(limit int) bool {
+func (m *rateMeter) allow(limit int) bool {
 	if s := time.Now().Unix(); s != m.second {
-		m.second, m.inSec = s, 0
+		m.second, m.inSecond = s, 0
 	}
-	if m.inSec >= limit {
+	if m.inSecond >= limit {
 		return false
 	}
-	m.inSec++
+	m.inSecond++
 	m.total++
-	m.peak = max(m.peak, m.inSec)
+	m.peak = max(m.peak, m.inSecond)
 	return true
 }
 
-// NewPlatform returns an empty platform with an instance list.
+// NewPlatform returns a platform with an empty table and object store and the given
+// instance list.
 func NewPlatform(instances []platform.Instance) *Platform {
 	return &Platform{
 		rows:      make(map[string]platform.Row),
@@ -59,8 +60,8 @@
 	}
 }
 
-// InjectFault puts an order in force.
-func (p *Platform) InjectFault(o FaultSpec) { p.faults.set(o) }
+// InjectFault replaces the fault in force.
+func (p *Platform) InjectFault(spec FaultSpec) { p.faults.set(spec) }
 
 // SetInstances replaces the instance list.
 func (p *Platform) SetInstances(list []platform.Instance) {
@@ -69,7 +70,7 @@
 	p.instances = list
 }
 
-// Usage is the number of writes and reads so far and in the worst second.
+// Usage holds the total number of table writes and reads and their peaks per second.
 type Usage struct {
 	Writes     int `json:"writes"`
 	PeakWrites int `json:"peak_writes"`
@@ -77,14 +78,14 @@
 	PeakReads  int `json:"peak_reads"`
 }
 
-// Usage returns the counts.
+// Usage returns the counts of table writes and reads.
 func (p *Platform) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Usage{Writes: p.writes.total, PeakWrites: p.writes.peak, Reads: p.reads.total, PeakReads: p.reads.peak}
 }
 
-// Handler serves the three services over HTTP.
+// Handler returns the handler for the three services.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /table/read", p.readTable)
@@ -95,20 +96,20 @@
 	return mux
 }
 
-// enter applies the fault in force and reports whether to go on, and whether
-// the answer is to be lost after the effect.
-func (p *Platform) enter(w http.ResponseWriter, r *http.Request) (loseAnswer, ok bool) {
-	switch p.faults.now().Fault {
+// applyFault applies the fault in force. It returns whether the request is to be
+// processed, and whether its response is to be lost afterwards.
+func (p *Platform) applyFault(w http.ResponseWriter, r *http.Request) (loseAnswer, ok bool) {
+	switch p.faults.consume().Fault {
 	case FaultOutage:
-		cut(w)
+		closeConnection(w)
 		return false, false
 	case FaultHang:
-		// The server notices that the caller went away only behind the body.
+		// The server detects that the client has disconnected only once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return false, false
 	case FaultSlow:
-		time.Sleep(slowStore)
+		time.Sleep(slowStoreDelay)
 	case FaultLoseAnswer:
 		return true, true
 	}
@@ -116,7 +117,7 @@
 }
 
 func (p *Platform) readTable(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.enter(w, r); !ok {
+	if _, ok := p.applyFault(w, r); !ok {
 		return
 	}
 	var req struct{ Keys []string }
@@ -125,7 +126,7 @@
 		return
 	}
 	p.mu.Lock()
-	allowed := p.reads.take(readsPerSecond)
+	allowed := p.reads.allow(readsPerSecond)
 	rows := make([]platform.Row, len(req.Keys))
 	for i, k := range req.Keys {
 		rows[i] = p.row(k)
@@ -135,7 +136,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	reply(w, http.StatusOK, map[string][]platform.Row{"rows": rows})
+	writeJSON(w, http.StatusOK, map[string][]platform.Row{"rows": rows})
 }
 
 func (p *Platform) row(key string) platform.Row {
@@ -146,7 +147,7 @@
 }
 
 func (p *Platform) writeTable(w http.ResponseWriter, r *http.Request) {
-	lose, ok := p.enter(w, r)
+	lose, ok := p.applyFault(w, r)
 	if !ok {
 		return
 	}
@@ -156,7 +157,7 @@
 		return
 	}
 	p.mu.Lock()
-	allowed := p.writes.take(writesPerSecond)
+	allowed := p.writes.allow(writesPerSecond)
 	var conflicts []platform.Row
 	if allowed {
 		conflicts = p.apply(req.Puts)
@@ -164,13 +165,13 @@
 	p.mu.Unlock()
 	switch {
 	case lose:
-		cut(w)
+		closeConnection(w)
 	case !allowed:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case len(conflicts) > 0:
-		reply(w, http.StatusConflict, map[string][]platform.Row{"rows": conflicts})
+		writeJSON(w, http.StatusConflict, map[string][]platform.Row{"rows": conflicts})
 	default:
-		reply(w, http.StatusOK, struct{}{})
+		writeJSON(w, http.StatusOK, struct{}{})
 	}
 }
 
@@ -191,7 +192,7 @@
 }
 
 func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.enter(w, r); !ok {
+	if _, ok := p.applyFault(w, r); !ok {
 		return
 	}
 	p.mu.Lock()
@@ -205,7 +206,7 @@
 }
 
 func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
-	lose, ok := p.enter(w, r)
+	lose, ok := p.applyFault(w, r)
 	if !ok {
 		return
 	}
@@ -217,35 +218,35 @@
 	p.objects[r.PathValue("name")] = data
 	p.mu.Unlock()
 	if lose {
-		cut(w)
+		closeConnection(w)
 	}
 }
 
 func (p *Platform) listInstances(w http.ResponseWriter, r *http.Request) {
-	if _, ok := p.enter(w, r); !ok {
+	if _, ok := p.applyFault(w, r); !ok {
 		return
 	}
 	p.mu.Lock()
 	list := p.instances
 	p.mu.Unlock()
-	reply(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// cut closes the connection without an answer.
-func cut(w http.ResponseWriter) {
+// closeConnection closes the connection without completing the response.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
 	}
 }
 
-// ParseInstances reads "n1=127.0.0.1:7201@kgn-1,..." into a list.
+// ParseInstances parses an instance list such as "n1=127.0.0.1:7201@kgn-1,...".
 func ParseInstances(s string) []platform.Instance {
 	var list []platform.Instance
 	for part := range strings.SplitSeq(s, ",") {
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -11,39 +11,39 @@
 	"gradetiller.example/internal/platform"
 )
 
-// World is a platform and all endpoints of a configuration.
+// World simulates a platform and all endpoints of a configuration.
 type World struct {
 	platform  *Platform
 	counts    *Counts
 	endpoints map[string]*Endpoint
 }
 
-// fullPrice is the cost of an engine of full speed.
-const fullPrice = 4
+// fullSpeedCost is the cost from which on an engine has full speed.
+const fullSpeedCost = 4
 
-// DefaultLatency is how long calls take at an endpoint. Cheaper engines are
-// slower, by less than they are cheaper.
+// DefaultLatency is the default latency of an endpoint. Cheaper engines are
+// slower, by the square root of the price ratio.
 func DefaultLatency(pool *config.Pool, e *config.Endpoint) Latency {
 	if pool.Kind() != config.KindEngine {
 		return Latency{Base: 8 * time.Millisecond}
 	}
-	slower := max(1, math.Sqrt(fullPrice/e.Cost()))
+	slower := max(1, math.Sqrt(fullSpeedCost/e.Cost()))
 	return Latency{
-		Base:  time.Duration(slower * float64(30*time.Millisecond)),
-		Token: time.Duration(slower * float64(2*time.Millisecond)),
+		Base:          time.Duration(slower * float64(30*time.Millisecond)),
+		Token:         time.Duration(slower * float64(2*time.Millisecond)),
 		BatchSlowdown: 0.05,
-		Cache: 8,
+		Cache:         8,
 	}
 }
 
-// NewWorld returns stand-ins for everything that the configuration names.
-func NewWorld(seed uint64, cfg *config.Config, instances []platform.Instance, work func(*config.Pool, *config.Endpoint) Latency) *World {
+// NewWorld returns stand-ins for the platform and for every endpoint of the configuration.
+func NewWorld(seed uint64, cfg *config.Config, instances []platform.Instance, latency func(*config.Pool, *config.Endpoint) Latency) *World {
 	w := &World{platform: NewPlatform(instances), counts: NewCounts(), endpoints: make(map[string]*Endpoint)}
 	for i := range cfg.Pools() {
 		pool := &cfg.Pools()[i]
 		for j := range pool.Endpoints() {
 			ep := &pool.Endpoints()[j]
-			e := NewEndpoint(pool.Name(), ep.Name(), ep.Slots(), ep.Cost(), work(pool, ep), seed+uint64(len(w.endpoints)), w.counts)
+			e := NewEndpoint(pool.Name(), ep.Name(), ep.Slots(), ep.Cost(), latency(pool, ep), seed+uint64(len(w.endpoints)), w.counts)
 			e.SetEpochCheck(ep.ChecksOrders())
 			w.endpoints[ep.Address()] = e
 		}
@@ -51,19 +51,19 @@
 	return w
 }
 
-// Platform returns the platform's stand-in.
+// Platform returns the simulated platform.
 func (w *World) Platform() *Platform { return w.platform }
 
-// Counts returns what the endpoints counted.
+// Counts returns the counts of all endpoints.
 func (w *World) Counts() *Counts { return w.counts }
 
 // Endpoints returns the endpoints by address.
 func (w *World) Endpoints() map[string]*Endpoint { return w.endpoints }
 
-// InjectFault puts an order in force on the platform, an endpoint by name, or all
-// endpoints of a pool.
+// InjectFault replaces the fault in force of the platform, of an endpoint by name, or
+// of all endpoints of a pool.
 func (w *World) InjectFault(o FaultSpec) error {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return err
 	}
 	if o.Target == "platform" {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Admin serves the platform, the fault switches and the counts.
+// Admin returns the handler for the platform, the injection of faults and the counts.
 func (w *World) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", w.platform.Handler())
@@ -98,10 +98,10 @@
 		}
 	})
 	mux.HandleFunc("GET /admin/counts", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.counts.All())
+		writeJSON(rw, http.StatusOK, w.counts.All())
 	})
 	mux.HandleFunc("GET /admin/cost", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.counts.Cost())
+		writeJSON(rw, http.StatusOK, w.counts.Cost())
 	})
 	mux.HandleFunc("GET /admin/orders", func(rw http.ResponseWriter, _ *http.Request) {
 		var sum OrderCounts
@@ -111,10 +111,10 @@
 			sum.Stale += o.Stale
 			sum.Refused += o.Refused
 		}
-		reply(rw, http.StatusOK, sum)
+		writeJSON(rw, http.StatusOK, sum)
 	})
 	mux.HandleFunc("GET /admin/usage", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.platform.Usage())
+		writeJSON(rw, http.StatusOK, w.platform.Usage())
 	})
 	return mux
 }
