--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
-# make run    the main job: a whole system on stand-ins serves 300 requests
-# make test   build, format, lint and tests, as CI runs them
+# make run    starts a system with stand-ins for the platform and all endpoints, and
+#             sends it 300 requests
+# make test   build, format, lint and tests, as in CI
 
 PROGRAMS := gradetiller gradetiller-entry gradetiller-control gradetiller-load gradetiller-standin
 
@@ -19,23 +20,23 @@
 test:
 	scripts/test.sh
 
-# every case of docs/MEASUREMENTS.md, naive policies against the defaults
+# the cases of docs/MEASUREMENTS.md: naive policies compared with the defaults
 measure: build
 	scripts/measure.sh
 
-# every fault of the brief on real processes under traffic
+# fault injection on real processes under load
 faults: build
 	scripts/faults.sh
 
-# the tables of docs/CAPACITY.md, from benchmarks run now
+# runs the benchmarks and prints the tables of docs/CAPACITY.md
 capacity:
 	scripts/capacity.sh
 
-# what each mechanism of the decisions is worth, with the bench beside it
+# the value of each mechanism, measured by disabling it
 ablation:
 	scripts/ablation.sh
 
-# random faults on real processes, checked from outside while they run
+# random faults on real processes, whose responses are checked by an external client
 SEEDS ?= 50
 FIRST ?= 1
 SECONDS_EACH ?= 6
@@ -43,7 +44,7 @@
 soak:
 	go test ./internal/soak -count=1 -timeout 120m -v -args -first $(FIRST) -seeds $(SEEDS) -seconds $(SECONDS_EACH) -processes $(PROCESSES)
 
-# a whole deployment on real processes, each answer held against its bounds of
+# a full deployment of real processes; checks each response against the bounds for
 # configuration changes
 DEPLOYMENT ?= 61-nodes
 bounds:
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# What each mechanism of the decisions is worth: plays the days with trouble of some
-# sites with each of them switched off, one by one, and prints the mean worth.
-# Processor time is not counted, so that a run mostly repeats.
+# Measures the value of each mechanism: simulates the days with faults of some sites
+# with one mechanism disabled at a time, and prints the mean worth. CPU time is not
+# counted, so that results are mostly reproducible.
 #
 #   BENCH=... SITES="a.toml b.toml" SEEDS="11 12 13" scripts/ablation.sh [MECHANISM...]
 #
-# "none" stands for all mechanisms on. Journal entries are copied back into journal/.
+# "none" runs with all mechanisms enabled. Journal entries are copied back to journal/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
-: "${BENCH:?the path of the users bench}"
-: "${SITES:?the paths of site files}"
+: "${BENCH:?set it to the path of the simulator}"
+: "${SITES:?set it to the paths of site files}"
 SEEDS=${SEEDS:-11 12 13}
 DAYS=${DAYS:-trouble-1 scale-1 trouble-2 scale-2 trouble-3}
 JOBS=${JOBS:-7}
@@ -20,7 +20,7 @@
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
 
-# play MECHANISM SITE prints the mean worth of all days and seeds.
+# play MECHANISM SITE prints the mean worth over all days and seeds.
 play() {
   local mechanism=$1 site out
   site=$(realpath "$2")
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the benchmarks of docs/CAPACITY.md and prints its tables.
+# Runs the benchmarks and prints the tables of docs/CAPACITY.md.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=.run/benchmarks.txt
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Brings about each fault on real processes under traffic and prints a row a
-# case. Fails if something was lost, doubled, crossed, or a configuration
-# reverted.
+# Injects faults into real processes under load and prints a row per case. Fails
+# if a result was lost, doubled or delivered to the wrong request, if a node's
+# configuration version went back, or if an engine carried out a stale order.
 #
 # usage: faults.sh [CASE...]
 set -euo pipefail
@@ -25,7 +25,7 @@
   exec 8>&- 8<&-
 }
 
-# version NODE prints the configuration version in force in an entry.
+# version NODE prints the configuration version in force on an entry.
 version() {
   local address
   address=$(entry_address "$1")
@@ -35,8 +35,8 @@
   exec 7>&- 7<&-
 } 2>/dev/null
 
-# watch_versions counts every step back of a node's version, also across its
-# restarts, into $RUN_DIR/reverted.
+# watch_versions counts how often a node's version decreases, also across its
+# restarts, and writes the count to $RUN_DIR/reverted.
 watch_versions() {
   local -A seen
   local i v reverted=0
@@ -52,8 +52,8 @@
   done
 }
 
-# stale_orders prints how many orders the engines carried out although they had
-# seen a later epoch.
+# stale_orders prints the number of orders that engines carried out although they
+# had seen a later epoch.
 stale_orders() {
   exec 6<>"/dev/tcp/${PLATFORM%:*}/${PLATFORM#*:}"
   printf 'GET /admin/orders HTTP/1.0\r\n\r\n' >&6
@@ -76,8 +76,8 @@
   done
 }
 
-# PIDs change inside the fault's subshell, so restarts are done here and their
-# PIDs are written to a file for stop_system.
+# restart runs in the fault's subshell, whose changes of PID are lost, so that it
+# writes the new PIDs to a file from which they are stopped.
 restart() { # KIND NODE
   "start_$1" "$2"
   echo "${PID[$1-$2]}" >>"$RUN_DIR/restarted"
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs each case with the naive policies and with the defaults, on real
-# processes, and prints a row for each arm and seed.
+# Runs each case on real processes with the naive and with the default policies,
+# and prints a row per arm and seed.
 #
 # usage: measure.sh [CASE...]   (SEEDS="1 2 3", JOBS=3)
 set -euo pipefail
@@ -35,7 +35,7 @@
   esac
 }
 
-# one CASE ARM SEED JOB runs one arm of a case on loopback address 127.0.0.JOB.
+# one CASE ARM SEED JOB runs one arm of a case on the loopback address 127.0.0.JOB.
 one() (
   HOST=127.0.0.$4
   RUN_DIR=.run/measure-$1-$2-$3
@@ -74,6 +74,6 @@
 wait
 sort "$rows"
 if grep -vqE ' lost=0 doubled=0 crossed=0$' "$rows"; then
-  echo "something was lost, doubled or crossed" >&2
+  echo "results were lost, doubled, or delivered to the wrong request" >&2
   exit 1
 fi
--- a/scripts/run.sh
+++ b/scripts/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The main job: a whole system on stand-ins serves 300 requests while one node
-# is stopped as planned half-way.
+# Runs a system with stand-ins for the platform and all endpoints. It serves 300
+# requests while one entry is shut down gracefully in the middle.
 #
 # usage: run.sh whitmore|pwani
 set -euo pipefail
@@ -30,7 +30,7 @@
 "$BIN/gradetiller" status --control "$(control_address 2)"
 (
   sleep 4
-  echo "stopping node n2 as planned"
+  echo "stopping node n2 gracefully"
   kill -TERM "${PID[entry-2]}"
 ) &
 status=0
@@ -39,7 +39,7 @@
 drained=0
 wait "${PID[entry-2]}" || drained=$?
 unset 'PID[entry-2]'
-echo "node n2 ended with status $drained"
+echo "node n2 exited with status $drained"
 [ "$drained" = 0 ] || status=1
 cat "$RUN_DIR/load.out"
 exit $status
--- a/scripts/system.sh
+++ b/scripts/system.sh
@@ -1,9 +1,8 @@
-# Functions that start and stop a whole trial system of real processes on the
+# Functions that start and stop a complete trial system of real processes on the
 # loopback interface. Sourced by the other scripts.
 #
-# start_system CONFIG SYSTEM DOMAINS NODES starts the stand-ins and one entry
-# and one control process for each node; stop_system ends everything that was
-# started. Logs go to $RUN_DIR.
+# start_system CONFIG SYSTEM DOMAINS NODES starts the stand-ins, and an entry and a
+# control process per node; stop_system stops all of them. Logs go to $RUN_DIR.
 
 BIN=${BIN:-bin}
 RUN_DIR=${RUN_DIR:-.run/$$}
@@ -16,7 +15,8 @@
 control_peer_address() { echo "$HOST:$((7200 + $1))"; }
 control_address() { echo "$HOST:$((7300 + $1))"; }
 
-# list FUNCTION FIRST N prints the function's values joined by commas.
+# list FUNCTION FIRST LAST prints the function's values for FIRST to LAST, joined by
+# commas.
 list() {
   local out=() i
   for i in $(seq "$2" "$3"); do out+=("$($1 "$i")"); done
@@ -52,7 +52,7 @@
   PID[entry-$1]=$!
 }
 
-# answers ADDRESS PATH succeeds if a GET is answered with 200.
+# answers ADDRESS PATH succeeds if a GET returns status 200.
 answers() {
   local host=${1%:*} port=${1#*:} status
   exec 9<>"/dev/tcp/$host/$port" || return 1
@@ -62,14 +62,14 @@
   [ "$status" = 200 ]
 } 2>/dev/null
 
-# await ADDRESS PATH waits up to 20 s until a GET is answered with 200.
+# await ADDRESS PATH waits up to 20 s until a GET returns status 200.
 await() {
   local i
   for i in $(seq 1 200); do
     answers "$1" "$2" && return 0
     sleep 0.1
   done
-  echo "no answer from $1$2" >&2
+  echo "$1$2 did not return status 200 within 20 s" >&2
   return 1
 }
 
@@ -81,7 +81,7 @@
   start_standin
   await "$PLATFORM" /admin/usage
   if ! kill -0 "${PID[standin]}" 2>/dev/null; then
-    echo "another stand-in holds $PLATFORM; stop it first" >&2
+    echo "another process listens on $PLATFORM; stop it first" >&2
     return 1
   fi
   for i in $(seq 1 "$NODES"); do start_control "$i"; done
