--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -96,8 +96,8 @@
 	return mux
 }
 
-// applyFault applies the fault in force. It returns whether the request is to be
-// processed, and whether its response is to be lost afterwards.
+// applyFault applies the fault in force. It returns whether the response is to be lost
+// after the request has taken effect, and whether the request is to be processed at all.
 func (p *Platform) applyFault(w http.ResponseWriter, r *http.Request) (loseAnswer, ok bool) {
 	switch p.faults.consume().Fault {
 	case FaultOutage:
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -62,23 +62,23 @@
 
 // InjectFault replaces the fault in force of the platform, of an endpoint by name, or
 // of all endpoints of a pool.
-func (w *World) InjectFault(o FaultSpec) error {
-	if err := o.validate(); err != nil {
+func (w *World) InjectFault(spec FaultSpec) error {
+	if err := spec.validate(); err != nil {
 		return err
 	}
-	if o.Target == "platform" {
-		w.platform.InjectFault(o)
+	if spec.Target == "platform" {
+		w.platform.InjectFault(spec)
 		return nil
 	}
 	found := false
 	for _, e := range w.endpoints {
-		if e.name == o.Target || e.pool == o.Target {
-			e.InjectFault(o)
+		if e.name == spec.Target || e.pool == spec.Target {
+			e.InjectFault(spec)
 			found = true
 		}
 	}
 	if !found {
-		return fmt.Errorf("unknown target %q, expected platform, an endpoint or a pool", o.Target)
+		return fmt.Errorf("unknown target %q, expected platform, an endpoint or a pool", spec.Target)
 	}
 	return nil
 }
