--- a/internal/control/placement_test.go
+++ b/internal/control/placement_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &testFleet{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, standin.DefaultWork)}
+	w := &testFleet{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, standin.DefaultLatency)}
 	for _, l := range listeners {
 		server := &httptest.Server{Listener: l, Config: &http.Server{Handler: w.world.Endpoints()[l.Addr().String()].Handler()}}
 		server.Start()
@@ -94,7 +94,7 @@
 	return true
 }
 
-func (w *testFleet) orderCounts() (sum standin.Orders) {
+func (w *testFleet) orderCounts() (sum standin.OrderCounts) {
 	for _, e := range w.world.Endpoints() {
 		o := e.Orders()
 		sum.Loads += o.Loads
@@ -119,7 +119,7 @@
 	first, _ := a.placement.heldEpoch()
 	b, _ := w.start("b")
 	stopA()
-	if err := w.world.Fault(standin.Order{Target: "platform", Fault: standin.FaultLoseAnswer, Seconds: 1}); err != nil {
+	if err := w.world.InjectFault(standin.FaultSpec{Target: "platform", Fault: standin.FaultLoseAnswer, Seconds: 1}); err != nil {
 		t.Fatal(err)
 	}
 	w.waitFor("the fleet is loaded", w.isLoaded)
