--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -25,7 +25,8 @@
 	tokenCount = 12
 )
 
-// system is a few nodes on stand-ins, all in one process, over loopback HTTP.
+// system is a set of nodes and stand-ins in one process, connected by HTTP over
+// the loopback interface.
 type system struct {
 	t     testing.TB
 	world *standin.World
@@ -34,7 +35,7 @@
 	cfg   *config.Config
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a listener on a free loopback port, and its address.
 func freeAddress(t testing.TB) (net.Listener, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,8 +44,9 @@
 	return l, l.Addr().String()
 }
 
-// newSystem starts nodes and stand-ins for two services, two engines and a
-// one-endpoint pool whose calls may not be repeated.
+// newSystem starts nodes, and stand-ins for a pool of two services, a pool of
+// two engines and a pool of one service, whose calls are not repeatable in the
+// pipeline "sell".
 func newSystem(t testing.TB, nodes int) *system {
 	var listeners []net.Listener
 	listen := func() string {
@@ -71,11 +73,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	work := func(p *config.Pool, _ *config.Endpoint) standin.Work {
+	work := func(p *config.Pool, _ *config.Endpoint) standin.Latency {
 		if p.Kind() == config.KindEngine {
-			return standin.Work{Base: 2 * time.Millisecond, Token: time.Millisecond, Cache: 8}
+			return standin.Latency{Base: 2 * time.Millisecond, Token: time.Millisecond, Cache: 8}
 		}
-		return standin.Work{Base: 2 * time.Millisecond}
+		return standin.Latency{Base: 2 * time.Millisecond}
 	}
 	s := &system{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, work)}
 	for _, l := range listeners {
@@ -117,7 +119,7 @@
 	s.urls = append(s.urls, address)
 }
 
-// apply gives every node the configuration and the list of entries.
+// apply applies the configuration and the list of entries to every node.
 func (s *system) apply(version uint64) {
 	var entries []wire.Entry
 	for _, n := range s.nodes {
@@ -141,12 +143,12 @@
 }
 
 func (s *system) fault(target string, f standin.Fault, calls int) {
-	if err := s.world.Fault(standin.Order{Target: target, Fault: f, Calls: calls, Factor: 10}); err != nil {
+	if err := s.world.InjectFault(standin.FaultSpec{Target: target, Fault: f, Calls: calls, Factor: 10}); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// runs returns how often the stand-ins ran a request in a pool.
+// runs returns the number of times that the stand-ins of a pool ran a request.
 func (s *system) runs(pool, id string) int {
 	for _, c := range s.world.Counts().All() {
 		if c.Pool == pool && c.RequestID == id {
@@ -156,7 +158,7 @@
 	return 0
 }
 
-func wholeText(marker string) string {
+func fullText(marker string) string {
 	var b strings.Builder
 	for i := range tokenCount {
 		b.WriteString(standin.Token(marker, i))
--- a/internal/soak/bounds_test.go
+++ b/internal/soak/bounds_test.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	boundsOf    = flag.String("bounds", "", "deployment file under testdata whose bounds of configuration changes are checked; empty runs 12 nodes and checks only what no machine's speed decides")
-	programPath = flag.String("program", "", "program to run as a node; empty builds this tree's")
-	onlyFault   = flag.String("fault", "", "the only kind of fault to bring; empty brings all")
+	boundsDeployment = flag.String("bounds", "", "deployment file under testdata, by its name without .yaml, whose bounds on configuration changes are checked; if empty, 12 nodes run and only what does not depend on the speed of the machine is checked")
+	programPath      = flag.String("program", "", "node program; if empty, it is built from this source tree")
+	onlyFault        = flag.String("fault", "", "the only kind of fault to inject; if empty, all kinds are injected")
 )
 
-// deployment is a deployment file.
+// deployment is the contents of a deployment file.
 type deployment struct {
 	Instances []struct {
 		Domain   string  `yaml:"domain"`
@@ -64,97 +64,99 @@
 	return bounds{apply: ms(d.ApplyMS), rollback: ms(d.RollbackSlackMS), contact: ms(d.ContactMS), skew: ms(d.SkewMS)}
 }
 
-// boundsRun is one seed's system, its operator and its probes.
+// boundsRun is the system under test for one seed, with its operator and its probes.
 type boundsRun struct {
-	t    *testing.T
-	rand *rand.Rand
-	of   deployment
-	// troubles are those that the run has beside its faults.
-	troubles generation
-	site     *platformtest.Site
-	doors    []*platformtest.StoreProxy
-	nodes    []*process
-	logs     string
-	desks    map[string]string // service by worker
-	// staying are the workers of "desk", retired those that have said they leave.
-	staying, retired []*platformtest.Worker
-	// engines are the workers of models and stages.
-	engines []*platformtest.Worker
-	// limiting are the workers that name limits, and limited when they did so for long;
-	// sentTo is the node that each request of the load was sent to.
-	limiting []*platformtest.Worker
-	limited  []limitedWorker
-	sentTo   map[string]int
-	// signals is what clients sent and saw; draining are the workers that announced draining, and
-	// since when, drained those that the store was to list so since.
-	signals   signaltest.Log
-	draining  map[string]time.Time
-	drained   []announced
-	rejecting []*platformtest.Worker
+	t          *testing.T
+	rand       *rand.Rand
+	deployment deployment
+	// faults selects the faults that the run has in addition to those of the kind under test.
+	faults       faultSet
+	site         *platformtest.Site
+	storeProxies []*platformtest.StoreProxy
+	nodes        []*process
+	logs         string
+	serviceOf    map[string]string // by worker ID
+	// deskWorkers are the current workers of "desk". retired are the workers that have left it.
+	deskWorkers, retired []*platformtest.Worker
+	// otherWorkers are the workers of models and stages that may restart.
+	otherWorkers []*platformtest.Worker
+	// rateLimiting are the workers that advertise rate limits. rateLimited are the periods in
+	// which one kept a limit. nodeOf maps the requests of the load to the nodes to which they
+	// were sent.
+	rateLimiting []*platformtest.Worker
+	rateLimited  []rateLimitedWorker
+	nodeOf       map[string]int
+	// signals is what clients sent and received. drainingSince are the workers that announced
+	// draining. drainedWorkers are those that have done so until they were drained in the store
+	// too.
+	signals        signaltest.Log
+	drainingSince  map[string]time.Time
+	drainedWorkers []drainedWorker
+	rejecting      []*platformtest.Worker
 	// restarted are the restarts and freezes of nodes.
 	restarted map[int][]span
 	probes    atomic.Int64
 	poisons   *poisons
-	// lapsing is held while entries lapse.
-	lapsing sync.Mutex
+	// expiring is held while entries expire.
+	expiring sync.Mutex
 
-	mu      sync.Mutex
-	history history
-	seen    []observation
-	// wronged are requests that were refused as if they crashed workers.
-	wronged []string
-	config  platformtest.Config
-	many    bool
-	refused []uint64
+	mu           sync.Mutex
+	history      history
+	observations []observation
+	// wronglyRefused are ordinary requests that were refused as ones that crash workers.
+	wronglyRefused  []string
+	config          platformtest.Config
+	hasManyRoutes   bool
+	invalidVersions []uint64
 }
 
-// boundsCase is one run of the check of bounds.
+// boundsCase is one run of the check of a deployment's bounds.
 type boundsCase struct {
 	seed uint64
-	// fault is the only kind of fault that comes; empty brings all.
+	// fault is the only kind of fault injected. If empty, all kinds are injected.
 	fault string
 	cause string
-	// of is what troubles the run has beside, and deadly how many requests that crash
-	// workers if it is not the usual number.
-	of     generation
-	deadly int
+	// faults selects additional faults. poisonCount is the number of requests that crash
+	// workers, or 0 for the default.
+	faults      faultSet
+	poisonCount int
 }
 
-// boundsRegressions are the runs that ever failed, with the cause. They are run again
-// whenever a deployment is given and no kind of fault is.
+// boundsRegressions are runs that failed once, with the cause. They run if a deployment is
+// given and no kind of fault is.
 var boundsRegressions = []boundsCase{
-	{seed: 11, fault: "cut readers", cause: standInsLeft},
-	{seed: 12, fault: "configurations refused", cause: listForAll},
-	{seed: 13, fault: "configurations hang", cause: listForAll},
-	{seed: 82, fault: "cut readers", cause: nobodyElse},
-	{seed: 413, cause: sharedRequest, of: newest, deadly: 4},
+	{seed: 11, fault: "cut readers", cause: causeSubstitutesStopped},
+	{seed: 12, fault: "configurations refused", cause: causeListHidConfig},
+	{seed: 13, fault: "configurations hang", cause: causeListHidConfig},
+	{seed: 82, fault: "cut readers", cause: causeNoFurtherReaders},
+	{seed: 413, cause: causeServedElsewhere, faults: restartFaults, poisonCount: 4},
 }
 
 const (
-	listForAll   = "readers that got no configuration were taken for sound, since their lists were read"
-	standInsLeft = "nodes that stood in for the readers ceased to as soon as they had read a list"
-	nobodyElse   = "when those that stood in were cut off too, no other node tried the store"
+	causeListHidConfig      = "readers that could not read the configuration were considered healthy because they could read the list"
+	causeSubstitutesStopped = "nodes that substituted for the readers stopped doing so as soon as they had read a list"
+	causeNoFurtherReaders   = "when the substitute readers were cut off too, no other node tried to reach the store"
 )
 
-// unhurried is the deployment that is run when none is given.
-const unhurried = "12-nodes"
+// defaultDeployment is the deployment used if none is given.
+const defaultDeployment = "12-nodes"
 
-// TestConfigurationBounds runs a whole deployment as separate processes, changes
-// its configuration all the time, and has nodes and their ways to the store fail. No
-// node goes back to an older version in its life, none serves one that must be
-// refused, and all serve the newest in the end. With a deployment given, by hand, each
-// answer is also held against that deployment's bounds.
+// TestConfigurationBounds runs a whole deployment as separate processes, changes its
+// configuration continuously, and disrupts nodes and their connections to the store. It checks
+// that no node reverts to an older version until it is restarted, that none serves an invalid
+// version, and that all serve the newest one in the end. If a deployment is given, it also
+// checks each response against the bounds of that deployment.
 func TestConfigurationBounds(t *testing.T) {
 	program := *programPath
 	if program == "" {
 		program = build(t, t.TempDir())
 	}
 	var cases []boundsCase
-	if *boundsOf != "" && *onlyFault == "" {
+	if *boundsDeployment != "" && *onlyFault == "" {
 		cases = boundsRegressions
 	}
 	for i := range *seeds {
-		cases = append(cases, boundsCase{seed: *firstSeed + uint64(i), fault: *onlyFault, of: announcing})
+		cases = append(cases, boundsCase{seed: *firstSeed + uint64(i), fault: *onlyFault, faults: signalFaults})
 	}
 	for _, c := range cases {
 		t.Run(strings.TrimSpace(fmt.Sprintf("seed-%d %s", c.seed, c.fault)), func(t *testing.T) { checkBounds(t, program, c) })
@@ -162,66 +164,66 @@
 }
 
 func checkBounds(t *testing.T, program string, c boundsCase) {
-	if !known(c.fault) {
-		// None would ever be drawn.
-		t.Fatalf("no kind of fault %q", c.fault)
+	if !isFaultKind(c.fault) {
+		// An unknown kind would never be drawn, and the run would not end.
+		t.Fatalf("unknown kind of fault %q", c.fault)
 	}
 	seed := c.seed
-	d := readDeployment(t, cmp.Or(*boundsOf, unhurried))
+	d := readDeployment(t, cmp.Or(*boundsDeployment, defaultDeployment))
 	r := &boundsRun{
-		t: t, rand: rand.New(rand.NewPCG(seed, 1)), of: d, troubles: c.of, site: platformtest.NewSite(t), desks: make(map[string]string), sentTo: make(map[string]int), draining: make(map[string]time.Time), restarted: make(map[int][]span),
-		// Every second seed begins with the many routes.
-		many:    seed%2 == 0,
-		history: history{bounds: d.bounds(), disturbed: make(map[int][]span)},
+		t: t, rand: rand.New(rand.NewPCG(seed, 1)), deployment: d, faults: c.faults, site: platformtest.NewSite(t), serviceOf: make(map[string]string), nodeOf: make(map[string]int), drainingSince: make(map[string]time.Time), restarted: make(map[int][]span),
+		// Every second seed begins with many routes.
+		hasManyRoutes: seed%2 == 0,
+		history:       history{bounds: d.bounds(), disturbed: make(map[int][]span)},
 	}
-	r.site.GracePeriod = grace
+	r.site.GracePeriod = gracePeriod
 	r.addWorkers()
 	r.publish(func(c *platformtest.Config) { c.Version = 1 })
 	r.startNodes(program, seed)
 	ctx, stop := context.WithCancel(context.Background())
-	var busy sync.WaitGroup
+	var background sync.WaitGroup
 	for i := range r.nodes {
-		busy.Go(func() { r.watch(ctx, i, askMark, askMoved, askKey, askMany) })
-		// Its answers take long.
-		busy.Go(func() { r.watch(ctx, i, askMute) })
+		background.Go(func() { r.probeLoop(ctx, i, probeMark, probeMoved, probeKey, probeMany) })
+		// Separate from the other probes because its responses take long.
+		background.Go(func() { r.probeLoop(ctx, i, probeMute) })
 	}
-	busy.Go(func() { r.replaceWorkers(ctx, rand.New(rand.NewPCG(seed, 5))) })
-	if c.of >= newest {
-		busy.Go(func() { r.restartWorkers(ctx, rand.New(rand.NewPCG(seed, laterSeed))) })
+	background.Go(func() { r.replaceWorkers(ctx, rand.New(rand.NewPCG(seed, 5))) })
+	if c.faults >= restartFaults {
+		background.Go(func() { r.restartWorkers(ctx, rand.New(rand.NewPCG(seed, laterSeed))) })
 	}
-	if c.of >= limited {
-		busy.Go(func() { r.limitWorkers(ctx, rand.New(rand.NewPCG(seed, limitsSeed))) })
+	if c.faults >= rateLimitFaults {
+		background.Go(func() { r.advertiseLimits(ctx, rand.New(rand.NewPCG(seed, limitsSeed))) })
 	}
-	if c.of >= announcing {
-		busy.Go(func() { r.drainUnlisted(ctx, rand.New(rand.NewPCG(seed, signalsSeed))) })
-		busy.Go(func() { r.rejectWorkers(ctx, rand.New(rand.NewPCG(seed, signalsSeed+1))) })
+	if c.faults >= signalFaults {
+		background.Go(func() { r.announceDraining(ctx, rand.New(rand.NewPCG(seed, signalsSeed))) })
+		background.Go(func() { r.rejectRequests(ctx, rand.New(rand.NewPCG(seed, signalsSeed+1))) })
 	}
-	busy.Go(func() { r.operate(ctx, rand.New(rand.NewPCG(seed, 2))) })
+	background.Go(func() { r.operate(ctx, rand.New(rand.NewPCG(seed, 2))) })
 	for i := range *clientCount {
-		busy.Go(func() { r.load(ctx, i) })
+		background.Go(func() { r.sendLoad(ctx, i) })
 	}
-	lasts := time.Duration(*secondsEach * float64(time.Second))
-	r.poisons = newPoisons(r.site, r.fronts(), seed, c.poisons())
-	busy.Go(func() { r.poisons.send(ctx, lasts/2) })
-	r.trouble(lasts, c.fault)
-	time.Sleep(healTime)
+	duration := time.Duration(*secondsEach * float64(time.Second))
+	r.poisons = newPoisons(r.site, r.frontAddresses(), seed, c.poisonRequests())
+	background.Go(func() { r.poisons.send(ctx, duration/2) })
+	r.injectFaults(duration, c.fault)
+	time.Sleep(recoveryTime)
 	stop()
-	busy.Wait()
+	background.Wait()
 	r.awaitNewest()
-	r.judge(*boundsOf != "")
+	r.verify(*boundsDeployment != "")
 }
 
-// poisons is how many requests that crash workers a run has: none when it brings one other
-// kind of fault.
-func (c boundsCase) poisons() int {
+// poisonRequests returns the number of requests that crash workers. It is 0 if the run is
+// restricted to another kind of fault.
+func (c boundsCase) poisonRequests() int {
 	if c.fault != "" && c.fault != poisonFault {
 		return 0
 	}
-	return cmp.Or(c.deadly, *poisonCount)
+	return cmp.Or(c.poisonCount, *poisonCount)
 }
 
-// fronts lists where clients reach the nodes.
-func (r *boundsRun) fronts() []string {
+// frontAddresses returns the addresses at which clients reach the nodes.
+func (r *boundsRun) frontAddresses() []string {
 	var list []string
 	for _, p := range r.nodes {
 		list = append(list, p.Front)
@@ -230,22 +232,22 @@
 }
 
 func (r *boundsRun) addWorkers() {
-	r.site.TokensPerEvent, r.site.EventInterval = eventTokens, eventPause
+	r.site.TokensPerEvent, r.site.EventInterval = tokensPerEvent, eventInterval
 	for _, service := range []string{"desk", "second-desk", "model", "encode", "rank"} {
 		for _, w := range r.site.AddWorkers(service, 4) {
-			r.desks[w.ID] = service
+			r.serviceOf[w.ID] = service
 			switch service {
 			case "desk":
-				r.staying = append(r.staying, w)
+				r.deskWorkers = append(r.deskWorkers, w)
 			case "second-desk":
-				r.limiting = append(r.limiting, w)
+				r.rateLimiting = append(r.rateLimiting, w)
 			default:
-				r.engines = append(r.engines, w)
+				r.otherWorkers = append(r.otherWorkers, w)
 			}
 		}
 	}
-	if r.troubles >= limited {
-		r.limitSome()
+	if r.faults >= rateLimitFaults {
+		r.pickRateLimited()
 	}
 	for _, w := range r.site.AddWorkers("mute-desk", 2) {
 		w.Unresponsive = true
@@ -260,21 +262,21 @@
 	if err := os.MkdirAll(r.logs, 0o700); err != nil {
 		r.t.Fatal(err)
 	}
-	var known []string
-	for _, kind := range r.of.Instances {
+	var seedPeers []string
+	for _, kind := range r.deployment.Instances {
 		for range kind.Count {
-			door := r.site.AddStoreProxy()
-			store := shaped(r.t, door.Address, kind.LinkMbps)
-			text, addresses := r.site.SettingsFor(platformtest.Instance{Zone: kind.Domain, CPUShare: kind.CPUShare, MemoryMB: kind.MemoryMB, Store: store}, known...)
-			peer := shaped(r.t, addresses.Peer, kind.LinkMbps)
-			if len(known) < mostSeeds {
-				known = append(known, peer)
+			storeProxy := r.site.AddStoreProxy()
+			store := startShapedProxy(r.t, storeProxy.Address, kind.LinkMbps)
+			text, addresses := r.site.SettingsFor(platformtest.Instance{Zone: kind.Domain, CPUShare: kind.CPUShare, MemoryMB: kind.MemoryMB, Store: store}, seedPeers...)
+			peer := startShapedProxy(r.t, addresses.Peer, kind.LinkMbps)
+			if len(seedPeers) < maxSeeds {
+				seedPeers = append(seedPeers, peer)
 			}
 			p := &process{
-				Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", len(r.nodes)+1), program: program, logs: r.logs, grace: grace,
+				Addresses: addresses, t: r.t, name: fmt.Sprintf("node-%d", len(r.nodes)+1), program: program, logs: r.logs, grace: gracePeriod,
 				settings: r.site.WriteSettings(text), peer: peer,
 			}
-			r.doors = append(r.doors, door)
+			r.storeProxies = append(r.storeProxies, storeProxy)
 			r.nodes = append(r.nodes, p)
 			p.start()
 		}
@@ -294,97 +296,97 @@
 	time.Sleep(r.history.contact)
 }
 
-// watch asks one node questions all the time.
-func (r *boundsRun) watch(ctx context.Context, node int, questions ...question) {
-	draw := rand.New(rand.NewPCG(uint64(node), 3))
+// probeLoop probes one node until ctx ends.
+func (r *boundsRun) probeLoop(ctx context.Context, node int, kinds ...probeKind) {
+	rng := rand.New(rand.NewPCG(uint64(node), 3))
 	transport := &http.Transport{DisableCompression: true}
 	for ctx.Err() == nil {
-		for _, q := range questions {
-			r.probe(transport, node, q, draw)
+		for _, q := range kinds {
+			r.probe(transport, node, q, rng)
 		}
-		sleep(ctx, time.Duration(150+draw.IntN(150))*time.Millisecond)
+		sleep(ctx, time.Duration(150+rng.IntN(150))*time.Millisecond)
 	}
 }
 
-// probe asks a node one question: for the mark of the newest version, or with a key
-// of it or of the one before it.
-func (r *boundsRun) probe(transport *http.Transport, node int, asks question, draw *rand.Rand) {
+// probe sends one probe to a node. Probes of the version-specific route use the newest version.
+// Probes of the key use the newest version or the one before it.
+func (r *boundsRun) probe(transport *http.Transport, node int, kind probeKind, rng *rand.Rand) {
 	r.mu.Lock()
 	list := r.history.versions
-	about := list[len(list)-1].version
-	if asks == askKey {
-		about = list[max(0, len(list)-1-draw.IntN(2))].version
+	version := list[len(list)-1].version
+	if kind == probeKey {
+		version = list[max(0, len(list)-1-rng.IntN(2))].version
 	}
 	r.mu.Unlock()
 	path, key := "/read/", apiKey
-	switch asks {
-	case askMark:
-		path = versionPath(about)
-	case askKey:
-		key = versionKey(about)
-	case askMoved:
+	switch kind {
+	case probeMark:
+		path = versionPath(version)
+	case probeKey:
+		key = versionKey(version)
+	case probeMoved:
 		path = "/moved/"
-	case askMute:
+	case probeMute:
 		path = "/mute/"
-	case askMany:
-		path = manyPath(draw.IntN(r.of.ManyRoutes))
+	case probeMany:
+		path = manyPath(rng.IntN(r.deployment.ManyRoutes))
 	}
 	p := r.nodes[node]
-	life := p.lifeNumber()
+	incarnation := p.currentIncarnation()
 	id := probeName(node, r.probes.Add(1))
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	o := observation{node: node, life: life, asks: asks, about: about, sent: time.Now()}
+	o := observation{node: node, incarnation: incarnation, kind: kind, version: version, sent: time.Now()}
 	r.recordSent(id, node, o.sent)
 	a := platformtest.DoOn(ctx, transport, p.Front, platformtest.Request{ID: id, Path: path, Key: key, Deadline: 2 * time.Second})
 	o.got = time.Now()
-	r.noteRefusal(id, a)
+	r.recordRefusal(id, a)
 	r.recordAnswer(a, node, o.sent)
-	if a.Err != nil || p.lifeNumber() != life {
+	if a.Err != nil || p.currentIncarnation() != incarnation {
 		return
 	}
 	o.status = a.Status
 	if parts := strings.Split(a.Stamp, "."); len(parts) > 1 {
 		r.mu.Lock()
-		o.service = r.desks[parts[1]]
+		o.service = r.serviceOf[parts[1]]
 		r.mu.Unlock()
 	}
 	r.mu.Lock()
-	r.seen = append(r.seen, o)
+	r.observations = append(r.observations, o)
 	r.mu.Unlock()
 }
 
-// noteRefusal notes a request that is refused as if it crashed workers.
-func (r *boundsRun) noteRefusal(id string, a platformtest.Response) {
-	if !refusedForLong(a) {
+// recordRefusal records a request that was wrongly refused as one that crashes workers.
+func (r *boundsRun) recordRefusal(id string, a platformtest.Response) {
+	if !refusedAsPoison(a) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wronged = append(r.wronged, id)
+	r.wronglyRefused = append(r.wronglyRefused, id)
 }
 
-// load sends requests of all kinds to any node.
-func (r *boundsRun) load(ctx context.Context, number int) {
-	draw := rand.New(rand.NewPCG(uint64(number), 4))
+// sendLoad sends requests of all kinds to random nodes until ctx ends.
+func (r *boundsRun) sendLoad(ctx context.Context, number int) {
+	rng := rand.New(rand.NewPCG(uint64(number), 4))
 	transport := &http.Transport{DisableCompression: true}
 	for n := 0; ctx.Err() == nil; n++ {
-		k := requestKinds[draw.IntN(len(requestKinds))]
-		limited, cancel := context.WithTimeout(ctx, clientDeadline)
+		k := requestKinds[rng.IntN(len(requestKinds))]
+		requestCtx, cancel := context.WithTimeout(ctx, clientDeadline)
 		id := fmt.Sprintf("c%d-%d", number, n)
-		node := draw.IntN(len(r.nodes))
+		node := rng.IntN(len(r.nodes))
 		r.mu.Lock()
-		r.sentTo[id] = node
+		r.nodeOf[id] = node
 		r.mu.Unlock()
 		sent := time.Now()
 		r.recordSent(id, node, sent)
-		a := platformtest.DoOn(limited, transport, r.nodes[node].Front, platformtest.Request{
+		a := platformtest.DoOn(requestCtx, transport, r.nodes[node].Front, platformtest.Request{
 			ID: id, Path: k.path + "x", Key: apiKey, Deadline: clientDeadline,
 			Streaming: k.stream, Pieces: k.pieces, Prefix: fmt.Sprintf("a%d:10,b%d:20", number, n%7),
 		})
-		r.noteRefusal(id, a)
+		r.recordRefusal(id, a)
 		r.recordAnswer(a, node, sent)
 		cancel()
-		sleep(ctx, time.Duration(betweenMin+draw.IntN(betweenMax))*time.Millisecond)
+		sleep(ctx, time.Duration(minPauseMS+rng.IntN(maxPauseMS))*time.Millisecond)
 	}
 }
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -13,96 +13,97 @@
 )
 
 const (
-	// limitsSeed parts the draws of limits from the others, limitShare is how many troubles
-	// there are for one worker that names a limit.
-	limitsSeed = 19
-	limitShare = 3
-	// limitKept is how long workers name their limits in the end with nothing else wrong,
-	// and again while a node is paused and another one killed.
-	limitKept = intaketest.GracePeriod + 4*time.Second
-	// limitTold is how long it may take until all nodes are told.
-	limitTold = 1500 * time.Millisecond
+	// limitsSeed separates the draws of rate limits from the others. One in rateLimitOdds
+	// faults is accompanied by a worker that advertises a rate limit.
+	limitsSeed    = 19
+	rateLimitOdds = 3
+	// limitPhaseTime is how long workers advertise their limits in the final phase without
+	// other faults, and again while one node is paused and another is killed.
+	limitPhaseTime = intaketest.GracePeriod + 4*time.Second
+	// limitPropagation is the time in which all nodes must know a limit.
+	limitPropagation = 1500 * time.Millisecond
 )
 
-// namedLimits are what workers name, in requests a second.
-var namedLimits = []float64{0, 0.5, 1, 1.5, 3, 5}
+// rateLimits are the rate limits that workers advertise, in requests per second.
+var rateLimits = []float64{0, 0.5, 1, 1.5, 3, 5}
 
-// limitedWorker is a worker that named a limit in the last phase.
-type limitedWorker struct {
+// rateLimitedWorker is a worker that advertised a rate limit for some time.
+type rateLimitedWorker struct {
 	worker    *platformtest.Worker
 	perSecond float64
 	from, to  time.Time
 }
 
-// excuse is a node to which something was done in the last phase: what it sent then, and until
-// intaketest.Contact after it, does not count.
+// excuse is a disturbance of a node in a final phase. What the node sends during this time
+// doesn't count as a violation.
 type excuse struct {
 	front    string
 	from, to time.Time
 }
 
-func (r *run) drawLimit() float64 { return namedLimits[r.limits.IntN(len(namedLimits))] }
+func (r *run) randomLimit() float64 { return rateLimits[r.limitRand.IntN(len(rateLimits))] }
 
-func nameLimit(w *platformtest.Worker, perSecond float64) {
+func advertiseLimit(w *platformtest.Worker, perSecond float64) {
 	w.AnnounceRateLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 }
 
-// limitNowAndThen has, now and then, a worker name a limit for a while, another one after a
-// part of it, or one that comes and goes.
-func (r *run) limitNowAndThen() {
-	if r.limits.IntN(limitShare) > 0 {
+// maybeAdvertiseLimit makes a random worker advertise a rate limit for a while, with a
+// probability of 1/rateLimitOdds. Halfway, the worker changes the limit, in half of the cases
+// after a short time without one.
+func (r *run) maybeAdvertiseLimit() {
+	if r.limitRand.IntN(rateLimitOdds) > 0 {
 		return
 	}
-	w := r.drawWorker(r.limits)
-	first, second := r.drawLimit(), r.drawLimit()
-	length := between(r.limits, shortestFault, longestFault)
-	flaps := r.limits.IntN(2) == 0
-	nameLimit(w, first)
+	w := r.pickWorker(r.limitRand)
+	first, second := r.randomLimit(), r.randomLimit()
+	length := randomDuration(r.limitRand, minFaultMS, maxFaultMS)
+	flaps := r.limitRand.IntN(2) == 0
+	advertiseLimit(w, first)
 	time.AfterFunc(length/2, func() {
 		if flaps {
 			w.AnnounceRateLimit("")
 			time.Sleep(length / 8)
 		}
-		nameLimit(w, second)
+		advertiseLimit(w, second)
 	})
 	time.AfterFunc(length, func() { w.AnnounceRateLimit("") })
 }
 
-// limitWorkers has two of the workers of each service, or all of one service, name limits,
-// first with nothing else wrong, then while nodes are paused and killed.
-func (r *run) limitWorkers() {
+// runLimitPhase makes all workers of one service and two of each other service advertise rate
+// limits, first without other faults, then while nodes are paused and killed.
+func (r *run) runLimitPhase() {
 	all := []string{"desk", "model", "encode", "rank"}
-	crowded := all[r.limits.IntN(len(all))]
+	wholeService := all[r.limitRand.IntN(len(all))]
 	from := time.Now()
 	for _, service := range all {
 		count := 0
 		for _, w := range r.workers[service] {
-			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !runs(w) || count == 2 && service != crowded {
+			if r.hasLeft(w) || slices.Contains(r.leaving, w) || !isRunning(w) || count == 2 && service != wholeService {
 				continue
 			}
 			count++
-			l := limitedWorker{worker: w, perSecond: r.drawLimit(), from: from}
-			nameLimit(w, l.perSecond)
-			r.limited = append(r.limited, l)
+			l := rateLimitedWorker{worker: w, perSecond: r.randomLimit(), from: from}
+			advertiseLimit(w, l.perSecond)
+			r.rateLimited = append(r.rateLimited, l)
 		}
 	}
-	time.Sleep(limitKept)
-	r.pauseAndKill(r.limits, intaketest.GracePeriod)
-	time.Sleep(limitKept)
-	for i := range r.limited {
-		r.limited[i].to = time.Now()
-		r.limited[i].worker.AnnounceRateLimit("")
+	time.Sleep(limitPhaseTime)
+	r.pauseAndKill(r.limitRand, intaketest.GracePeriod)
+	time.Sleep(limitPhaseTime)
+	for i := range r.rateLimited {
+		r.rateLimited[i].to = time.Now()
+		r.rateLimited[i].worker.AnnounceRateLimit("")
 	}
 }
 
-// pauseAndKill pauses a node for a while and restarts another one, and excuses them until some time
-// after that.
+// pauseAndKill pauses one node for a while and kills and restarts another. It excuses both from
+// the beginning until the given time after the end.
 func (r *run) pauseAndKill(draw *rand.Rand, excused time.Duration) {
 	paused, killed := r.nodes[draw.IntN(len(r.nodes))], r.nodes[draw.IntN(len(r.nodes))]
 	began := time.Now()
 	r.beginUnplanned()
 	paused.signal(syscall.SIGSTOP)
-	time.Sleep(between(draw, shortestFault, longestFault))
+	time.Sleep(randomDuration(draw, minFaultMS, maxFaultMS))
 	paused.signal(syscall.SIGCONT)
 	killed.end(syscall.SIGKILL)
 	killed.start()
@@ -113,8 +114,9 @@
 	}
 }
 
-// runs reports whether a worker runs. One that has crashed for good stays in the run's list.
-func runs(w *platformtest.Worker) bool {
+// isRunning reports whether a worker runs. Permanently crashed workers stay in the lists of the
+// run.
+func isRunning(w *platformtest.Worker) bool {
 	c, err := net.Dial("tcp", w.Address())
 	if err != nil {
 		return false
@@ -123,8 +125,9 @@
 	return true
 }
 
-// checkLimits holds that no worker got more than it allowed in the last phase, from all nodes
-// together but those to which something was done, and that those that take any were sent some.
+// checkLimits verifies that in the final phase no worker received more requests from
+// undisturbed nodes together than its rate limit allows, and that desk workers with a limit of
+// at least 1 per second received some.
 func (r *run) checkLimits() {
 	nodes := make(map[string]string)
 	for _, s := range r.record.list {
@@ -136,28 +139,29 @@
 		})
 	}
 	highest := 0.0
-	for _, l := range r.limited {
+	for _, l := range r.rateLimited {
 		allowed := intaketest.Allowed(l.perSecond)
-		got, all := l.most(excused)
+		got, all := l.maxArrivals(excused)
 		highest = max(highest, float64(got)/float64(allowed))
 		if got > allowed {
-			r.fail("LIMIT: %s of %s named %v requests a second and got %d in %v, %d are allowed", l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed)
+			r.fail("LIMIT: %s of %s advertised %v requests per second and received %d in %v, %d are allowed", l.worker.ID, l.worker.Service, l.perSecond, got, intaketest.Span, allowed)
 		}
 		if all == 0 && l.perSecond >= 1 && l.worker.Service == "desk" {
-			r.fail("LIMIT: %s of %s named %v requests a second and got none in %v", l.worker.ID, l.worker.Service, l.perSecond, l.to.Sub(l.from))
+			r.fail("LIMIT: %s of %s advertised %v requests per second and received none in %v", l.worker.ID, l.worker.Service, l.perSecond, l.to.Sub(l.from))
 		}
 	}
-	if len(r.limited) > 0 {
-		r.t.Logf("%d workers named limits, at most %.2f of what is allowed", len(r.limited), highest)
+	if len(r.rateLimited) > 0 {
+		r.t.Logf("%d workers advertised rate limits, at most %.2f of what is allowed", len(r.rateLimited), highest)
 	}
 }
 
-// most is the most that reached the worker in any span that ends intaketest.Contact or more after
-// it named its limit, counted from when all nodes had time to be told, and all that did.
-func (l limitedWorker) most(excused func(platformtest.Arrival) bool) (highest, all int) {
+// maxArrivals returns the maximum number of requests that reached the worker in any span that
+// ends intaketest.GracePeriod or more after it advertised the limit, and the number of all
+// requests. Both count only requests from limitPropagation after that.
+func (l rateLimitedWorker) maxArrivals(excused func(platformtest.Arrival) bool) (highest, all int) {
 	var times []time.Time
 	for _, a := range l.worker.Arrivals() {
-		if a.At.After(l.from.Add(limitTold)) && a.At.Before(l.to) && !excused(a) {
+		if a.At.After(l.from.Add(limitPropagation)) && a.At.Before(l.to) && !excused(a) {
 			times = append(times, a.At)
 		}
 	}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -11,110 +11,110 @@
 	"gradetiller.example/internal/platform"
 )
 
-// World is a platform and all endpoints of a configuration.
+// World simulates a platform and all endpoints of a configuration.
 type World struct {
 	platform  *Platform
 	counts    *Counts
 	endpoints map[string]*Endpoint
 }
 
-// fullPrice is the cost of an engine of full speed.
-const fullPrice = 4
+// fullSpeedCost is the cost from which on an engine has full speed.
+const fullSpeedCost = 4
 
-// DefaultWork is how long calls take at an endpoint. Cheaper engines are
-// slower, by less than they are cheaper.
-func DefaultWork(pool *config.Pool, e *config.Endpoint) Work {
+// DefaultLatency is the default latency of an endpoint. Cheaper engines are
+// slower, by the square root of the price ratio.
+func DefaultLatency(pool *config.Pool, e *config.Endpoint) Latency {
 	if pool.Kind() != config.KindEngine {
-		return Work{Base: 8 * time.Millisecond}
+		return Latency{Base: 8 * time.Millisecond}
 	}
-	slower := max(1, math.Sqrt(fullPrice/e.Cost()))
-	return Work{
-		Base:  time.Duration(slower * float64(30*time.Millisecond)),
-		Token: time.Duration(slower * float64(2*time.Millisecond)),
-		Batch: 0.05,
-		Cache: 8,
+	slower := max(1, math.Sqrt(fullSpeedCost/e.Cost()))
+	return Latency{
+		Base:          time.Duration(slower * float64(30*time.Millisecond)),
+		Token:         time.Duration(slower * float64(2*time.Millisecond)),
+		BatchSlowdown: 0.05,
+		Cache:         8,
 	}
 }
 
-// NewWorld returns stand-ins for everything that the configuration names.
-func NewWorld(seed uint64, cfg *config.Config, instances []platform.Instance, work func(*config.Pool, *config.Endpoint) Work) *World {
+// NewWorld returns stand-ins for the platform and for every endpoint of the configuration.
+func NewWorld(seed uint64, cfg *config.Config, instances []platform.Instance, latency func(*config.Pool, *config.Endpoint) Latency) *World {
 	w := &World{platform: NewPlatform(instances), counts: NewCounts(), endpoints: make(map[string]*Endpoint)}
 	for i := range cfg.Pools() {
 		pool := &cfg.Pools()[i]
 		for j := range pool.Endpoints() {
 			ep := &pool.Endpoints()[j]
-			e := NewEndpoint(pool.Name(), ep.Name(), ep.Slots(), ep.Cost(), work(pool, ep), seed+uint64(len(w.endpoints)), w.counts)
-			e.SetChecks(ep.ChecksOrders())
+			e := NewEndpoint(pool.Name(), ep.Name(), ep.Slots(), ep.Cost(), latency(pool, ep), seed+uint64(len(w.endpoints)), w.counts)
+			e.SetEpochCheck(ep.ChecksOrders())
 			w.endpoints[ep.Address()] = e
 		}
 	}
 	return w
 }
 
-// Platform returns the platform's stand-in.
+// Platform returns the simulated platform.
 func (w *World) Platform() *Platform { return w.platform }
 
-// Counts returns what the endpoints counted.
+// Counts returns the counts of all endpoints.
 func (w *World) Counts() *Counts { return w.counts }
 
 // Endpoints returns the endpoints by address.
 func (w *World) Endpoints() map[string]*Endpoint { return w.endpoints }
 
-// Fault puts an order in force on the platform, an endpoint by name, or all
-// endpoints of a pool.
-func (w *World) Fault(o Order) error {
-	if err := o.check(); err != nil {
+// InjectFault replaces the fault in force of the platform, of an endpoint by name, or
+// of all endpoints of a pool.
+func (w *World) InjectFault(spec FaultSpec) error {
+	if err := spec.validate(); err != nil {
 		return err
 	}
-	if o.Target == "platform" {
-		w.platform.Fault(o)
+	if spec.Target == "platform" {
+		w.platform.InjectFault(spec)
 		return nil
 	}
 	found := false
 	for _, e := range w.endpoints {
-		if e.name == o.Target || e.pool == o.Target {
-			e.Fault(o)
+		if e.name == spec.Target || e.pool == spec.Target {
+			e.InjectFault(spec)
 			found = true
 		}
 	}
 	if !found {
-		return fmt.Errorf("unknown target %q, expected platform, an endpoint or a pool", o.Target)
+		return fmt.Errorf("unknown target %q, expected platform, an endpoint or a pool", spec.Target)
 	}
 	return nil
 }
 
-// Admin serves the platform, the fault switches and the counts.
+// Admin returns the handler for the platform, the injection of faults and the counts.
 func (w *World) Admin() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", w.platform.Handler())
 	mux.HandleFunc("POST /admin/fault", func(rw http.ResponseWriter, r *http.Request) {
-		var o Order
+		var o FaultSpec
 		err := json.NewDecoder(r.Body).Decode(&o)
 		if err == nil {
-			err = w.Fault(o)
+			err = w.InjectFault(o)
 		}
 		if err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
 		}
 	})
 	mux.HandleFunc("GET /admin/counts", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.counts.All())
+		writeJSON(rw, http.StatusOK, w.counts.All())
 	})
 	mux.HandleFunc("GET /admin/cost", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.counts.Cost())
+		writeJSON(rw, http.StatusOK, w.counts.Cost())
 	})
 	mux.HandleFunc("GET /admin/orders", func(rw http.ResponseWriter, _ *http.Request) {
-		var sum Orders
+		var sum OrderCounts
 		for _, e := range w.endpoints {
 			o := e.Orders()
 			sum.Loads += o.Loads
 			sum.Stale += o.Stale
 			sum.Refused += o.Refused
 		}
-		reply(rw, http.StatusOK, sum)
+		writeJSON(rw, http.StatusOK, sum)
 	})
 	mux.HandleFunc("GET /admin/usage", func(rw http.ResponseWriter, _ *http.Request) {
-		reply(rw, http.StatusOK, w.platform.Usage())
+		writeJSON(rw, http.StatusOK, w.platform.Usage())
 	})
 	return mux
 }
