--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -53,7 +53,7 @@
 				if changed, err = wire.Append(nil, s); err != nil {
 					b.Fatal(err)
 				}
-				if same, err = wire.Append(nil, wire.Snapshot{Same: true, Settled: true}); err != nil {
+				if same, err = wire.Append(nil, wire.Snapshot{Unchanged: true, Settled: true}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/control/entries.go
+++ b/internal/control/entries.go
@@ -114,7 +114,7 @@
 		s.Config = c.inForce
 	}
 	if slices.Equal(s.Entries, link.sentEntries) && slices.Equal(s.Endpoints, link.sentEndpoints) {
-		s.Same, s.Entries, s.Endpoints = true, nil, nil
+		s.Unchanged, s.Entries, s.Endpoints = true, nil, nil
 		return s
 	}
 	link.sentEntries, link.sentEndpoints = s.Entries, s.Endpoints
--- a/internal/core/intake/limitworld_test.go
+++ b/internal/core/intake/limitworld_test.go
@@ -204,15 +204,15 @@
 // gossip sends a node's updates to another node, which answers with those that the sender lacks.
 func (w *limitWorld) gossip(now time.Time, from, to int) {
 	a := w.nodes[from]
-	news, sum := a.limits.Updates(now, name(to), maxUpdates), a.limits.Sum()
+	news, sum := a.limits.NextUpdates(now, name(to), maxUpdates), a.limits.Checksum()
 	w.at(now.Add(2*time.Millisecond), func(now time.Time) {
 		b := w.nodes[to]
 		if b.down || a.partition != b.partition {
 			return
 		}
 		w.markChanged(b, len(b.limits.Merge(now, news)) > 0)
-		if b.limits.Differs(now, name(from), sum) {
-			w.markChanged(a, len(a.limits.Merge(now, b.limits.Updates(now, name(from), maxUpdates))) > 0)
+		if b.limits.NeedsUpdate(now, name(from), sum) {
+			w.markChanged(a, len(a.limits.Merge(now, b.limits.NextUpdates(now, name(from), maxUpdates))) > 0)
 		}
 	})
 }
--- a/internal/core/intake/pace.go
+++ b/internal/core/intake/pace.go
@@ -65,10 +65,10 @@
 // after one.
 func (p Pace) Advertised() bool { return p.bound.limit.bounded || p.bound.rampFrom > 0 }
 
-// HasTurn reports whether the node now has a turn, which soon expires, at an endpoint that
+// HasTimeSlot reports whether the node now has a turn, which soon expires, at an endpoint that
 // advertises a rate limit. Turns at cold endpoints don't count and may go unused: a cold endpoint
 // is slow, and others serve better.
-func (p Pace) HasTurn(now time.Time, s *Sends) bool {
+func (p Pace) HasTimeSlot(now time.Time, s *Sends) bool {
 	if !p.bound.rampedLimit(now).Bounded() || now.Before(p.bound.coldUntil) {
 		return false
 	}
--- a/internal/core/place/sendallowance.go
+++ b/internal/core/place/sendallowance.go
@@ -12,7 +12,7 @@
 	}
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if e.spec.Pace.HasTurn(now, &e.sends) && p.Accepts(now, i, req) {
+		if e.spec.Pace.HasTimeSlot(now, &e.sends) && p.Accepts(now, i, req) {
 			return i
 		}
 	}
--- a/internal/core/poison/guard.go
+++ b/internal/core/poison/guard.go
@@ -30,8 +30,8 @@
 	// Reports are to be sent to the owners of their requests.
 	Reports []Report
 	// Refused lists requests that this node refuses from now on, RefusedByPeers those that
-	// another node refuses, and Pardoned those that are no longer refused.
-	Refused, RefusedByPeers, Pardoned []ID
+	// another node refuses, and Cleared those that are no longer refused.
+	Refused, RefusedByPeers, Cleared []ID
 	// GossipSoon is true if the neighbors should soon be sent the changes.
 	GossipSoon bool
 	// Reply is true if the sender should be sent the changes that it lacks.
@@ -182,10 +182,10 @@
 func (g *Guard) recordFindings(now time.Time, out *Outcome) {
 	for _, f := range out.Findings {
 		f.Requests = slices.DeleteFunc(slices.Clone(f.Requests), func(id ID) bool { return g.recentlyServed(now, id) })
-		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, Among: g.serviceSize(f.Endpoint.Service), Sure: f.FromList, Alive: !f.Crashed}
+		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, ServiceSize: g.serviceSize(f.Endpoint.Service), Confirmed: f.FromList, Alive: !f.Crashed}
 		for _, id := range f.Requests {
 			r := Report{Request: id, Crashes: append(g.ledger.Crashes(now, id), e)}
-			g.recordCrash(now, id, e, e.Sure || g.singleNode, out)
+			g.recordCrash(now, id, e, e.Confirmed || g.singleNode, out)
 			out.Reports = append(out.Reports, r)
 		}
 	}
@@ -195,7 +195,7 @@
 func (g *Guard) recordCrash(now time.Time, id ID, e Crash, confirmed bool, out *Outcome) {
 	if e.Alive {
 		if g.ledger.RetractCrash(now, id, e.Endpoint) {
-			out.Pardoned = append(out.Pardoned, id)
+			out.Cleared = append(out.Cleared, id)
 			out.GossipSoon = true
 		}
 		return
@@ -239,7 +239,7 @@
 // pardon drops the crashes under a request that was served successfully.
 func (g *Guard) pardon(now time.Time, id ID, out *Outcome) {
 	if g.ledger.RecordSuccess(now, id) {
-		out.Pardoned = append(out.Pardoned, id)
+		out.Cleared = append(out.Cleared, id)
 		out.GossipSoon = true
 	}
 }
@@ -260,7 +260,7 @@
 
 // verify accepts a reported crash, or starts to verify it.
 func (g *Guard) verify(now time.Time, id ID, e Crash, out *Outcome) {
-	if e.Sure || e.Alive {
+	if e.Confirmed || e.Alive {
 		g.recordCrash(now, id, e, true, out)
 		return
 	}
--- a/internal/core/poison/ledger.go
+++ b/internal/core/poison/ledger.go
@@ -75,11 +75,11 @@
 type Crash struct {
 	Endpoint string
 	Address  string
-	// Among is the number of endpoints of the same service.
-	Among int
-	// Sure is true if the list of endpoints shows the crash, and false if it was concluded
+	// ServiceSize is the number of endpoints of the same service.
+	ServiceSize int
+	// Confirmed is true if the list of endpoints shows the crash, and false if it was concluded
 	// from an address that refused a connection.
-	Sure bool
+	Confirmed bool
 	// Alive is true if the endpoint was reported as crashed but is alive.
 	Alive bool
 }
@@ -111,7 +111,7 @@
 	if !s.add(countedCrash{Crash: e, at: now, confirmed: confirmed}) {
 		return false
 	}
-	if s.confirmedCount() < l.threshold(s, e.Among) && !(confirmed && l.refusals.OnProbation(now, id)) {
+	if s.confirmedCount() < l.threshold(s, e.ServiceSize) && !(confirmed && l.refusals.OnProbation(now, id)) {
 		return false
 	}
 	return l.refusals.Refuse(now, id, s.crashes[0].at)
@@ -187,14 +187,14 @@
 	if len(s.crashes) == 0 {
 		l.suspects.Remove(id)
 	}
-	return confirmed >= minCrashes && s.confirmedCount() < minCrashes && l.refusals.Pardon(now, id)
+	return confirmed >= minCrashes && s.confirmedCount() < minCrashes && l.refusals.Clear(now, id)
 }
 
 // RecordSuccess clears a request that was served successfully, so that no crash counts
 // against it. It reports whether the request was refused and is not any more.
 func (l *Ledger) RecordSuccess(now time.Time, id ID) bool {
 	l.suspects.Remove(id)
-	return l.refusals.Pardon(now, id)
+	return l.refusals.Clear(now, id)
 }
 
 // Crashes returns the crashes under a request. Confirmed ones are marked as sure.
@@ -207,7 +207,7 @@
 	list := make([]Crash, len(s.crashes))
 	for i, e := range s.crashes {
 		list[i] = e.Crash
-		list[i].Sure = e.Sure || e.confirmed
+		list[i].Confirmed = e.Confirmed || e.confirmed
 	}
 	return list
 }
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -33,9 +33,9 @@
 	Age time.Duration
 	// Count is how often the request was refused.
 	Count int
-	// Pardoned is true if the request is no longer refused, because it was served or
+	// Cleared is true if the request is no longer refused, because it was served or
 	// because the crashes that counted against it did not happen.
-	Pardoned bool
+	Cleared bool
 }
 
 // Refusals is the set of refused requests. It is the same on all nodes except for updates
@@ -128,8 +128,8 @@
 	return true
 }
 
-// Pardon ends a refusal and the probation after it, and reports whether there was one.
-func (r *Refusals) Pardon(now time.Time, id ID) bool {
+// Clear ends a refusal and the probation after it, and reports whether there was one.
+func (r *Refusals) Clear(now time.Time, id ID) bool {
 	f, ok := r.byID[id]
 	if !ok || f.pardoned {
 		return false
@@ -173,7 +173,7 @@
 func (r *Refusals) Merge(now time.Time, received []Refusal) []ID {
 	var fresh []ID
 	for _, t := range received {
-		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, maxRefusal)), firstCrash: now.Add(-t.Age), count: max(t.Count, 1), pardoned: t.Pardoned}
+		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, maxRefusal)), firstCrash: now.Add(-t.Age), count: max(t.Count, 1), pardoned: t.Cleared}
 		if !now.Before(next.expiresAt()) {
 			continue
 		}
@@ -226,7 +226,7 @@
 	list := make([]Refusal, len(ids))
 	for i, id := range ids {
 		f := r.byID[id]
-		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.firstCrash), Count: f.count, Pardoned: f.pardoned}
+		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.firstCrash), Count: f.count, Cleared: f.pardoned}
 	}
 	return list
 }
--- a/internal/core/poison/refusals_test.go
+++ b/internal/core/poison/refusals_test.go
@@ -20,7 +20,7 @@
 	now := start
 	end := func() bool {
 		now = now.Add(time.Second)
-		return l.AddCrash(now, idOf(1), Crash{Endpoint: now.String(), Among: 18}, true)
+		return l.AddCrash(now, idOf(1), Crash{Endpoint: now.String(), ServiceSize: 18}, true)
 	}
 	for n := 1; n <= minCrashes; n++ {
 		if refused := end(); refused != (n == minCrashes) {
@@ -55,13 +55,13 @@
 	g := NewGuard(0)
 	for i := range minCrashes {
 		var out Outcome
-		g.recordCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true, &out)
+		g.recordCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), ServiceSize: 18}, true, &out)
 	}
 	if _, refused := g.Refused(start, idOf(1)); !refused {
 		t.Fatal("the request is not refused")
 	}
 	out := g.RecordSuccess(start, idOf(1))
-	if _, refused := g.Refused(start, idOf(1)); refused || len(out.Pardoned) != 1 || len(out.Reports) != 1 || !out.Reports[0].Served {
+	if _, refused := g.Refused(start, idOf(1)); refused || len(out.Cleared) != 1 || len(out.Reports) != 1 || !out.Reports[0].Served {
 		t.Errorf("refused: %v, outcome %+v", refused, out)
 	}
 	if out := g.RecordSuccess(start, idOf(2)); len(out.Reports) > 0 {
@@ -120,7 +120,7 @@
 			case 0, 1:
 				nodes[n].Refuse(now, id, now)
 			case 2:
-				nodes[n].Pardon(now, id)
+				nodes[n].Clear(now, id)
 			case 3:
 				nodes[n] = NewRefusals()
 			default:
@@ -168,10 +168,10 @@
 func TestRetractCrash(t *testing.T) {
 	owner, other := NewLedger(), NewLedger()
 	for i := range maxCrashes {
-		owner.AddCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), Among: 18}, true)
+		owner.AddCrash(start, idOf(1), Crash{Endpoint: fmt.Sprint(i), ServiceSize: 18}, true)
 	}
 	other.Refusals().Merge(start, owner.Refusals().NextUpdates(start, "other", maxRefusals))
-	other.AddCrash(start, idOf(1), Crash{Endpoint: "0", Among: 18}, false)
+	other.AddCrash(start, idOf(1), Crash{Endpoint: "0", ServiceSize: 18}, false)
 	if other.RetractCrash(start, idOf(1), "0") {
 		t.Error("a node that knows one crash pardons the request")
 	}
--- a/internal/core/poison/sim_nodes_test.go
+++ b/internal/core/poison/sim_nodes_test.go
@@ -96,7 +96,7 @@
 	m.RefusedSum = sum
 	m.Refused = nil
 	for _, r := range updates {
-		m.Refused = append(m.Refused, wire.Refusal{Request: r.Request[:], Version: r.Version, Remaining: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Count: r.Count, Pardoned: r.Pardoned})
+		m.Refused = append(m.Refused, wire.Refusal{Request: r.Request[:], Version: r.Version, Remaining: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Count: r.Count, Cleared: r.Cleared})
 	}
 	w.messages = append(w.messages, message{due: w.now.Add(w.latency()), from: from.name, to: to, gossip: &m})
 }
@@ -137,7 +137,7 @@
 		if err != nil {
 			w.report("%v", err)
 		}
-		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Remaining) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Count, Pardoned: r.Pardoned})
+		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Remaining) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Count, Cleared: r.Cleared})
 	}
 	out := n.guard.HandleGossip(w.now, m.from, m.gossip.RefusedSum, received)
 	w.apply(n, out)
--- a/internal/core/signal/draining.go
+++ b/internal/core/signal/draining.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Sum returns a checksum that is equal on nodes with the same set.
-func (d *Draining) Sum() uint64 {
+// Checksum returns a checksum that is equal on nodes with the same set.
+func (d *Draining) Checksum() uint64 {
 	sum := uint64(0)
 	for endpoint := range d.seen {
 		sum ^= hash.Mix(hash.Of(endpoint))
@@ -110,8 +110,8 @@
 	return sum
 }
 
-// Updates returns at most n endpoints that have not been sent to a peer, and marks them as sent.
-func (d *Draining) Updates(now time.Time, to string, n int) []DrainingUpdate {
+// NextUpdates returns at most n endpoints that have not been sent to a peer, and marks them as sent.
+func (d *Draining) NextUpdates(now time.Time, to string, n int) []DrainingUpdate {
 	endpoints := d.log.NextUpdates(to, n)
 	slices.Sort(endpoints)
 	updates := make([]DrainingUpdate, len(endpoints))
@@ -121,10 +121,10 @@
 	return updates
 }
 
-// Differs compares the checksum of a peer with that of this set, and reports whether there are
+// NeedsUpdate compares the checksum of a peer with that of this set, and reports whether there are
 // updates for the peer.
-func (d *Draining) Differs(now time.Time, from string, sum uint64) bool {
-	return sum != d.Sum() && d.log.HandleMismatch(now, from)
+func (d *Draining) NeedsUpdate(now time.Time, from string, sum uint64) bool {
+	return sum != d.Checksum() && d.log.HandleMismatch(now, from)
 }
 
 // ForgetPeers removes the state kept for peers that have gone.
--- a/internal/core/signal/draining_test.go
+++ b/internal/core/signal/draining_test.go
@@ -76,8 +76,8 @@
 		}
 		now := time.Unix(1000, 0)
 		exchange := func(from, to string) {
-			nodes[to].Merge(now, nodes[from].Updates(now, to, 2))
-			nodes[to].Differs(now, from, nodes[from].Sum())
+			nodes[to].Merge(now, nodes[from].NextUpdates(now, to, 2))
+			nodes[to].NeedsUpdate(now, from, nodes[from].Checksum())
 		}
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(rt, "gap")) * time.Millisecond)
@@ -106,7 +106,7 @@
 		}
 		settle(12, 2500*time.Millisecond)
 		for _, n := range names[1:] {
-			if nodes[n].Sum() != nodes["a"].Sum() {
+			if nodes[n].Checksum() != nodes["a"].Checksum() {
 				rt.Errorf("node %s and node a hold different sets", n)
 			}
 		}
--- a/internal/core/signal/limits.go
+++ b/internal/core/signal/limits.go
@@ -178,8 +178,8 @@
 	return changes
 }
 
-// Sum returns a checksum that is equal on nodes with the same limits.
-func (l *Limits) Sum() uint64 {
+// Checksum returns a checksum that is equal on nodes with the same limits.
+func (l *Limits) Checksum() uint64 {
 	sum := uint64(0)
 	for endpoint, e := range l.byEndpoint {
 		if e.rate.Bounded() {
@@ -189,8 +189,8 @@
 	return sum
 }
 
-// Updates returns at most n limits that have not been sent to a peer, and marks them as sent.
-func (l *Limits) Updates(now time.Time, to string, n int) []LimitUpdate {
+// NextUpdates returns at most n limits that have not been sent to a peer, and marks them as sent.
+func (l *Limits) NextUpdates(now time.Time, to string, n int) []LimitUpdate {
 	endpoints := l.log.NextUpdates(to, n)
 	slices.Sort(endpoints)
 	updates := make([]LimitUpdate, len(endpoints))
@@ -201,10 +201,10 @@
 	return updates
 }
 
-// Differs compares the checksum of a peer with that of this set, and reports whether there are
+// NeedsUpdate compares the checksum of a peer with that of this set, and reports whether there are
 // updates for the peer.
-func (l *Limits) Differs(now time.Time, from string, sum uint64) bool {
-	return sum != l.Sum() && l.log.HandleMismatch(now, from)
+func (l *Limits) NeedsUpdate(now time.Time, from string, sum uint64) bool {
+	return sum != l.Checksum() && l.log.HandleMismatch(now, from)
 }
 
 // ForgetPeers removes the state kept for peers that have gone.
--- a/internal/core/signal/limits_test.go
+++ b/internal/core/signal/limits_test.go
@@ -68,9 +68,9 @@
 		}
 		now := time.Unix(1000, 0)
 		exchange := func(from, to string) {
-			updates := nodes[from].Updates(now, to, 2)
+			updates := nodes[from].NextUpdates(now, to, 2)
 			nodes[to].Merge(now, updates)
-			nodes[to].Differs(now, from, nodes[from].Sum())
+			nodes[to].NeedsUpdate(now, from, nodes[from].Checksum())
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(rt, "gap")) * time.Millisecond)
@@ -95,7 +95,7 @@
 			}
 		}
 		for _, n := range names[1:] {
-			if nodes[n].Sum() != nodes["a"].Sum() {
+			if nodes[n].Checksum() != nodes["a"].Checksum() {
 				rt.Errorf("node %s and node a hold different limits", n)
 			}
 		}
--- a/internal/core/signal/world_test.go
+++ b/internal/core/signal/world_test.go
@@ -187,15 +187,15 @@
 // exchange sends a node's updates to another node, which answers with those that the sender lacks.
 func (w *world) exchange(now time.Time, from, to int) {
 	a := w.nodes[from]
-	updates, sum := a.registry.Draining().Updates(now, name(to), maxUpdates), a.registry.Draining().Sum()
+	updates, sum := a.registry.Draining().NextUpdates(now, name(to), maxUpdates), a.registry.Draining().Checksum()
 	w.at(now.Add(2*time.Millisecond), func(now time.Time) {
 		b := w.nodes[to]
 		if b.down || a.down || a.cut != b.cut {
 			return
 		}
 		w.exclude(b, b.registry.Draining().Merge(now, updates))
-		if b.registry.Draining().Differs(now, name(from), sum) {
-			w.exclude(a, a.registry.Draining().Merge(now, b.registry.Draining().Updates(now, name(from), maxUpdates)))
+		if b.registry.Draining().NeedsUpdate(now, name(from), sum) {
+			w.exclude(a, a.registry.Draining().Merge(now, b.registry.Draining().NextUpdates(now, name(from), maxUpdates)))
 		}
 	})
 }
--- a/internal/core/stagepool/admit.go
+++ b/internal/core/stagepool/admit.go
@@ -115,16 +115,16 @@
 
 // admit rejects a task that would miss its soft deadline because of other tasks. A task that would
 // miss it even on an idle pool is admitted if its deadline is safe.
-func (p *Pool) admit(now time.Time, t Task, finish time.Duration) (Verdict, bool) {
+func (p *Pool) admit(now time.Time, t Task, finish time.Duration) (Admission, bool) {
 	softLimit := t.SoftDeadline.Sub(now)
 	if p.off.Has(mechanism.Admission) || finish+finish/marginDivisor <= softLimit+t.Allowance {
-		return Verdict{}, false
+		return Admission{}, false
 	}
 	unloaded := p.minDuration(t)
 	hardLimit := time.Duration(softMissDeadlineShare * float64(t.Deadline.Sub(now)))
 	if unloaded > softLimit && finish <= hardLimit && finish < 2*unloaded {
-		return Verdict{}, false
+		return Admission{}, false
 	}
 	retryAfter := finish - max(softLimit, unloaded)
-	return Verdict{Finish: finish, RetryAfter: min(max(retryAfter, minRetryAfter), maxRetryAfter)}, true
+	return Admission{Finish: finish, RetryAfter: min(max(retryAfter, minRetryAfter), maxRetryAfter)}, true
 }
--- a/internal/core/stagepool/completion.go
+++ b/internal/core/stagepool/completion.go
@@ -208,7 +208,7 @@
 	}
 	if cost != freeRetry {
 		p.counters.Retried++
-		if p.budget != nil && !p.budget.Take(now, st.Service, 1) {
+		if p.budget != nil && !p.budget.TryAcquire(now, st.Service, 1) {
 			p.fail(now, ref.task, "no budget to make a piece again", failedRetryAfter)
 			return
 		}
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -13,7 +13,7 @@
 
 // Counters counts pool events since the pool was created.
 type Counters struct {
-	Accepted, Refused, Completed, Failed           uint64
+	Accepted, Rejected, Completed, Failed          uint64
 	Calls, Pieces, Retried, NoRoom, Gone, Restarts uint64
 	// Unused counts results that were no longer needed when their call ended.
 	Unused uint64
@@ -22,8 +22,8 @@
 // RetryBudget limits how many pieces are retried. Fresh records n first attempts, and Take reports
 // whether n retries are allowed.
 type RetryBudget interface {
-	Fresh(now time.Time, service string, n int)
-	Take(now time.Time, service string, n int) bool
+	AddRequests(now time.Time, service string, n int)
+	TryAcquire(now time.Time, service string, n int) bool
 }
 
 // Option configures a new pool.
@@ -200,15 +200,15 @@
 }
 
 // Submit admits or rejects a task.
-func (p *Pool) Submit(now time.Time, t Task) (Verdict, []Action) {
+func (p *Pool) Submit(now time.Time, t Task) (Admission, []Action) {
 	planned, ok := p.estimate(now, t)
 	if !ok {
-		p.counters.Refused++
-		return Verdict{RetryAfter: p.retryAfter(now, t)}, nil
+		p.counters.Rejected++
+		return Admission{RetryAfter: p.retryAfter(now, t)}, nil
 	}
 	finish := p.forecast(t, planned)
 	if v, refused := p.admit(now, t, finish); refused {
-		p.counters.Refused++
+		p.counters.Rejected++
 		return v, nil
 	}
 	p.counters.Accepted++
@@ -220,7 +220,7 @@
 	p.tasks[live.id] = live
 	p.begin(now, live)
 	p.dispatchAll(now)
-	return Verdict{Accepted: true, ID: live.id, Finish: finish}, p.takeActions()
+	return Admission{Accepted: true, ID: live.id, Finish: finish}, p.takeActions()
 }
 
 // begin adds all stages of a task to the backlogs and queues those that are ready.
@@ -242,7 +242,7 @@
 		p.services[s.Service].initOccupancy(s.ResultBytes)
 		p.services[s.Service].backlog[t.Priority] += s.Pieces
 		if p.budget != nil && t.restarts == 0 {
-			p.budget.Fresh(now, s.Service, s.Pieces)
+			p.budget.AddRequests(now, s.Service, s.Pieces)
 		}
 	}
 	p.advance(now, t)
--- a/internal/core/stagepool/task.go
+++ b/internal/core/stagepool/task.go
@@ -155,8 +155,8 @@
 func (Complete) action()  {}
 func (Fail) action()      {}
 
-// Verdict is the answer to a submitted task.
-type Verdict struct {
+// Admission is the answer to a submitted task.
+type Admission struct {
 	Accepted bool
 	ID       TaskID
 	// Finish is the predicted time until the results are available.
--- a/internal/entry/apply.go
+++ b/internal/entry/apply.go
@@ -27,7 +27,7 @@
 		}
 		cfg, version = parsed, s.Config.Version
 	}
-	if s.Same {
+	if s.Unchanged {
 		s.Entries = n.Entries()
 	}
 	if cfg == nil {
--- a/internal/entry/apply_test.go
+++ b/internal/entry/apply_test.go
@@ -15,8 +15,8 @@
 	others := []wire.Entry{{Node: "late", Address: "127.0.0.1:1", Region: "r"}, {Node: "other", Address: "127.0.0.1:2", Region: "r"}}
 	for _, snapshot := range []wire.Snapshot{
 		{Entries: others, Settled: true},
-		{Same: true, Settled: true},
-		{Same: true, Settled: true, Config: wire.ConfigFile{Version: 1, Data: s.cfg.Data()}},
+		{Unchanged: true, Settled: true},
+		{Unchanged: true, Settled: true, Config: wire.ConfigFile{Version: 1, Data: s.cfg.Data()}},
 	} {
 		if err := n.Apply(snapshot); err != nil {
 			t.Fatal(err)
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -13,15 +13,15 @@
 	budget *attempt.WindowBudget
 }
 
-// Fresh implements stagepool.Budget.
-func (b *lockedBudget) Fresh(now time.Time, service string, n int) {
+// AddRequests implements stagepool.Budget.
+func (b *lockedBudget) AddRequests(now time.Time, service string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.AddRequests(now, service, n)
 }
 
-// Take implements stagepool.Budget.
-func (b *lockedBudget) Take(now time.Time, service string, n int) bool {
+// TryAcquire implements stagepool.Budget.
+func (b *lockedBudget) TryAcquire(now time.Time, service string, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.TryAcquire(now, service, n)
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -250,7 +250,7 @@
 
 // servePlain forwards a request to an endpoint of a plain service, with retries.
 func (n *Node) servePlain(ctx context.Context, w http.ResponseWriter, q *request) {
-	n.budget.Fresh(q.arrived, q.service, 1)
+	n.budget.AddRequests(q.arrived, q.service, 1)
 	if n.rejectIfBackedOff(w, q, q.backoffWaitLimit(q.arrived)) {
 		return
 	}
@@ -352,7 +352,7 @@
 	if event == attempt.NotSent {
 		return true
 	}
-	return time.Until(q.deadline) > 0 && n.budget.Take(time.Now(), q.service, 1)
+	return time.Until(q.deadline) > 0 && n.budget.TryAcquire(time.Now(), q.service, 1)
 }
 
 // tryPlain sends one attempt and reads the complete response.
--- a/internal/node/jobs_test.go
+++ b/internal/node/jobs_test.go
@@ -18,7 +18,7 @@
 		j := newSubmissions()
 		b := j.add("leader")
 		time.AfterFunc(9*time.Second, func() { j.deliverResults(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
-		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
+		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesAdmission{ID: b.id, Accepted: true}) })
 		if err != nil || len(d.Handles) != 1 {
 			t.Fatalf("slow leader: %v, %v", d, err)
 		}
@@ -47,7 +47,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		j := newSubmissions()
 		b := j.add("leader")
-		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id}) })
+		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesAdmission{ID: b.id}) })
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want errLeaderLost", err)
 		}
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -181,7 +181,7 @@
 func (l *leaders) submit(o taskOwner, m *wire.StagesSubmit) {
 	c := l.get(m.Cell)
 	if c == nil {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, RetryAfter: time.Second.Milliseconds()})
+		_ = o.answer(wire.StagesAdmission{ID: m.ID, RetryAfter: time.Second.Milliseconds()})
 		return
 	}
 	now := time.Now()
@@ -204,7 +204,7 @@
 		by = latest
 	}
 	if retryAfter, ok := l.modelPools.admits(now, m.Model, by); !ok && l.placesCalls() {
-		_ = o.answer(wire.StagesVerdict{ID: m.ID, RetryAfter: retryAfter.Milliseconds(), Reason: noCapacityReason})
+		_ = o.answer(wire.StagesAdmission{ID: m.ID, RetryAfter: retryAfter.Milliseconds(), Reason: noCapacityReason})
 		return
 	}
 	c.mu.Lock()
@@ -218,7 +218,7 @@
 		c.modelRequests[verdict.ID] = request
 		c.scheduleTick()
 	}
-	_ = o.answer(wire.StagesVerdict{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), RetryAfter: verdict.RetryAfter.Milliseconds()})
+	_ = o.answer(wire.StagesAdmission{ID: m.ID, Accepted: verdict.Accepted, Finish: verdict.Finish.Milliseconds(), RetryAfter: verdict.RetryAfter.Milliseconds()})
 	c.execute(actions)
 }
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -272,8 +272,8 @@
 		n.leaders.release(taskKey{from.Node, from.Incarnation, m.ID}, m.Placement)
 	case *wire.StagesPing:
 		known := n.leaders.knows(taskKey{from.Node, from.Incarnation, m.ID})
-		_ = answer(wire.StagesVerdict{ID: m.ID, Accepted: known})
-	case *wire.StagesVerdict:
+		_ = answer(wire.StagesAdmission{ID: m.ID, Accepted: known})
+	case *wire.StagesAdmission:
 		n.submissions.deliverVerdict(m)
 	case *wire.StagesDone:
 		n.submissions.deliverResults(m)
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -96,7 +96,7 @@
 		n.log.Info(eventPoisonReceived, zap.Stringer("content", id))
 		n.failRefused(id)
 	}
-	for _, id := range out.Pardoned {
+	for _, id := range out.Cleared {
 		n.log.Info(eventPoisonPardoned, zap.Stringer("content", id))
 	}
 	n.sendReports(out.Reports)
@@ -248,7 +248,7 @@
 	checksum, updates := p.guard.NextUpdates(time.Now(), to, maxRefusalsPerMessage)
 	m.RefusedSum = checksum
 	for _, r := range updates {
-		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Remaining: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Count: r.Count, Pardoned: r.Pardoned})
+		m.Refused = append(m.Refused, wire.Refusal{Request: bytesOf(r.Request), Version: r.Version, Remaining: r.Remaining.Milliseconds(), Age: r.Age.Milliseconds(), Count: r.Count, Cleared: r.Cleared})
 	}
 	return m
 }
@@ -263,7 +263,7 @@
 			n.log.Warn(eventUnexpectedMessage, zap.String("node", m.Node), zap.Error(err))
 			continue
 		}
-		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Remaining) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Count, Pardoned: r.Pardoned})
+		received = append(received, poison.Refusal{Request: id, Version: r.Version, Remaining: time.Duration(r.Remaining) * time.Millisecond, Age: time.Duration(r.Age) * time.Millisecond, Count: r.Count, Cleared: r.Cleared})
 	}
 	return n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome {
 		return g.HandleGossip(now, m.Node, m.RefusedSum, received)
--- a/internal/node/signalgossip.go
+++ b/internal/node/signalgossip.go
@@ -61,15 +61,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limits := s.registry.Limits()
-	out := wire.RateLimits{Sum: limits.Sum()}
-	for _, u := range limits.Updates(time.Now(), to, maxUpdates) {
+	out := wire.RateLimits{Sum: limits.Checksum()}
+	for _, u := range limits.NextUpdates(time.Now(), to, maxUpdates) {
 		out.Updates = append(out.Updates, wire.RateLimit{Endpoint: u.Endpoint, Bounded: u.Rate.Bounded(), PerSecond: u.Rate.PerSecond(), Age: u.Age.Milliseconds()})
 	}
 	if out.Sum != 0 || len(out.Updates) > 0 {
 		m.RateLimits = &out
 	}
-	draining := wire.Draining{Sum: s.registry.Draining().Sum()}
-	for _, u := range s.registry.Draining().Updates(time.Now(), to, maxUpdates) {
+	draining := wire.Draining{Sum: s.registry.Draining().Checksum()}
+	for _, u := range s.registry.Draining().NextUpdates(time.Now(), to, maxUpdates) {
 		draining.Updates = append(draining.Updates, wire.DrainingEndpoint{Endpoint: u.Endpoint, Age: u.Age.Milliseconds()})
 	}
 	if draining.Sum != 0 || len(draining.Updates) > 0 {
@@ -96,7 +96,7 @@
 	now := time.Now()
 	n.signals.mu.Lock()
 	added := n.signals.registry.Draining().Merge(now, updates)
-	lacks := n.signals.registry.Draining().Differs(now, m.Node, in.Sum)
+	lacks := n.signals.registry.Draining().NeedsUpdate(now, m.Node, in.Sum)
 	n.signals.mu.Unlock()
 	n.drainingChanged(sourcePeer, added...)
 	return lacks
@@ -123,7 +123,7 @@
 	now := time.Now()
 	n.signals.mu.Lock()
 	changes := n.signals.registry.Limits().Merge(now, updates)
-	lacks := n.signals.registry.Limits().Differs(now, m.Node, in.Sum)
+	lacks := n.signals.registry.Limits().NeedsUpdate(now, m.Node, in.Sum)
 	n.signals.mu.Unlock()
 	n.limitsChanged(sourcePeer, changes...)
 	return lacks
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -44,7 +44,7 @@
 
 // serveStream runs the stages of a request and forwards the events of its response.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, q *request) {
-	n.budget.Fresh(q.arrived, q.service, 1)
+	n.budget.AddRequests(q.arrived, q.service, 1)
 	if n.rejectIfBackedOff(w, q, q.backoffEndLimit()) {
 		return
 	}
--- a/internal/node/submissions.go
+++ b/internal/node/submissions.go
@@ -74,7 +74,7 @@
 type submission struct {
 	id       uint64
 	address  string
-	verdicts chan *wire.StagesVerdict
+	verdicts chan *wire.StagesAdmission
 	dones    chan *wire.StagesDone
 	broken   chan struct{}
 }
@@ -88,7 +88,7 @@
 	defer s.mu.Unlock()
 	s.lastID++
 	sub := &submission{
-		id: s.lastID, address: address, verdicts: make(chan *wire.StagesVerdict, 1),
+		id: s.lastID, address: address, verdicts: make(chan *wire.StagesAdmission, 1),
 		dones: make(chan *wire.StagesDone, 1), broken: make(chan struct{}, 1),
 	}
 	s.open[sub.id] = sub
@@ -107,7 +107,7 @@
 	return s.open[id]
 }
 
-func (s *submissions) deliverVerdict(m *wire.StagesVerdict) {
+func (s *submissions) deliverVerdict(m *wire.StagesAdmission) {
 	if sub := s.find(m.ID); sub != nil {
 		trySend(sub.verdicts, m)
 	}
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -207,7 +207,7 @@
 	}
 	n.handleMessage(n.hello(), m, func(m wire.Message) error {
 		switch m := m.(type) {
-		case wire.StagesVerdict:
+		case wire.StagesAdmission:
 			n.submissions.deliverVerdict(&m)
 		case wire.StagesDone:
 			n.submissions.deliverResults(&m)
--- a/internal/wire/crashes.go
+++ b/internal/wire/crashes.go
@@ -7,18 +7,18 @@
 	Version   uint64
 	Remaining int64
 	Count     int
-	Pardoned  bool
+	Cleared   bool
 	// Age is the time since the first crash that counts against the request, in milliseconds.
 	Age int64
 }
 
 // EndpointCrash is a poison.Crash.
 type EndpointCrash struct {
-	Endpoint string
-	Address  string
-	Among    int
-	Sure     bool
-	Alive    bool
+	Endpoint    string
+	Address     string
+	ServiceSize int
+	Confirmed   bool
+	Alive       bool
 }
 
 // CrashReport is a poison.Report.
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -21,10 +21,10 @@
 	Started{ID: 1, Result: 2},
 	ExplainRequest{ID: 1, Subject: "s"},
 	ExplainResponse{ID: 1, Lines: []string{"l"}},
-	Gossip{Node: "n1", Refused: []Refusal{{Request: []byte("r"), Version: 2, Remaining: -5, Count: 3, Pardoned: true}}, RefusedSum: 1 << 63},
+	Gossip{Node: "n1", Refused: []Refusal{{Request: []byte("r"), Version: 2, Remaining: -5, Count: 3, Cleared: true}}, RefusedSum: 1 << 63},
 	Gossip{Node: "n1", Draining: &Draining{Sum: 7, Updates: []DrainingEndpoint{{Endpoint: "e", Age: 3}}}},
 	Gossip{Node: "n1", RateLimits: &RateLimits{Sum: 1 << 63, Updates: []RateLimit{{Endpoint: "e", Bounded: true, PerSecond: 0.5, Age: 3}, {Endpoint: "f"}}}},
-	CrashReports{Reports: []CrashReport{{Request: []byte("r"), Served: true, Crashes: []EndpointCrash{{Endpoint: "e", Address: "a", Among: 3, Sure: true, Alive: true}}}}},
+	CrashReports{Reports: []CrashReport{{Request: []byte("r"), Served: true, Crashes: []EndpointCrash{{Endpoint: "e", Address: "a", ServiceSize: 3, Confirmed: true, Alive: true}}}}},
 }
 
 // TestOtherVersions checks that heartbeats of nodes of other versions are accepted: those of an
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -20,7 +20,7 @@
 	kindExplainRequest
 	kindExplainResponse
 	kindStagesSubmit
-	kindStagesVerdict
+	kindStagesAdmission
 	kindStagesDone
 	kindStagesRelease
 	kindViewRequest
@@ -199,7 +199,7 @@
 // since the previous snapshot on this connection and therefore omitted; sending the full lists
 // every second would take 40 kB/s at 380 nodes.
 type Snapshot struct {
-	Same      bool
+	Unchanged bool
 	Config    ConfigFile
 	Entries   []Entry
 	Endpoints []Endpoint
@@ -268,8 +268,8 @@
 		return &ExplainResponse{}
 	case kindStagesSubmit:
 		return &StagesSubmit{}
-	case kindStagesVerdict:
-		return &StagesVerdict{}
+	case kindStagesAdmission:
+		return &StagesAdmission{}
 	case kindStagesDone:
 		return &StagesDone{}
 	case kindStagesRelease:
--- a/internal/wire/stages.go
+++ b/internal/wire/stages.go
@@ -55,8 +55,8 @@
 	Tokens int
 }
 
-// StagesVerdict is the immediate answer to a StagesSubmit.
-type StagesVerdict struct {
+// StagesAdmission is the immediate answer to a StagesSubmit.
+type StagesAdmission struct {
 	ID       uint64
 	Accepted bool
 	// Finish is the predicted time until the results are available, and RetryAfter the delay
@@ -168,10 +168,10 @@
 	EvacuatedRevision uint64
 }
 
-func (StagesSubmit) kind() kind  { return kindStagesSubmit }
-func (StagesVerdict) kind() kind { return kindStagesVerdict }
-func (StagesDone) kind() kind    { return kindStagesDone }
-func (StagesRelease) kind() kind { return kindStagesRelease }
-func (StagesPing) kind() kind    { return kindStagesPing }
-func (ViewRequest) kind() kind   { return kindViewRequest }
-func (View) kind() kind          { return kindView }
+func (StagesSubmit) kind() kind    { return kindStagesSubmit }
+func (StagesAdmission) kind() kind { return kindStagesAdmission }
+func (StagesDone) kind() kind      { return kindStagesDone }
+func (StagesRelease) kind() kind   { return kindStagesRelease }
+func (StagesPing) kind() kind      { return kindStagesPing }
+func (ViewRequest) kind() kind     { return kindViewRequest }
+func (View) kind() kind            { return kindView }
