--- a/internal/core/intake/bound.go
+++ b/internal/core/intake/bound.go
@@ -37,8 +37,8 @@
 	if c.PerSecond <= 0 {
 		return Rate{}
 	}
-	most := max(c.Excess, 1)*c.PerSecond + c.Slack
-	return Rate{perSecond: min(coldRateShare*c.PerSecond, coldPeakShare*most), bounded: true}
+	peak := max(c.Excess, 1)*c.PerSecond + c.Slack
+	return Rate{perSecond: min(coldRateShare*c.PerSecond, coldPeakShare*peak), bounded: true}
 }
 
 // Bound is the time-dependent limit on the requests per second that an endpoint gets from all nodes
@@ -76,7 +76,7 @@
 }
 
 // rampedLimit returns the advertised limit, or the lower rate that the ramp has reached. The rate
-// rises in steps, since the turns of a node move whenever it changes.
+// rises in steps, since the time slots of a node move whenever it changes.
 func (b Bound) rampedLimit(now time.Time) Rate {
 	r := b.limit
 	if r.bounded {
--- a/internal/core/intake/cold_test.go
+++ b/internal/core/intake/cold_test.go
@@ -23,7 +23,7 @@
 const (
 	coldPerSecond = 10.0
 	coldTime      = 3 * time.Second
-	calmRate      = 219.0
+	normalRate    = 219.0
 	burst         = 2.5
 	fleet         = 90
 	returning     = 3
@@ -34,7 +34,7 @@
 // maxPerAnySecond is how many requests a cold endpoint may get in any second.
 const maxPerAnySecond = 20
 
-// manyNodes is a number of nodes among which a node has no turn for hours.
+// manyNodes is a number of nodes among which a node has no time slot for hours.
 const manyNodes = 1 << 20
 
 // strategy is a way to divide the rate of a cold endpoint among nodes.
@@ -144,11 +144,11 @@
 	}
 	switch {
 	case w.scenario.byLeader && w.leads(node):
-		crowded := time.Time{}
+		contendedUntil := time.Time{}
 		if w.scenario.leaderLost && node == w.scenario.partitions {
-			crowded = since.Add(coldTime)
+			contendedUntil = since.Add(coldTime)
 		}
-		return intake.NewPace(bound, intake.LeaderShare(placing, 1, 1, crowded))
+		return intake.NewPace(bound, intake.LeaderShare(placing, 1, 1, contendedUntil))
 	case w.strategy == shares:
 		return intake.NewPace(bound, intake.NodeShare(placing, node, w.nodes, endpoint))
 	case w.strategy == singleOwner && int(hash.Of(endpoint)%uint64(w.nodes)) == node:
@@ -178,7 +178,7 @@
 
 // run simulates the restart of the endpoints in a burst, for 1.5 times as long as they are cold.
 func (w *world) run() {
-	const perSecond = calmRate * burst
+	const perSecond = normalRate * burst
 	for now := w.start.Add(-time.Second); now.Before(w.start.Add(coldTime * 3 / 2)); now = now.Add(time.Duration(w.rand.ExpFloat64() / perSecond * float64(time.Second))) {
 		for len(w.completions) > 0 && !w.completions[0].at.After(now) {
 			e := heap.Pop(&w.completions).(completion)
@@ -245,8 +245,8 @@
 				for seed := range uint64(seeds) {
 					w := newWorld(seed, nodes, how, c)
 					w.run()
-					most, mean := w.busiest()
-					highest, sum, unserved = max(highest, most), sum+mean, unserved+w.unserved
+					peak, mean := w.busiest()
+					highest, sum, unserved = max(highest, peak), sum+mean, unserved+w.unserved
 				}
 				t.Logf("%-22s %3d nodes, %-9v: at most %3d in a second, %5.2f on average, %d unserved", c.name, nodes, how, highest, sum/seeds, unserved)
 				if highest > maxPerAnySecond {
--- a/internal/core/intake/connections.go
+++ b/internal/core/intake/connections.go
@@ -15,11 +15,11 @@
 
 // NewConnections divides an endpoint's maximum number of connections among the nodes that send to
 // it; a maximum of 0 is no limit.
-func NewConnections(most, nodes int) Connections {
-	if most <= 0 {
+func NewConnections(maxConns, nodes int) Connections {
+	if maxConns <= 0 {
 		return Connections{}
 	}
-	return Connections{perNode: idleShare * float64(most) / float64(max(nodes, 1)), bounded: true}
+	return Connections{perNode: idleShare * float64(maxConns) / float64(max(nodes, 1)), bounded: true}
 }
 
 // MayKeep reports whether a connection may stay open after its request. open is the number of
--- a/internal/core/intake/connections_test.go
+++ b/internal/core/intake/connections_test.go
@@ -10,10 +10,10 @@
 // TestConnections guards against nodes that together keep more connections open than an endpoint
 // accepts, or none. All nodes open connections to one endpoint in a burst.
 func TestConnections(t *testing.T) {
-	const most, burst = 50, 8
+	const maxConns, burst = 50, 8
 	draw := rand.New(rand.NewPCG(1, 2))
 	for _, nodes := range []int{1, 7, 59, 295} {
-		c := intake.NewConnections(most, nodes)
+		c := intake.NewConnections(maxConns, nodes)
 		kept := 0
 		for range nodes {
 			for open := range burst {
@@ -23,8 +23,8 @@
 			}
 		}
 		t.Logf("%d nodes keep %d", nodes, kept)
-		if kept > most || kept == 0 {
-			t.Errorf("%d nodes keep %d connections, want between 1 and %d", nodes, kept, most)
+		if kept > maxConns || kept == 0 {
+			t.Errorf("%d nodes keep %d connections, want between 1 and %d", nodes, kept, maxConns)
 		}
 	}
 	if !intake.NewConnections(0, 3).MayKeep(1000, 1) {
--- a/internal/core/intake/doc.go
+++ b/internal/core/intake/doc.go
@@ -9,7 +9,7 @@
 //
 // Nodes do not coordinate before they send. Instead, a bound is divided in advance (Share): if one
 // node places requests for all others, it gets a large share, and the rest is divided evenly among
-// all nodes, each with time slots ("turns") of its own. The rate at which a node may send to one
+// all nodes, each with time slots of its own. The rate at which a node may send to one
 // endpoint follows from the bound and the share (Pace), and from what it has recently sent there
 // (Sends). The shares add up to less than the bound. This leaves room for a second leader, which
 // may be active for a moment after one was lost, and for requests that arrive closer together than
--- a/internal/core/intake/limitworld_test.go
+++ b/internal/core/intake/limitworld_test.go
@@ -204,13 +204,13 @@
 // gossip sends a node's updates to another node, which answers with those that the sender lacks.
 func (w *limitWorld) gossip(now time.Time, from, to int) {
 	a := w.nodes[from]
-	news, sum := a.limits.NextUpdates(now, name(to), maxUpdates), a.limits.Checksum()
+	updates, sum := a.limits.NextUpdates(now, name(to), maxUpdates), a.limits.Checksum()
 	w.at(now.Add(2*time.Millisecond), func(now time.Time) {
 		b := w.nodes[to]
 		if b.down || a.partition != b.partition {
 			return
 		}
-		w.markChanged(b, len(b.limits.Merge(now, news)) > 0)
+		w.markChanged(b, len(b.limits.Merge(now, updates)) > 0)
 		if b.limits.NeedsUpdate(now, name(from), sum) {
 			w.markChanged(a, len(a.limits.Merge(now, b.limits.NextUpdates(now, name(from), maxUpdates))) > 0)
 		}
@@ -280,8 +280,8 @@
 		return
 	}
 	rate := intake.Rate{}
-	if named := w.script.limitAt(now.Sub(w.start)); i < w.script.limited && named >= 0 {
-		rate, _ = intake.NewRate(named)
+	if limit := w.script.limitAt(now.Sub(w.start)); i < w.script.limited && limit >= 0 {
+		rate, _ = intake.NewRate(limit)
 		if _, ok := n.firstObserved[i]; !ok {
 			n.firstObserved[i] = now
 		}
@@ -292,7 +292,7 @@
 
 // check compares the requests that the limited endpoints got with their limits.
 func (w *limitWorld) check(t *testing.T, seed uint64) {
-	worst, worstAll, sent, named := 0.0, 0.0, 0, 0.0
+	worst, worstAll, sent, limits := 0.0, 0.0, 0, 0.0
 	for i, list := range w.arrivals {
 		for k := range list {
 			at := list[k].at.Sub(w.start)
@@ -300,16 +300,16 @@
 			if !ok {
 				continue
 			}
-			told, all := w.countInSpan(i, k)
-			if told > allowed {
-				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v from nodes that knew the limit, want at most %d", seed, at, i, told, intaketest.Span, allowed)
+			notified, all := w.countInSpan(i, k)
+			if notified > allowed {
+				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v from nodes that knew the limit, want at most %d", seed, at, i, notified, intaketest.Span, allowed)
 				return
 			}
 			if all > allowed {
 				t.Errorf("seed %d: %v: endpoint %d got %d requests in %v from all nodes, want at most %d", seed, at, i, all, intaketest.Span, allowed)
 				return
 			}
-			worst = max(worst, float64(told)/float64(allowed))
+			worst = max(worst, float64(notified)/float64(allowed))
 			worstAll = max(worstAll, float64(all)/float64(allowed))
 		}
 		for _, a := range list {
@@ -321,10 +321,10 @@
 	const step = 10 * time.Millisecond
 	for at := time.Duration(0); at < w.script.lasts; at += step {
 		if w.settled(at) {
-			named += w.script.limitAt(at) * step.Seconds() * float64(w.script.limited)
+			limits += w.script.limitAt(at) * step.Seconds() * float64(w.script.limited)
 		}
 	}
-	used := float64(sent) / named
+	used := float64(sent) / limits
 	t.Logf("seed %d: at most %.2f of the allowed requests (%.2f from all nodes), %.2f of the limits used, %d served, %d not", seed, worst, worstAll, used, w.served, w.unserved)
 	if used < w.script.minUsed {
 		t.Errorf("seed %d: %.2f of the limits used, want at least %.2f", seed, used, w.script.minUsed)
@@ -341,26 +341,26 @@
 	}
 }
 
-// countInSpan returns how many requests reached an endpoint in the span before request last: told
-// counts those of nodes that received the limit, and all those of all nodes not affected by faults.
-// The latter excludes requests from before the limit could reach all nodes, or within
+// countInSpan returns how many requests reached an endpoint in the span before request last:
+// notified counts those of nodes that received the limit, and all those of all nodes not affected
+// by faults. The latter excludes requests from before the limit could reach all nodes, or within
 // intaketest.NodeReactionTime of its return.
-func (w *limitWorld) countInSpan(i, last int) (told, all int) {
+func (w *limitWorld) countInSpan(i, last int) (notified, all int) {
 	list := w.arrivals[i]
 	known := w.start.Add(w.script.limitChanges[0].at + intaketest.GracePeriod/2)
 	for k := last; k >= 0 && list[last].at.Sub(list[k].at) <= intaketest.Span; k-- {
 		if list[k].faulty || w.script.limitAt(list[k].at.Sub(w.start)) < 0 {
 			continue
 		}
-		heard, ok := w.nodes[list[k].node].firstObserved[i]
-		if ok && list[k].at.Sub(heard) >= intaketest.NodeReactionTime {
-			told++
+		observedAt, ok := w.nodes[list[k].node].firstObserved[i]
+		if ok && list[k].at.Sub(observedAt) >= intaketest.NodeReactionTime {
+			notified++
 		}
 		if list[k].at.After(known) && w.script.limitAt(list[k].at.Sub(w.start)-intaketest.NodeReactionTime) >= 0 {
 			all++
 		}
 	}
-	return told, all
+	return notified, all
 }
 
 // settled reports whether the endpoints have advertised the same limit for long enough that all of
@@ -373,21 +373,21 @@
 // slowestRecovery returns the time from the end of the last limit until every limited endpoint has
 // got most of an even share of the traffic in one second.
 func (w *limitWorld) slowestRecovery() time.Duration {
-	const most = 0.8
+	const minShare = 0.8
 	changes := w.script.limitChanges
 	ended := w.start.Add(changes[len(changes)-1].at)
-	share := int(most * w.script.traffic / float64(w.script.endpoints))
+	share := int(minShare * w.script.traffic / float64(w.script.endpoints))
 	slowest := time.Duration(0)
 	for _, list := range w.arrivals {
-		returned := w.script.lasts
+		recovery := w.script.lasts
 		for k := share - 1; k < len(list); k++ {
 			at := list[k].at
 			if list[k-share+1].at.After(ended) && at.Sub(list[k-share+1].at) <= time.Second {
-				returned = at.Sub(ended)
+				recovery = at.Sub(ended)
 				break
 			}
 		}
-		slowest = max(slowest, returned)
+		slowest = max(slowest, recovery)
 	}
 	return slowest
 }
--- a/internal/core/intake/pace.go
+++ b/internal/core/intake/pace.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// turnWindow is how long a turn may be used after it begins. Turns that never expired could all
-	// be used at the same moment: 295 nodes that had nothing to send for a while would send 295
-	// requests at once to an endpoint that accepts one per second.
-	turnWindow = 1500 * time.Millisecond
+	// timeSlotLifetime is how long a time slot may be used after it begins. Slots that never expired
+	// could all be used at the same moment: 295 nodes that had nothing to send for a while would
+	// send 295 requests at once to an endpoint that accepts one per second.
+	timeSlotLifetime = 1500 * time.Millisecond
 	// burstWindow is the period whose requests may be sent at once.
 	burstWindow = 250 * time.Millisecond
 	// maxInterval is the interval that stands for a rate of zero.
@@ -51,9 +51,11 @@
 // burst returns how many requests may be sent at once.
 func burst(perSecond float64) float64 { return 1 + perSecond*burstWindow.Seconds() }
 
-// usesTurns reports whether the interval is so long that the node has to keep to its turns. If all
-// nodes saved up requests, together they would exceed what the endpoint accepts.
-func (p Pace) usesTurns(gap time.Duration) bool { return p.share.nodes > 1 && gap > turnWindow }
+// usesTimeSlots reports whether the interval is so long that the node has to keep to its time
+// slots. If all nodes saved up requests, together they would exceed what the endpoint accepts.
+func (p Pace) usesTimeSlots(gap time.Duration) bool {
+	return p.share.nodes > 1 && gap > timeSlotLifetime
+}
 
 // Due reports whether a request may be sent now.
 func (p Pace) Due(now time.Time, s *Sends) bool {
@@ -65,15 +67,15 @@
 // after one.
 func (p Pace) Advertised() bool { return p.bound.limit.bounded || p.bound.rampFrom > 0 }
 
-// HasTimeSlot reports whether the node now has a turn, which soon expires, at an endpoint that
-// advertises a rate limit. Turns at cold endpoints don't count and may go unused: a cold endpoint
-// is slow, and others serve better.
+// HasTimeSlot reports whether the node now has a time slot, which soon expires, at an endpoint that
+// advertises a rate limit. Time slots at cold endpoints don't count and may go unused: a cold
+// endpoint is slow, and others serve better.
 func (p Pace) HasTimeSlot(now time.Time, s *Sends) bool {
 	if !p.bound.rampedLimit(now).Bounded() || now.Before(p.bound.coldUntil) {
 		return false
 	}
 	r, _ := p.rate(now)
-	return p.usesTurns(interval(r)) && !p.nextSend(now, r, s).After(now)
+	return p.usesTimeSlots(interval(r)) && !p.nextSend(now, r, s).After(now)
 }
 
 // Next returns when the next request may be sent, as far as is known now.
@@ -103,23 +105,24 @@
 func (p Pace) nextSend(now time.Time, perSecond float64, s *Sends) time.Time {
 	gap := interval(perSecond)
 	drained := s.nextBelow(now, max(int(perSecond*historyWindow.Seconds()+burst(perSecond)), 1))
-	if p.usesTurns(gap) {
-		return later(drained, p.nextTurn(now, gap, s))
+	if p.usesTimeSlots(gap) {
+		return later(drained, p.nextTimeSlot(now, gap, s))
 	}
 	return later(drained, s.nextSpaced(gap, burst(perSecond)))
 }
 
-// nextTurn returns now if the node has an unused turn, otherwise the start of its next one. Turns
-// are derived from the time of day, on which all nodes nearly agree. They move when the rate, the
-// number of nodes or a clock changes, so a turn that comes too soon after the last send is skipped.
-func (p Pace) nextTurn(now time.Time, gap time.Duration, s *Sends) time.Time {
+// nextTimeSlot returns now if the node has an unused time slot, otherwise the start of its next one.
+// Time slots are derived from the time of day, on which all nodes nearly agree. They move when the
+// rate, the number of nodes or a clock changes, so a slot that comes too soon after the last send is
+// skipped.
+func (p Pace) nextTimeSlot(now time.Time, gap time.Duration, s *Sends) time.Time {
 	seconds := gap.Seconds()
-	offset := seconds * float64(p.share.turn) / float64(p.share.nodes)
+	offset := seconds * float64(p.share.timeSlot) / float64(p.share.nodes)
 	into := math.Mod(float64(now.UnixNano())/float64(time.Second)-offset, seconds)
 	began := now.Add(-time.Duration(into * float64(time.Second)))
 	spaced := min(gap, s.next.Sub(s.last))
-	soon := now.Sub(s.last) < max(spaced/2, spaced-turnWindow)
-	if s.last.Before(began) && !soon && now.Sub(began) < turnWindow {
+	soon := now.Sub(s.last) < max(spaced/2, spaced-timeSlotLifetime)
+	if s.last.Before(began) && !soon && now.Sub(began) < timeSlotLifetime {
 		return now
 	}
 	return began.Add(gap)
--- a/internal/core/intake/rate.go
+++ b/internal/core/intake/rate.go
@@ -19,7 +19,7 @@
 }
 
 // ErrInvalidRate is the error of a number that is not a valid rate.
-var ErrInvalidRate = errors.New("a rate is a number of requests a second, 0 or above")
+var ErrInvalidRate = errors.New("rate must be a non-negative number of requests per second")
 
 // NewRate returns a rate in requests per second. The error wraps ErrInvalidRate.
 func NewRate(perSecond float64) (Rate, error) {
--- a/internal/core/intake/sends.go
+++ b/internal/core/intake/sends.go
@@ -6,9 +6,9 @@
 	// historyWindow is how far back sends are counted. Requests sent just before an endpoint
 	// advertised a limit count too, since it is still processing them.
 	historyWindow = 5 * time.Second
-	// slotWidth is the resolution of the counts.
-	slotWidth = 250 * time.Millisecond
-	slotCount = int(historyWindow / slotWidth)
+	// bucketWidth is the resolution of the counts.
+	bucketWidth = 250 * time.Millisecond
+	bucketCount = int(historyWindow / bucketWidth)
 )
 
 // Sends records the requests that one node has recently sent to one endpoint. The zero value is
@@ -17,11 +17,11 @@
 	last time.Time
 	// next is when the next request is due if requests are evenly spaced.
 	next time.Time
-	// counts holds the number of sends per slot of slotWidth since first, the time of the first
-	// send. newest is the latest slot.
+	// counts holds the number of sends per bucket of bucketWidth since first, the time of the first
+	// send. newest is the latest bucket.
 	first  time.Time
 	newest int64
-	counts [slotCount]uint16
+	counts [bucketCount]uint16
 }
 
 // Add records a request that is sent now at the given pace.
@@ -35,16 +35,16 @@
 		s.first = now
 	}
 	s.advance(now)
-	s.counts[s.newest%int64(slotCount)]++
+	s.counts[s.newest%int64(bucketCount)]++
 }
 
-// advance clears the slots that are older than historyWindow.
+// advance clears the buckets that are older than historyWindow.
 func (s *Sends) advance(now time.Time) {
-	slot := max(int64(now.Sub(s.first)/slotWidth), s.newest)
-	for k := s.newest + 1; k <= slot && k <= s.newest+int64(slotCount); k++ {
-		s.counts[k%int64(slotCount)] = 0
+	bucket := max(int64(now.Sub(s.first)/bucketWidth), s.newest)
+	for k := s.newest + 1; k <= bucket && k <= s.newest+int64(bucketCount); k++ {
+		s.counts[k%int64(bucketCount)] = 0
 	}
-	s.newest = slot
+	s.newest = bucket
 }
 
 // nextBelow returns the first time at which fewer than limit requests lie within historyWindow.
@@ -54,10 +54,10 @@
 	}
 	s.advance(now)
 	sum := 0
-	for k := s.newest; k > s.newest-int64(slotCount) && k >= 0; k-- {
-		sum += int(s.counts[k%int64(slotCount)])
+	for k := s.newest; k > s.newest-int64(bucketCount) && k >= 0; k-- {
+		sum += int(s.counts[k%int64(bucketCount)])
 		if sum >= limit {
-			return s.first.Add(time.Duration(k+int64(slotCount)) * slotWidth)
+			return s.first.Add(time.Duration(k+int64(bucketCount)) * bucketWidth)
 		}
 	}
 	return now
@@ -67,9 +67,9 @@
 // bursts of the given size.
 func (s *Sends) nextSpaced(gap time.Duration, burst float64) time.Time {
 	early := s.next.Add(-time.Duration((burst - 1) * float64(gap)))
-	if alone := s.last.Add(gap); alone.Before(early) {
+	if spaced := s.last.Add(gap); spaced.Before(early) {
 		// The rate has risen since.
-		return alone
+		return spaced
 	}
 	return early
 }
--- a/internal/core/intake/share.go
+++ b/internal/core/intake/share.go
@@ -6,7 +6,7 @@
 	"gradetiller.example/internal/core/hash"
 )
 
-// Placement says who chooses the endpoints of a service.
+// Placement states which nodes choose the endpoints of a service.
 type Placement int
 
 // Placements.
@@ -44,9 +44,9 @@
 	fraction float64
 	// contendedUntil is the time until which only contendedFraction of the share is used.
 	contendedUntil time.Time
-	// nodes is the number of nodes that share the bound in turns, and turn is this node's position
-	// among them.
-	nodes, turn int
+	// nodes is the number of nodes that share the bound, each in time slots of its own, and timeSlot
+	// is the position of this node's slots among them.
+	nodes, timeSlot int
 }
 
 // LeaderShare returns the share of a node that leads some of all cells. Until contendedUntil,
@@ -56,12 +56,12 @@
 }
 
 // NodeShare returns the share of one of all nodes for an endpoint, given its rank in an order that
-// all nodes agree on. The ranks are rotated by endpoint, so that a node doesn't have all its turns
-// at once.
+// all nodes agree on. The ranks are rotated by endpoint, so that a node doesn't have all its time
+// slots at once.
 func NodeShare(p Placement, rank, nodes int, endpoint string) Share {
 	nodes = max(nodes, 1)
-	turn := (uint64(rank) + hash.Of(endpoint)) % uint64(nodes)
-	return Share{fraction: p.fractions().nodes, nodes: nodes, turn: int(turn)}
+	slot := (uint64(rank) + hash.Of(endpoint)) % uint64(nodes)
+	return Share{fraction: p.fractions().nodes, nodes: nodes, timeSlot: int(slot)}
 }
 
 // rate returns how many requests per second of a bound belong to this share.
--- a/internal/core/place/pool.go
+++ b/internal/core/place/pool.go
@@ -131,7 +131,7 @@
 	if len(p.endpoints) == 0 {
 		return None, false
 	}
-	if i := p.expiringTurn(now, req); i != None {
+	if i := p.expiringTimeSlot(now, req); i != None {
 		return i, true
 	}
 	choose := p.policy
--- a/internal/core/place/sendallowance.go
+++ b/internal/core/place/sendallowance.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// expiringTurn returns an endpoint at which this node has a send turn that is about to expire
-// unused, or None. These turns take precedence over the policy: when the policy alone decided, 295
+// expiringTimeSlot returns an endpoint at which this node has a time slot that is about to expire
+// unused, or None. These slots take precedence over the policy: when the policy alone decided, 295
 // nodes used a tenth of the rate limit of such an endpoint while other endpoints had capacity, and
 // for 30 s no node noticed that the limit had been lifted.
-func (p *Pool) expiringTurn(now time.Time, req Request) int {
+func (p *Pool) expiringTimeSlot(now time.Time, req Request) int {
 	if !p.rateLimited {
 		return None
 	}
--- a/internal/core/stagepool/backoff_test.go
+++ b/internal/core/stagepool/backoff_test.go
@@ -25,7 +25,7 @@
 			w.load(10, 2*time.Second, 1900*time.Millisecond)
 			from := w.now
 			w.backoff(prefix, long)
-			taken := w.load(10, 8*time.Second, 1900*time.Millisecond)
+			admitted := w.load(10, 8*time.Second, 1900*time.Millisecond)
 			for _, e := range w.listed() {
 				if !strings.HasPrefix(e.ID, prefix) {
 					continue
@@ -47,7 +47,7 @@
 					t.Errorf("%s got nothing in the two seconds after its backoff", e.ID)
 				}
 			}
-			for _, id := range taken {
+			for _, id := range admitted {
 				_, done := w.done[id]
 				if _, failed := w.failed[id]; !done && !failed {
 					t.Errorf("task %d ended without an answer", id)
@@ -63,14 +63,14 @@
 	w := newWorld(t, 7, 3)
 	deadline := w.now.Add(6 * time.Second)
 	stages := []Stage{{Service: "tag", Pieces: 1}, {Service: "bill", Pieces: 1, After: []int{0}}}
-	verdict, actions := w.pool.Submit(w.now, Task{RequestID: "r", SoftDeadline: w.now.Add(5 * time.Second), Deadline: deadline, Stages: stages})
-	if !verdict.Accepted {
+	admission, actions := w.pool.Submit(w.now, Task{RequestID: "r", SoftDeadline: w.now.Add(5 * time.Second), Deadline: deadline, Stages: stages})
+	if !admission.Accepted {
 		t.Fatal("rejected")
 	}
 	w.carryOut(actions)
 	w.backoff("bill", 30*time.Second)
 	w.run(2 * time.Second)
-	if _, failed := w.failed[verdict.ID]; !failed {
+	if _, failed := w.failed[admission.ID]; !failed {
 		t.Errorf("task has not failed %v before its deadline", deadline.Sub(w.now))
 	}
 }
@@ -85,14 +85,14 @@
 		t.Fatalf("closed %t until %v", closed, at.Sub(w.now))
 	}
 	task := Task{RequestID: "r", SoftDeadline: w.now.Add(2 * time.Second), Deadline: w.now.Add(9 * time.Second), Stages: []Stage{{Service: "tag", Pieces: 1}}}
-	verdict, _ := w.pool.Submit(w.now, task)
-	if verdict.Accepted || verdict.RetryAfter != 5*time.Second {
-		t.Errorf("accepted %t, retry after %v; want a rejection until the end of the backoffs", verdict.Accepted, verdict.RetryAfter)
+	admission, _ := w.pool.Submit(w.now, task)
+	if admission.Accepted || admission.RetryAfter != 5*time.Second {
+		t.Errorf("accepted %t, retry after %v; want a rejection until the end of the backoffs", admission.Accepted, admission.RetryAfter)
 	}
 	// A task whose soft deadline is well after the end of the backoff is admitted.
 	task.SoftDeadline = w.now.Add(30 * time.Second)
 	task.Deadline = task.SoftDeadline
-	if verdict, _ := w.pool.Submit(w.now, task); !verdict.Accepted || verdict.Finish < 5*time.Second {
-		t.Errorf("accepted %t, finish %v; want admission with a finish after the backoffs", verdict.Accepted, verdict.Finish)
+	if admission, _ := w.pool.Submit(w.now, task); !admission.Accepted || admission.Finish < 5*time.Second {
+		t.Errorf("accepted %t, finish %v; want admission with a finish after the backoffs", admission.Accepted, admission.Finish)
 	}
 }
--- a/internal/core/stagepool/batchsplit_test.go
+++ b/internal/core/stagepool/batchsplit_test.go
@@ -12,20 +12,20 @@
 // piece of the given request, and come back later. It also returns the number of crashes so far.
 func newCrashWorld(t *testing.T, service, request string) (*world, *int) {
 	w := newWorld(t, 1, 5)
-	ends := new(int)
+	crashes := new(int)
 	w.crashes = func(c StartCall) bool {
 		if c.Service != service {
 			return false
 		}
 		for _, it := range c.Items {
 			if it.RequestID == request {
-				*ends++
+				*crashes++
 				return true
 			}
 		}
 		return false
 	}
-	return w, ends
+	return w, crashes
 }
 
 // burst submits n tasks at once.
@@ -50,18 +50,18 @@
 // later one. It may crash three endpoints, each time in a batch of at most half as many tasks, and
 // fails; all others complete.
 func TestBrokenBatchesAreSplitUntilTheCauseIsAlone(t *testing.T) {
-	const deadly = 7
+	const crashing = 7
 	for _, service := range []string{"tag", "bill", "print"} {
 		t.Run(service, func(t *testing.T) {
-			w, ends := newCrashWorld(t, service, fmt.Sprintf("r%d", deadly))
+			w, crashes := newCrashWorld(t, service, fmt.Sprintf("r%d", crashing))
 			ids := w.burst(16)
 			w.run(14 * time.Second)
-			if *ends != maxConsecutiveBreaks {
-				t.Errorf("%d endpoints crashed, want %d", *ends, maxConsecutiveBreaks)
+			if *crashes != maxConsecutiveBreaks {
+				t.Errorf("%d endpoints crashed, want %d", *crashes, maxConsecutiveBreaks)
 			}
 			for i, id := range ids {
 				_, done := w.done[id]
-				if done == (i == deadly) {
+				if done == (i == crashing) {
 					t.Errorf("task %d: done %v, failed %q", i, done, w.failed[id])
 				}
 			}
--- a/internal/core/stagepool/bench_test.go
+++ b/internal/core/stagepool/bench_test.go
@@ -25,13 +25,13 @@
 				}
 			}
 			p.Configure(now, testServices, endpoints)
-			patient := Task{Key: "k", Stages: testStages, SoftDeadline: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
+			task := Task{Key: "k", Stages: testStages, SoftDeadline: now.Add(time.Hour), Deadline: now.Add(time.Hour)}
 			for range perService + waiting {
-				p.Submit(now, patient)
+				p.Submit(now, task)
 			}
 			b.ResetTimer()
 			for range b.N {
-				v, _ := p.Submit(now, patient)
+				v, _ := p.Submit(now, task)
 				if !v.Accepted {
 					b.Fatal("the task was rejected")
 				}
--- a/internal/core/stagepool/completion.go
+++ b/internal/core/stagepool/completion.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func (p *Pool) itemDone(now time.Time, c *call, ref itemRef, r ItemResult, ending CallStatus) {
+func (p *Pool) itemDone(now time.Time, c *call, ref itemRef, r ItemResult, callStatus CallStatus) {
 	w := c.endpoint
 	st := &ref.task.stages[ref.stage]
 	if r.Status == Made {
@@ -134,7 +134,7 @@
 	}
 	switch r.Status {
 	case NoRoom:
-		if ending == Answered {
+		if callStatus == Answered {
 			p.counters.NoRoom++
 			w.observeFull(now, ref.bytes)
 		}
@@ -148,7 +148,7 @@
 		return
 	}
 	if st.results[ref.piece] == nil {
-		p.requeue(now, ref, retryCostOf(r.Status, ending))
+		p.requeue(now, ref, retryCostOf(r.Status, callStatus))
 	}
 }
 
@@ -177,11 +177,11 @@
 	countedRetry
 )
 
-func retryCostOf(r ItemStatus, ending CallStatus) retryCost {
+func retryCostOf(r ItemStatus, callStatus CallStatus) retryCost {
 	switch {
 	case r == NoRoom:
 		return freeRetry
-	case ending == ConnectionBroken:
+	case callStatus == ConnectionBroken:
 		return budgetedRetry
 	}
 	return countedRetry
--- a/internal/core/stagepool/dispatch.go
+++ b/internal/core/stagepool/dispatch.go
@@ -127,8 +127,8 @@
 		if len(times) == 0 {
 			continue
 		}
-		turn := ahead[e.home] / s.conf.Batch
-		start := times[turn%len(times)].Add(time.Duration(turn/len(times)) * full)
+		round := ahead[e.home] / s.conf.Batch
+		start := times[round%len(times)].Add(time.Duration(round/len(times)) * full)
 		e.waitsForHome = !start.After(e.homeWaitUntil) && now.Before(e.homeWaitUntil)
 		ahead[e.home] += len(e.task.stages[e.stage].unassigned)
 	}
@@ -185,10 +185,10 @@
 	if t.Domain != "" && slices.Contains(t.finalStages(), i) {
 		bytes[t.Domain] += st.ResultBytes * int64(st.Pieces)
 	}
-	home, most := "", int64(minLocalTransferBytes)
+	home, maxBytes := "", int64(minLocalTransferBytes)
 	for domain, n := range bytes {
-		if n > most || n == most && domain < home {
-			home, most = domain, n
+		if n > maxBytes || n == maxBytes && domain < home {
+			home, maxBytes = domain, n
 		}
 	}
 	return home
--- a/internal/core/stagepool/doc.go
+++ b/internal/core/stagepool/doc.go
@@ -14,7 +14,7 @@
 //
 //	p := stagepool.New(stagepool.WithRetryBudget(b))
 //	p.Configure(now, services, endpoints)
-//	verdict, actions := p.Submit(now, task)
+//	admission, actions := p.Submit(now, task)
 //	actions = p.Done(now, call, outcome)
 //	actions = p.Release(now, id)
 //	actions = p.Tick(now)
--- a/internal/core/stagepool/endpoint.go
+++ b/internal/core/stagepool/endpoint.go
@@ -47,18 +47,20 @@
 	foreignUntil time.Time
 	// contendedUntil is the time until which other leaders are assumed to send calls too.
 	contendedUntil time.Time
-	leaving        bool
+	// leaving is true if the endpoint gets no more calls: it is draining, no longer listed, or was
+	// replaced by another one at its address.
+	leaving bool
 	// backoffUntil is the end of the backoff that the endpoint asked for.
 	backoffUntil time.Time
 	off          mechanism.Disabled
 	// pace limits all requests to the endpoint, and sends records those sent recently. pendingFrees
-	// are results to be freed, which occupy pendingFreeBytes until then; nextTurnFrees is true if
-	// the next permitted request is reserved for freeing them.
+	// are results to be freed, which occupy pendingFreeBytes until then; nextSendFrees is true if
+	// the next request that the pace permits is reserved for freeing them.
 	pace             intake.Pace
 	sends            intake.Sends
 	pendingFrees     []string
 	pendingFreeBytes int64
-	nextTurnFrees    bool
+	nextSendFrees    bool
 }
 
 func (w *endpoint) usableRoom() int64 {
@@ -102,7 +104,7 @@
 }
 
 func (w *endpoint) available(now time.Time) bool {
-	return !w.leaving && !w.inBackoff(now) && len(w.calls) < w.service.conf.Slots && !now.Before(w.suspendedUntil) && !w.nextTurnFrees && w.pace.Due(now, &w.sends)
+	return !w.leaving && !w.inBackoff(now) && len(w.calls) < w.service.conf.Slots && !now.Before(w.suspendedUntil) && !w.nextSendFrees && w.pace.Due(now, &w.sends)
 }
 
 // fastEnough reports whether the endpoint is not much slower than the fastest one, or is due for a
--- a/internal/core/stagepool/endpoint_test.go
+++ b/internal/core/stagepool/endpoint_test.go
@@ -51,7 +51,7 @@
 		last = room
 	}
 	if room := w.freeRoom(now.Add(4 * time.Second)); room != w.usableRoom() {
-		t.Errorf("after the life of a result room for %d bytes, want all %d", room, w.usableRoom())
+		t.Errorf("after the lifetime of a result room for %d bytes, want all %d", room, w.usableRoom())
 	}
 	// Finding no room again within that lifetime doesn't extend the estimate.
 	w.observeFull(now.Add(3*time.Second), big)
--- a/internal/core/stagepool/expired_test.go
+++ b/internal/core/stagepool/expired_test.go
@@ -73,10 +73,10 @@
 // restarts, the other one fails.
 func TestExpiredInputsAreNotSent(t *testing.T) {
 	x := newExpiryHarness(t)
-	submit := func(aim time.Duration) TaskID {
-		v, actions := x.pool.Submit(x.now, Task{RequestID: fmt.Sprint("aim ", aim), Key: "k", Stages: testStages[:2], SoftDeadline: x.now.Add(aim), Deadline: x.now.Add(time.Minute)})
+	submit := func(softDeadline time.Duration) TaskID {
+		v, actions := x.pool.Submit(x.now, Task{RequestID: fmt.Sprint("soft deadline ", softDeadline), Key: "k", Stages: testStages[:2], SoftDeadline: x.now.Add(softDeadline), Deadline: x.now.Add(time.Minute)})
 		if !v.Accepted {
-			t.Fatalf("the task with a soft deadline in %v is rejected", aim)
+			t.Fatalf("the task with a soft deadline in %v is rejected", softDeadline)
 		}
 		x.handle(actions)
 		return v.ID
@@ -84,29 +84,29 @@
 	submit(time.Minute)
 	x.advance(300 * time.Millisecond)
 	x.end("tag-0") // the first task now occupies bill-0
-	patient := submit(time.Minute)
+	inTime := submit(time.Minute)
 	x.advance(300 * time.Millisecond)
 	x.end("tag-0")
-	hurried := submit(3 * time.Second)
+	tooLate := submit(3 * time.Second)
 	x.advance(300 * time.Millisecond)
 	x.end("tag-0")
 	x.advance(4500 * time.Millisecond)
 	x.end("bill-0")
-	if reason, ok := x.failed[hurried]; !ok {
+	if reason, ok := x.failed[tooLate]; !ok {
 		t.Error("the task that can't be on time has not failed")
 	} else if reason != reasonExpiredInputs {
 		t.Errorf("the late task failed with %q", reason)
 	}
-	if reason, ok := x.failed[patient]; ok {
+	if reason, ok := x.failed[inTime]; ok {
 		t.Errorf("the other task failed: %s", reason)
 	}
-	again := 0
+	restarted := 0
 	for _, c := range x.calls {
 		if c.Endpoint == "tag-0" {
-			again += len(c.Items)
+			restarted += len(c.Items)
 		}
 	}
-	if again == 0 {
+	if restarted == 0 {
 		t.Error("the other task was not restarted")
 	}
 }
--- a/internal/core/stagepool/overrun.go
+++ b/internal/core/stagepool/overrun.go
@@ -32,7 +32,7 @@
 // depth returns the number of stages on the task's longest dependency chain, at most maxDepth.
 func (t *Task) depth() int {
 	depth := make([]int, len(t.Stages))
-	most := 0
+	deepest := 0
 	for i, s := range t.Stages {
 		if s.Pieces == 0 {
 			continue
@@ -41,7 +41,7 @@
 		for _, of := range s.After {
 			depth[i] = max(depth[i], depth[of]+1)
 		}
-		most = max(most, depth[i])
+		deepest = max(deepest, depth[i])
 	}
-	return min(most, maxDepth)
+	return min(deepest, maxDepth)
 }
--- a/internal/core/stagepool/overrun_test.go
+++ b/internal/core/stagepool/overrun_test.go
@@ -27,7 +27,7 @@
 
 // run applies the load to a pool with the given mechanisms disabled.
 func (l steadyLoad) run(t *testing.T, off mechanism.Disabled) outcomes {
-	const aim = 1900 * time.Millisecond
+	const softDeadline = 1900 * time.Millisecond
 	w := newWorld(t, l.seed, 5)
 	w.pool.off = off
 	for _, service := range w.pool.services {
@@ -43,14 +43,14 @@
 	begun := w.now
 	var o outcomes
 	sum := time.Duration(0)
-	for _, id := range w.load(l.perSecond, l.to, aim) {
+	for _, id := range w.load(l.perSecond, l.to, softDeadline) {
 		done, ok := w.done[id]
 		if w.acceptedAt[id].Sub(begun) < l.from {
 			continue
 		}
 		o.accepted++
 		took := done.Sub(w.acceptedAt[id])
-		if !ok || took > aim {
+		if !ok || took > softDeadline {
 			o.late++
 		}
 		if ok {
@@ -66,9 +66,9 @@
 // deadline, and fewer of the admitted tasks are late; estimates alone are far too short.
 func TestForecastMatchesMeasuredTimes(t *testing.T) {
 	for seed := range uint64(3) {
-		steady := steadyLoad{seed: seed, perSecond: 45, from: 5 * time.Second, to: 30 * time.Second}
-		with := steady.run(t, nil)
-		without := steady.run(t, mechanism.Disabled{mechanism.Forecast: true})
+		load := steadyLoad{seed: seed, perSecond: 45, from: 5 * time.Second, to: 30 * time.Second}
+		with := load.run(t, nil)
+		without := load.run(t, mechanism.Disabled{mechanism.Forecast: true})
 		t.Logf("seed %d: with %+v, without %+v", seed, with, without)
 		if with.predictionError.Abs() > 95*time.Millisecond || with.predictionError.Abs() >= without.predictionError.Abs() {
 			t.Errorf("seed %d: results come %v after the prediction, %v without the forecast", seed, with.predictionError, without.predictionError)
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -19,8 +19,8 @@
 	Unused uint64
 }
 
-// RetryBudget limits how many pieces are retried. Fresh records n first attempts, and Take reports
-// whether n retries are allowed.
+// RetryBudget limits how many pieces are retried. AddRequests records n first attempts, and
+// TryAcquire reports whether n retries are allowed.
 type RetryBudget interface {
 	AddRequests(now time.Time, service string, n int)
 	TryAcquire(now time.Time, service string, n int) bool
@@ -122,7 +122,7 @@
 	}
 	for _, e := range endpoints {
 		s, ok := p.services[e.Service]
-		if _, fresh := listed[e.ID]; !ok || !fresh || e.Draining {
+		if _, isNew := listed[e.ID]; !ok || !isNew || e.Draining {
 			continue
 		}
 		s.endpoints = append(s.endpoints, &endpoint{
@@ -207,20 +207,20 @@
 		return Admission{RetryAfter: p.retryAfter(now, t)}, nil
 	}
 	finish := p.forecast(t, planned)
-	if v, refused := p.admit(now, t, finish); refused {
+	if v, rejected := p.admit(now, t, finish); rejected {
 		p.counters.Rejected++
 		return v, nil
 	}
 	p.counters.Accepted++
 	p.lastTask++
-	live := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), acceptedAt: now, estimate: planned}
+	admitted := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), acceptedAt: now, estimate: planned}
 	for i, s := range t.Stages {
-		live.stages[i] = stage{Stage: s}
+		admitted.stages[i] = stage{Stage: s}
 	}
-	p.tasks[live.id] = live
-	p.begin(now, live)
+	p.tasks[admitted.id] = admitted
+	p.begin(now, admitted)
 	p.dispatchAll(now)
-	return Admission{Accepted: true, ID: live.id, Finish: finish}, p.takeActions()
+	return Admission{Accepted: true, ID: admitted.id, Finish: finish}, p.takeActions()
 }
 
 // begin adds all stages of a task to the backlogs and queues those that are ready.
--- a/internal/core/stagepool/pool_test.go
+++ b/internal/core/stagepool/pool_test.go
@@ -12,11 +12,11 @@
 // work is wasted.
 func TestLightLoad(t *testing.T) {
 	w := newWorld(t, 1, 5)
-	taken := w.load(15, 20*time.Second, 1900*time.Millisecond)
-	if len(taken) < 250 {
-		t.Fatalf("%d tasks admitted, want nearly all of 300", len(taken))
+	admitted := w.load(15, 20*time.Second, 1900*time.Millisecond)
+	if len(admitted) < 250 {
+		t.Fatalf("%d tasks admitted, want nearly all of 300", len(admitted))
 	}
-	for _, id := range taken {
+	for _, id := range admitted {
 		if _, ok := w.done[id]; !ok {
 			t.Errorf("task %d has no results: %q", id, w.failed[id])
 		}
@@ -82,8 +82,8 @@
 func TestTasksSurviveAnEndpointCrash(t *testing.T) {
 	w := newWorld(t, 3, 2)
 	w.after(700*time.Millisecond, func() { w.kill("bill-0", 2*time.Second) })
-	taken := w.load(5, 3*time.Second, 3*time.Second)
-	for _, id := range taken {
+	admitted := w.load(5, 3*time.Second, 3*time.Second)
+	for _, id := range admitted {
 		if _, ok := w.done[id]; !ok {
 			t.Errorf("task %d has no results: %q", id, w.failed[id])
 		}
@@ -95,15 +95,15 @@
 func TestSlowEndpointIsAvoided(t *testing.T) {
 	w := newWorld(t, 4, 4)
 	w.endpoints["bill-1"].speed = 5
-	taken := w.load(12, 15*time.Second, 2200*time.Millisecond)
+	admitted := w.load(12, 15*time.Second, 2200*time.Millisecond)
 	late := 0
-	for _, id := range taken {
+	for _, id := range admitted {
 		if at, ok := w.done[id]; !ok || at.After(w.tasks[id].SoftDeadline) {
 			late++
 		}
 	}
-	if late*5 > len(taken) {
-		t.Errorf("%d of %d tasks are late with one of four endpoints slow", late, len(taken))
+	if late*5 > len(admitted) {
+		t.Errorf("%d of %d tasks are late with one of four endpoints slow", late, len(admitted))
 	}
 	slow, all := w.endpoints["bill-1"].calls, 0
 	for _, endpoint := range w.endpoints {
@@ -119,10 +119,10 @@
 // TestOverloadKeepsGoodput offers three times the capacity. At least as many tasks must be on time
 // as under a normal load, and rejections must carry a retry delay.
 func TestOverloadKeepsGoodput(t *testing.T) {
-	calm := newWorld(t, 5, 3)
-	calm.load(12, 10*time.Second, 2*time.Second)
+	baseline := newWorld(t, 5, 3)
+	baseline.load(12, 10*time.Second, 2*time.Second)
 	w := newWorld(t, 5, 3)
-	taken := w.load(80, 10*time.Second, 2*time.Second)
+	admitted := w.load(80, 10*time.Second, 2*time.Second)
 	onTime := func(w *world, ids map[TaskID]Task) int {
 		n := 0
 		for id, task := range ids {
@@ -132,10 +132,10 @@
 		}
 		return n
 	}
-	before, under := onTime(calm, calm.tasks), onTime(w, w.tasks)
-	t.Logf("on time: %d under normal load, %d of %d admitted under overload, mean fill %.1f", before, under, len(taken), fill(w))
-	if under < before {
-		t.Errorf("overload brought goodput from %d down to %d", before, under)
+	normal, overloaded := onTime(baseline, baseline.tasks), onTime(w, w.tasks)
+	t.Logf("on time: %d under normal load, %d of %d admitted under overload, mean fill %.1f", normal, overloaded, len(admitted), fill(w))
+	if overloaded < normal {
+		t.Errorf("overload brought goodput from %d down to %d", normal, overloaded)
 	}
 	v, _ := w.pool.Submit(w.now, Task{RequestID: "x", Stages: testStages, SoftDeadline: w.now.Add(time.Second / 10), Deadline: w.now.Add(time.Second)})
 	if !v.Accepted && v.RetryAfter <= 0 {
@@ -155,19 +155,19 @@
 // their own requests at the same endpoints.
 func TestPooledAgainstUnpooled(t *testing.T) {
 	pooled := newWorld(t, 6, 5)
-	taken := pooled.load(19, 10*time.Second, 1900*time.Millisecond)
-	alone := newUnpooled(t, 6, 5, 7)
-	onTimeAlone, asked := alone.load(19, 10*time.Second, 1900*time.Millisecond)
+	admitted := pooled.load(19, 10*time.Second, 1900*time.Millisecond)
+	separate := newUnpooled(t, 6, 5, 7)
+	onTimeSeparate, submitted := separate.load(19, 10*time.Second, 1900*time.Millisecond)
 	onTime := 0
-	for _, id := range taken {
+	for _, id := range admitted {
 		if at, ok := pooled.done[id]; ok && !at.After(pooled.tasks[id].SoftDeadline) {
 			onTime++
 		}
 	}
-	t.Logf("on time: pooled %d, unpooled %d of %d", onTime, onTimeAlone, asked)
-	missesPooled, missesAlone := asked-onTime, asked-onTimeAlone
-	if 2*missesPooled > missesAlone {
-		t.Errorf("pooled misses %d, unpooled %d; want at most half", missesPooled, missesAlone)
+	t.Logf("on time: pooled %d, unpooled %d of %d", onTime, onTimeSeparate, submitted)
+	missesPooled, missesSeparate := submitted-onTime, submitted-onTimeSeparate
+	if 2*missesPooled > missesSeparate {
+		t.Errorf("pooled misses %d, unpooled %d; want at most half", missesPooled, missesSeparate)
 	}
 }
 
@@ -200,8 +200,8 @@
 	s := w.endpoints["bill-0"]
 	s.used = s.conf.ResultCapacity
 	w.after(3*time.Second, func() { s.used -= s.conf.ResultCapacity })
-	taken := w.load(6, 5*time.Second, 3*time.Second)
-	for _, id := range taken {
+	admitted := w.load(6, 5*time.Second, 3*time.Second)
+	for _, id := range admitted {
 		if _, ok := w.done[id]; !ok {
 			t.Errorf("task %d has no results: %q", id, w.failed[id])
 		}
--- a/internal/core/stagepool/ratelimit.go
+++ b/internal/core/stagepool/ratelimit.go
@@ -9,7 +9,7 @@
 // recordCall records a call sent to the endpoint.
 func (w *endpoint) recordCall(now time.Time) {
 	w.sends.Add(now, w.pace)
-	w.nextTurnFrees = w.pace.Bounded(now) && len(w.pendingFrees) > 0
+	w.nextSendFrees = w.pace.Bounded(now) && len(w.pendingFrees) > 0
 }
 
 // callRate returns how many calls per second the endpoint accepts, at most the maxRate that it can
@@ -36,7 +36,7 @@
 // sendFree frees all queued results of an endpoint.
 func (p *Pool) sendFree(w *endpoint) {
 	p.emit(Free{Endpoint: w.spec.ID, Address: w.spec.Address, Domain: w.spec.Domain, Handles: w.pendingFrees})
-	w.pendingFrees, w.pendingFreeBytes, w.nextTurnFrees = nil, 0, false
+	w.pendingFrees, w.pendingFreeBytes, w.nextSendFrees = nil, 0, false
 }
 
 // flushFrees sends the queued frees of the endpoints that may be sent a request now, that is, whose
@@ -47,9 +47,9 @@
 		s := p.services[name]
 		for _, w := range s.endpoints {
 			if w.leaving {
-				w.pendingFrees, w.pendingFreeBytes, w.nextTurnFrees = nil, 0, false
+				w.pendingFrees, w.pendingFreeBytes, w.nextSendFrees = nil, 0, false
 			}
-			callFirst := w.pace.Bounded(now) && len(s.queue) > 0 && !w.nextTurnFrees && w.available(now)
+			callFirst := w.pace.Bounded(now) && len(s.queue) > 0 && !w.nextSendFrees && w.available(now)
 			if len(w.pendingFrees) == 0 || w.inBackoff(now) || !w.pace.Due(now, &w.sends) || callFirst {
 				continue
 			}
--- a/internal/core/stagepool/ratelimit_test.go
+++ b/internal/core/stagepool/ratelimit_test.go
@@ -39,7 +39,7 @@
 			w.load(10, 2*time.Second, 1900*time.Millisecond)
 			from := w.now
 			w.limit(prefix, perSecond)
-			taken := w.load(10, 12*time.Second, 1900*time.Millisecond)
+			admitted := w.load(10, 12*time.Second, 1900*time.Millisecond)
 			for _, e := range w.listed() {
 				if !strings.HasPrefix(e.ID, prefix) {
 					continue
@@ -52,7 +52,7 @@
 					t.Errorf("%s got no requests from 5 s on", e.ID)
 				}
 			}
-			for _, id := range taken {
+			for _, id := range admitted {
 				_, done := w.done[id]
 				if _, failed := w.failed[id]; !done && !failed {
 					t.Errorf("task %d ended without an answer", id)
@@ -63,7 +63,7 @@
 			if len(w.handles) != 0 {
 				t.Errorf("%d results were never freed", len(w.handles))
 			}
-			t.Logf("%d tasks admitted, %d completed", len(taken), len(w.done))
+			t.Logf("%d tasks admitted, %d completed", len(admitted), len(w.done))
 		})
 	}
 }
@@ -73,27 +73,27 @@
 // once.
 func TestRateLimitFailsLateTasksEarly(t *testing.T) {
 	w := newWorld(t, 3, 2)
-	var waiting []TaskID
+	var admitted []TaskID
 	for range 40 {
 		if id, ok := w.submit(Task{RequestID: "r", Stages: testStages, SoftDeadline: w.now.Add(3 * time.Second), Deadline: w.now.Add(30 * time.Second)}); ok {
-			waiting = append(waiting, id)
+			admitted = append(admitted, id)
 		}
 	}
 	w.limit("tag", 0.5)
 	w.run(4 * time.Second)
-	given, left := 0, 0
-	for _, id := range waiting {
+	failedEarly, stillWaiting := 0, 0
+	for _, id := range admitted {
 		_, done := w.done[id]
 		reason, failed := w.failed[id]
 		switch {
 		case failed && reason == reasonRateLimited:
-			given++
+			failedEarly++
 		case !done && !failed && !w.pool.tasks[id].started:
-			left++
+			stillWaiting++
 		}
 	}
-	if given == 0 || left > 0 {
-		t.Errorf("%d tasks failed early, %d are still waiting", given, left)
+	if failedEarly == 0 || stillWaiting > 0 {
+		t.Errorf("%d tasks failed early, %d are still waiting", failedEarly, stillWaiting)
 	}
 }
 
--- a/internal/core/stagepool/task.go
+++ b/internal/core/stagepool/task.go
@@ -57,7 +57,7 @@
 	Inputs []string
 }
 
-// ItemStatus tells whether an endpoint produced the result of an item, and if not, why.
+// ItemStatus states whether an endpoint produced the result of an item, and if not, why.
 type ItemStatus int
 
 // Item statuses.
@@ -85,7 +85,7 @@
 	Status ItemStatus
 }
 
-// CallStatus tells how a call ended as a whole.
+// CallStatus is the outcome of a call as a whole.
 type CallStatus int
 
 // Call statuses.
@@ -155,7 +155,7 @@
 func (Complete) action()  {}
 func (Fail) action()      {}
 
-// Admission is the answer to a submitted task.
+// Admission is the admission decision on a submitted task.
 type Admission struct {
 	Accepted bool
 	ID       TaskID
--- a/internal/core/stagepool/unpooled_test.go
+++ b/internal/core/stagepool/unpooled_test.go
@@ -34,16 +34,16 @@
 
 // load distributes the load of world.load over all nodes in turn. It returns how many requests
 // finished on time, and how many were submitted.
-func (a *unpooled) load(perSecond float64, d, aim time.Duration) (onTime, asked int) {
+func (a *unpooled) load(perSecond float64, d, softDeadline time.Duration) (onTime, submitted int) {
 	end := a.now.Add(d)
 	var next func()
 	next = func() {
 		if a.now.After(end) {
 			return
 		}
-		asked++
-		p := a.pools[asked%len(a.pools)]
-		t := Task{RequestID: fmt.Sprintf("r%d", asked), Key: "k", Stages: testStages, SoftDeadline: a.now.Add(aim), Deadline: a.now.Add(15 * time.Second), Domain: "d0"}
+		submitted++
+		p := a.pools[submitted%len(a.pools)]
+		t := Task{RequestID: fmt.Sprintf("r%d", submitted), Key: "k", Stages: testStages, SoftDeadline: a.now.Add(softDeadline), Deadline: a.now.Add(15 * time.Second), Domain: "d0"}
 		v, actions := p.Submit(a.now, t)
 		if v.Accepted {
 			a.tasks[v.ID] = t
@@ -66,7 +66,7 @@
 			onTime++
 		}
 	}
-	return onTime, asked
+	return onTime, submitted
 }
 
 // play carries out actions; the end of a call is reported to the pool that started it.
@@ -109,7 +109,7 @@
 	results := make([]ItemResult, len(c.Items))
 	made := 0
 	for k, it := range c.Items {
-		results[k] = a.turn(s, it)
+		results[k] = a.process(s, it)
 		if results[k].Status == Made {
 			made++
 		}
--- a/internal/core/stagepool/world_test.go
+++ b/internal/core/stagepool/world_test.go
@@ -48,22 +48,22 @@
 }
 
 type simEndpoint struct {
-	spec    catalog.Endpoint
-	conf    catalog.Batching
-	speed   float64
-	waiting []StartCall
-	busy    bool
-	dead    bool
-	lives   int
-	calls   int
-	used    int64
+	spec        catalog.Endpoint
+	conf        catalog.Batching
+	speed       float64
+	waiting     []StartCall
+	busy        bool
+	dead        bool
+	incarnation int
+	calls       int
+	used        int64
 }
 
 type simResult struct {
-	endpoint *simEndpoint
-	owner    string
-	bytes    int64
-	life     time.Time
+	endpoint  *simEndpoint
+	owner     string
+	bytes     int64
+	expiresAt time.Time
 }
 
 var testServices = map[string]catalog.Service{
@@ -248,23 +248,23 @@
 	results := make([]ItemResult, len(c.Items))
 	made := 0
 	for k, it := range c.Items {
-		results[k] = w.turn(s, it)
+		results[k] = w.process(s, it)
 		if results[k].Status == Made {
 			made++
 		}
 	}
 	w.stats.pieces += made
 	took := time.Duration(s.speed * float64(s.conf.CallTime+time.Duration(made)*s.conf.ItemTime))
-	life := s.lives
+	incarnation := s.incarnation
 	w.after(took, func() {
-		if s.lives != life {
+		if s.incarnation != incarnation {
 			w.finish(c, Outcome{Status: Lost})
 			return
 		}
 		s.busy = false
 		for _, r := range results {
 			if r.Status == Made {
-				w.handles[r.Handle].life = w.now.Add(s.conf.ResultTTL)
+				w.handles[r.Handle].expiresAt = w.now.Add(s.conf.ResultTTL)
 			}
 		}
 		w.finish(c, Outcome{Status: Answered, Items: results})
@@ -286,8 +286,8 @@
 	})
 }
 
-// turn processes one item when its call runs.
-func (w *world) turn(s *simEndpoint, it Item) ItemResult {
+// process processes one item when its call runs.
+func (w *world) process(s *simEndpoint, it Item) ItemResult {
 	for _, h := range it.Inputs {
 		r, ok := w.handles[h]
 		if !ok {
@@ -319,7 +319,7 @@
 func (w *world) kill(id string, down time.Duration) {
 	s := w.endpoints[id]
 	s.dead = true
-	s.lives++
+	s.incarnation++
 	s.busy = false
 	for _, c := range s.waiting {
 		w.after(10*time.Millisecond, func() { w.finish(c, Outcome{Status: Lost}) })
@@ -335,8 +335,8 @@
 }
 
 // load submits requests at a rate for a time, and returns the IDs of those that were admitted.
-func (w *world) load(perSecond float64, d time.Duration, aim time.Duration) []TaskID {
-	var taken []TaskID
+func (w *world) load(perSecond float64, d time.Duration, softDeadline time.Duration) []TaskID {
+	var admitted []TaskID
 	end := w.now.Add(d)
 	n := 0
 	var next func()
@@ -345,13 +345,13 @@
 			return
 		}
 		n++
-		t := Task{RequestID: fmt.Sprintf("r%d", n), Key: "k", Stages: testStages, SoftDeadline: w.now.Add(aim), Deadline: w.now.Add(15 * time.Second), Domain: "d0"}
+		t := Task{RequestID: fmt.Sprintf("r%d", n), Key: "k", Stages: testStages, SoftDeadline: w.now.Add(softDeadline), Deadline: w.now.Add(15 * time.Second), Domain: "d0"}
 		if id, ok := w.submit(t); ok {
-			taken = append(taken, id)
+			admitted = append(admitted, id)
 		}
 		w.after(time.Duration(w.rand.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	w.after(0, next)
 	w.run(d + 20*time.Second)
-	return taken
+	return admitted
 }
