--- a/internal/core/discovery/doc.go
+++ b/internal/core/discovery/doc.go
@@ -29,7 +29,7 @@
 //	delta := list.ChangesSince(revision)        // for a node that polls
 //	list.ApplyDelta(at, delta)                  // at that node
 //
-//	ranking := discovery.Rank(strong, weak)
+//	ranking := discovery.Rank(large, small)
 //	own.RecordList(at)                                // after a read of the store
 //	fresh = fresh.Merge(own.Freshness(ranking, node))
 //	fresh = fresh.Merge(received)                     // after a peer's answer
--- a/internal/core/discovery/freshness.go
+++ b/internal/core/discovery/freshness.go
@@ -109,9 +109,9 @@
 // AnswerAsOf returns the time as of which the answer to a long poll reflects the newest
 // configuration. An answer without a change was given at the end of the wait. One with a
 // change may have been given at any time after the request.
-func AnswerAsOf(asked, answered time.Time, wait time.Duration, changed bool) time.Time {
-	if waited := asked.Add(wait); !changed && !waited.After(answered) {
+func AnswerAsOf(requested, answered time.Time, wait time.Duration, changed bool) time.Time {
+	if waited := requested.Add(wait); !changed && !waited.After(answered) {
 		return waited
 	}
-	return asked
+	return requested
 }
--- a/internal/core/discovery/freshness_test.go
+++ b/internal/core/discovery/freshness_test.go
@@ -191,8 +191,8 @@
 	s.known[i] = s.known[i].Merge(s.own[i].Freshness(s.ranking, s.names[i]))
 }
 
-func (s *readerSim) poll(i int, readers []string, turn int) {
-	j := s.index[ReaderFor(readers, s.names[i], turn)]
+func (s *readerSim) poll(i int, readers []string, failed int) {
+	j := s.index[ReaderFor(readers, s.names[i], failed)]
 	received := s.known[j]
 	received.Own = time.Time{}
 	s.known[i] = s.known[i].Merge(received)
--- a/internal/core/discovery/leaving_test.go
+++ b/internal/core/discovery/leaving_test.go
@@ -22,10 +22,11 @@
 // dropped it. The time as of which a list was valid did not advance while nothing changed,
 // so nodes that began to read nearly always inferred an outage.
 //
-// The logs showed it when 7 of 10 of 61 nodes failed while a tenth of the endpoints left
-// and the store was available: nodes in contact logged "endpoints kept", one with a
-// list_age_ms of 4.1 s although it had received the store's state 0.8 s earlier, and two
-// nodes dropped the endpoint, retained it again and sent it requests.
+// The same fault appeared in the logs of a system of 61 nodes of which seven in ten failed
+// while a tenth of the endpoints left and the store was available. Nodes in contact logged
+// "endpoints kept", one of them with a list_age_ms of 4.1 s although it had received the
+// store's state 0.8 s earlier. Two nodes dropped the endpoint, retained it again and sent it
+// requests.
 
 // TestLeaving runs the scripts: systems of nodes in simulated time that read the store and
 // poll each other as in production.
--- a/internal/core/discovery/readers.go
+++ b/internal/core/discovery/readers.go
@@ -42,9 +42,9 @@
 	primaries int
 }
 
-// Rank orders the nodes. Weak instances read only if there are too few strong ones.
-func Rank(strong, weak []string) Ranking {
-	names := append(hash.Rank(readerSalt, strong), hash.Rank(readerSalt, weak)...)
+// Rank orders the nodes. Small instances read only if there are too few large ones.
+func Rank(large, small []string) Ranking {
+	names := append(hash.Rank(readerSalt, large), hash.Rank(readerSalt, small)...)
 	primaries := len(names)
 	if len(names) > maxNodesAllRead {
 		primaries = max(minReaders, len(names)/nodesPerReader)
@@ -91,11 +91,11 @@
 // them at once would overload the store, and while the store is unavailable too, all of
 // these calls would fail.
 func (r Ranking) ReadsAtStart(node string, sinceStart time.Duration) bool {
-	turn := time.Duration(hash.Of(node) % uint64(startReadSpread))
+	offset := time.Duration(hash.Of(node) % uint64(startReadSpread))
 	switch {
 	case len(r.names) < 2:
-		return sinceStart >= startBackupDelay+turn
-	case sinceStart >= startFallbackDelay+turn:
+		return sinceStart >= startBackupDelay+offset
+	case sinceStart >= startFallbackDelay+offset:
 		return true
 	case sinceStart >= startBackupDelay:
 		return slices.Contains(r.Readers(primaryStaleAge+sinceStart-startBackupDelay), node)
--- a/internal/core/discovery/readers_test.go
+++ b/internal/core/discovery/readers_test.go
@@ -64,11 +64,11 @@
 			t.Errorf("%d nodes: %d backup readers for %d readers after %v", size, len(backups), len(cut), soon)
 		}
 		for _, n := range nodes {
-			asked := false
+			polled := false
 			for failed := range len(r.Readers(soon)) {
-				asked = asked || slices.Contains(backups, ReaderFor(r.Readers(soon), n, failed))
+				polled = polled || slices.Contains(backups, ReaderFor(r.Readers(soon), n, failed))
 			}
-			if !asked {
+			if !polled {
 				t.Errorf("%d nodes: %s polls no backup reader", size, n)
 			}
 		}
@@ -151,22 +151,22 @@
 	}
 }
 
-// TestStrongInstancesReadFirst checks that weak instances read only if there are too few
-// strong ones.
-func TestStrongInstancesReadFirst(t *testing.T) {
-	var strong, weak []string
+// TestLargeInstancesReadFirst checks that small instances read only if there are too few
+// large ones.
+func TestLargeInstancesReadFirst(t *testing.T) {
+	var large, small []string
 	for i := range 80 {
 		if i%10 == 0 {
-			strong = append(strong, fmt.Sprintf("node-%d", i))
+			large = append(large, fmt.Sprintf("node-%d", i))
 			continue
 		}
-		weak = append(weak, fmt.Sprintf("node-%d", i))
+		small = append(small, fmt.Sprintf("node-%d", i))
 	}
-	if readers := Rank(strong, weak).Readers(0); len(readers) != 4 || slices.ContainsFunc(readers, func(r string) bool { return slices.Contains(weak, r) }) {
-		t.Errorf("with eight strong nodes %v read", readers)
+	if readers := Rank(large, small).Readers(0); len(readers) != 4 || slices.ContainsFunc(readers, func(r string) bool { return slices.Contains(small, r) }) {
+		t.Errorf("with eight large nodes %v read", readers)
 	}
-	if readers := Rank(strong[:3], weak).Readers(0); len(readers) != 4 || !slices.Contains(readers, strong[0]) {
-		t.Errorf("with three strong nodes %v read", readers)
+	if readers := Rank(large[:3], small).Readers(0); len(readers) != 4 || !slices.Contains(readers, large[0]) {
+		t.Errorf("with three large nodes %v read", readers)
 	}
 }
 
--- a/internal/core/discovery/restored_test.go
+++ b/internal/core/discovery/restored_test.go
@@ -152,8 +152,8 @@
 		store := &storeModel{version: 1, rows: make(map[string]catalog.Endpoint)}
 		copies := []storeModel{store.backup()}
 		nodes := []*List{NewList(), NewList(), NewList()}
-		// closed maps a node and an endpoint to the life that the node knew to be over, and
-		// written counts the lives of an endpoint. Each write of an entry that accepts work
+		// closed maps a node and an endpoint to the incarnation that the node knew to be over, and
+		// written counts the incarnations of an endpoint. Each write of an entry that accepts work
 		// begins one.
 		type key struct {
 			node int
@@ -161,7 +161,7 @@
 		}
 		closed := make(map[key]int)
 		written := make(map[string]int)
-		lives := make(map[catalog.Revision]int)
+		incarnations := make(map[catalog.Revision]int)
 		now, restored := testTime, testTime
 		note := func() {
 			for n, l := range nodes {
@@ -171,8 +171,8 @@
 				}
 				for id := range written {
 					k := key{n, id}
-					if life, ok := closed[k]; ok && takes[id] && life == written[id] && now.Sub(restored) < outdatedPeriod {
-						rt.Fatalf("node %d uses %s again, whose life %d it knew to be over", n, id, life)
+					if incarnation, ok := closed[k]; ok && takes[id] && incarnation == written[id] && now.Sub(restored) < outdatedPeriod {
+						rt.Fatalf("node %d uses %s again, whose incarnation %d it knew to be over", n, id, incarnation)
 					}
 				}
 			}
@@ -185,7 +185,7 @@
 				id := rapid.SampledFrom(ids).Draw(rt, "id")
 				store.put(id, false)
 				written[id]++
-				lives[store.revision()] = written[id]
+				incarnations[store.revision()] = written[id]
 			case 1:
 				id := rapid.SampledFrom(ids).Draw(rt, "draining")
 				if e, ok := store.rows[id]; ok && !e.Draining {
--- a/internal/core/discovery/search.go
+++ b/internal/core/discovery/search.go
@@ -35,12 +35,12 @@
 	case now.Sub(f.Own) < searchHold:
 		return true
 	}
-	steady := r.steadyReaders()
-	return slices.Contains(steady, node) || isSearchTurn(r.names[len(steady):], node, now.Sub(f.AsOf()))
+	continuing := r.continuingReaders()
+	return slices.Contains(continuing, node) || isSearchTurn(r.names[len(continuing):], node, now.Sub(f.AsOf()))
 }
 
-// steadyReaders returns the readers that keep trying during a search.
-func (r Ranking) steadyReaders() []string {
+// continuingReaders returns the readers that keep trying during a search.
+func (r Ranking) continuingReaders() []string {
 	candidates := r.candidates()
 	return candidates[:max(len(candidates)-searchWidth, min(r.primaries, len(candidates)))]
 }
--- a/internal/core/discovery/simulation_test.go
+++ b/internal/core/discovery/simulation_test.go
@@ -54,21 +54,21 @@
 	lastHeartbeat time.Duration
 	phase         time.Duration
 	// leftAt is when the store acknowledged that the endpoint leaves, or zero; since is
-	// when this life of the endpoint began.
+	// when this incarnation of the endpoint began.
 	leftAt, since time.Duration
 }
 
 // simNode models the list of one node.
 type simNode struct {
-	name     string
-	list     *List
-	own      DirectReads
-	known    Freshness
-	nextRead time.Duration
-	nextPoll time.Duration
-	tries    int
-	turn     int
-	failed   int
+	name      string
+	list      *List
+	own       DirectReads
+	known     Freshness
+	nextRead  time.Duration
+	nextPoll  time.Duration
+	tries     int
+	peerTries int
+	failed    int
 	// Until lostUntil the node neither reads, polls nor answers. Until cutUntil it cannot
 	// reach the store. lastFault is when either ended last.
 	lostUntil, cutUntil, lastFault time.Duration
@@ -247,7 +247,7 @@
 }
 
 // restart restarts an endpoint under its id: one change of the store replaces its entry by
-// that of the next life.
+// that of the next incarnation.
 func (w *simulation) restart(id string) {
 	for _, e := range w.endpoints {
 		if e.entry.ID != id {
@@ -301,8 +301,8 @@
 	}
 	w.poll(n, ReaderFor(w.ranking.Readers(now.Sub(n.known.Primaries)), n.name, n.tries))
 	if w.ranking.Overdue(now, n.known) {
-		n.turn++
-		w.poll(n, ReaderFor(nodeNames(len(w.nodes)), n.name, n.turn))
+		n.peerTries++
+		w.poll(n, ReaderFor(nodeNames(len(w.nodes)), n.name, n.peerTries))
 	}
 }
 
@@ -408,7 +408,7 @@
 		case used:
 			n.missing[id] = 0
 		case e.since > 0 && w.now-e.since <= w.script.bound:
-			// Its first entry may take as long to spread as the news of a leaving endpoint.
+			// Its first entry may take as long to spread as the removal of an endpoint.
 		default:
 			if n.missing[id] += checkInterval; n.missing[id] > w.script.missing {
 				found = append(found, fmt.Sprintf("%v: %s has not used %s, which is alive, for %v", w.now, n.name, id, n.missing[id]))
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -20,7 +20,7 @@
 }
 
 // TestPausedProcessRejoinsWithNewIncarnation pauses a member until it is declared dead, and
-// resumes it. It guards against the member being taken for its earlier self.
+// resumes it. It guards against the member being taken for its earlier incarnation.
 func TestPausedProcessRejoinsWithNewIncarnation(t *testing.T) {
 	w := newNetwork(t, 12)
 	w.runUntil(30*time.Second, "all members see each other", func() bool { return w.allSee(12) })
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestRegionPartitionHeals partitions one region for a while: both sides must go on with
-// their own members, and find each other again.
+// TestRegionPartitionHeals partitions one region for a while: both sides must continue
+// with their own members, and find each other again.
 func TestRegionPartitionHeals(t *testing.T) {
 	w := newNetwork(t, 40)
 	w.runUntil(30*time.Second, "all members see each other", func() bool { return w.allSee(40) })
@@ -87,11 +87,11 @@
 }
 
 // TestRestartTakesNewIncarnation replaces a process by a new one whose clock is behind. It
-// guards against the earlier life's records prevailing.
+// guards against the earlier incarnation's records prevailing.
 func TestRestartTakesNewIncarnation(t *testing.T) {
 	w := newNetwork(t, 12)
 	w.runUntil(30*time.Second, "all members see each other", func() bool { return w.allSee(12) })
-	// The earlier life has two changes more than the new one will have.
+	// The earlier incarnation has two changes more than the new one will have.
 	old := w.nodes[nodeName(4)]
 	old.SetEntries(nil)
 	old.SetEntries(old.Entries())
@@ -106,7 +106,7 @@
 		t.Fatal("the restarted member is not seen by all")
 	}
 	if inc := w.nodes[nodeName(4)].Self().Incarnation; inc < 2 {
-		t.Fatalf("the new life has incarnation %d, its earlier life had 1", inc)
+		t.Fatalf("the restarted node has incarnation %d, it had 1 before", inc)
 	}
 }
 
--- a/internal/core/member/receive.go
+++ b/internal/core/member/receive.go
@@ -53,9 +53,9 @@
 }
 
 // replyToUnknown introduces this node to a sender that it does not know. Such a sender knew
-// an earlier life of this node, and would not learn of the present one before declaring
-// that one dead; until then the two could lead side by side. The sender's address is
-// unknown, so the reply uses the connection on which the message arrived.
+// an earlier incarnation of this node, and would not learn of the present one before
+// declaring that one dead; until then both nodes could lead the same cell. The sender's
+// address is unknown, so the reply uses the connection on which the message arrived.
 func (n *Node) replyToUnknown(g wire.Gossip) []Message {
 	if g.NonNeighbor || isTerminal(n.self.State) || n.listingBudget == 0 {
 		return nil
@@ -114,7 +114,7 @@
 
 // newer reports whether a takes precedence over b. Only the owner raises incarnation and
 // sequence number. An incarnation that is dead or has left stays so, whatever its process
-// says later. Otherwise the higher sequence number wins, and among equals the worse state.
+// announces later. Otherwise the higher sequence number wins, and among equals the worse state.
 func newer(a, b wire.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -135,8 +135,8 @@
 	}
 	n.hash ^= recordHash(n.self)
 	if m.Incarnation > n.self.Incarnation || m.Seq > n.self.Seq || isTerminal(m.State) {
-		// The record is of an earlier life of this name, whose clock may have been ahead,
-		// or this life was declared dead.
+		// The record is of an earlier incarnation of this node, whose clock may have been
+		// ahead, or the present incarnation was declared dead.
 		n.self.Incarnation = m.Incarnation + 1
 	}
 	n.self.Seq = max(n.self.Seq, m.Seq)
@@ -181,7 +181,7 @@
 func (n *Node) enqueue(name, from string) {
 	r := n.records[name]
 	n.maxCapacity = max(n.maxCapacity, capacityOf(r.member))
-	urgent := n.isStrong(r.member)
+	urgent := n.isLarge(r.member)
 	for to, l := range n.links {
 		if to != from {
 			l.pending.add(name, urgent)
@@ -191,17 +191,18 @@
 
 // capacityOf returns the processor share of the largest instance of a member.
 func capacityOf(m wire.Member) int {
-	most := 0
+	largest := 0
 	for _, e := range m.Entries {
-		most = max(most, e.Capacity)
+		largest = max(largest, e.Capacity)
 	}
-	return most
+	return largest
 }
 
-// isStrong reports whether a member is one of those that lead, and read on behalf of all. A
+// isLarge reports whether a member has a large instance (package lead). Large instances lead cells
+// and read the store on behalf of all nodes. A
 // starting node needs to know these before it can get any work done, so their records are
 // sent first.
-func (n *Node) isStrong(m wire.Member) bool {
+func (n *Node) isLarge(m wire.Member) bool {
 	return !isTerminal(m.State) && lead.IsLarge(capacityOf(m), n.maxCapacity)
 }
 
@@ -220,27 +221,27 @@
 			behind = true
 		}
 	}
-	var missing, weak []string
+	var missing, small []string
 	for _, m := range n.Members() {
 		v, ok := theirs[m.Node]
 		switch {
 		case !ok && isTerminal(m.State) || ok && !newer(m, memberOf(v)):
-		case n.isStrong(m):
+		case n.isLarge(m):
 			missing = append(missing, m.Node)
 		default:
-			weak = append(weak, m.Node)
+			small = append(small, m.Node)
 		}
 	}
-	strong := len(missing)
-	missing = append(missing, weak...)
+	large := len(missing)
+	missing = append(missing, small...)
 	out := n.header()
 	out.NonNeighbor = true
 	out.Answer = true
 	out.Endpoints = n.Endpoints()
 	count := max(min(len(missing), maxRecords, n.recordBudget), 0)
-	if len(weak) > 0 && strong <= maxRecords {
-		// The few strong members are sent in any case.
-		count = max(count, strong)
+	if len(small) > 0 && large <= maxRecords {
+		// The few large members are sent in any case.
+		count = max(count, large)
 	}
 	n.recordBudget -= count
 	for _, name := range missing[:count] {
--- a/internal/core/member/start_test.go
+++ b/internal/core/member/start_test.go
@@ -42,7 +42,7 @@
 // TestRestartedAmongSurvivors kills four of seven members, including all seeds, and
 // restarts them before the others have declared them dead. It guards against two groups
 // that lead side by side: they must merge with the survivors' next heartbeats, and not only
-// when the earlier lives are declared dead.
+// when the earlier incarnations are declared dead.
 func TestRestartedAmongSurvivors(t *testing.T) {
 	w := startTogether(t, 7)
 	w.runUntil(time.Second, "all know all", func() bool { return w.allSee(7) })
--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// replacementWindow is how long after a run broke the appearance of another life of its
+	// replacementWindow is how long after a run broke the appearance of another incarnation of its
 	// endpoint shows that the endpoint crashed under the run. Crashed endpoints are back
 	// after some seconds.
 	replacementWindow = 15 * time.Second
@@ -40,7 +40,7 @@
 }
 
 // Detector determines whether endpoints at which runs broke have crashed. An endpoint has
-// crashed if nothing listens at its address any more, or if another life of it is listed
+// crashed if nothing listens at its address any more, or if another incarnation of it is listed
 // soon after. It is alive if it is still listed, and accepts connections, after its entry
 // would have lapsed. Detector is not safe for concurrent use.
 type Detector struct {
@@ -213,7 +213,7 @@
 	return findings, probe
 }
 
-// stillListed handles an endpoint that is listed in the same life, and reports whether it
+// stillListed handles an endpoint that is listed in the same incarnation, and reports whether it
 // must be probed. Runs that broke longer ago than the lapse period did not crash it.
 func (d *Detector) stillListed(known *watched, current time.Time) bool {
 	past := func(b brokenRun) bool { return current.Sub(b.at) >= d.lapse }
@@ -249,8 +249,8 @@
 	return l
 }
 
-// replaced reports whether another life of an endpoint is listed, either under the worker
-// name that all its lives share or at its address.
+// replaced reports whether another incarnation of an endpoint is listed, either under the worker
+// name that all its incarnations share or at its address.
 func (l *endpointIndex) replaced(e catalog.Endpoint) bool {
 	return l.byWorker[catalog.WorkerName(e.ID)] || l.byServiceAddress[e.Service+" "+e.Address]
 }
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -14,7 +14,7 @@
 // lapsePeriod is the time after which the entry of a crashed endpoint has lapsed.
 const lapsePeriod = lapseHeartbeats * heartbeatInterval
 
-func endpointLife(born int64) catalog.Endpoint {
+func endpointIncarnation(born int64) catalog.Endpoint {
 	return catalog.Endpoint{ID: catalog.IncarnationID("e1", born), Service: "model", Address: "10.0.0.1:80"}
 }
 
@@ -22,10 +22,10 @@
 // address refuses connections afterwards.
 func newDetectorWithBreak(refuses bool) (*Detector, []Finding) {
 	d := NewDetector(heartbeatInterval)
-	if !d.RecordBrokenRuns(start, endpointLife(1), LongRun, idOf(1)) {
+	if !d.RecordBrokenRuns(start, endpointIncarnation(1), LongRun, idOf(1)) {
 		panic("the endpoint is not probed")
 	}
-	return d, d.RecordProbe(start.Add(5*time.Millisecond), endpointLife(1).ID, refuses)
+	return d, d.RecordProbe(start.Add(5*time.Millisecond), endpointIncarnation(1).ID, refuses)
 }
 
 // findingString describes the findings about request 1.
@@ -39,9 +39,9 @@
 // TestDetector checks that crashes of endpoints are distinguished from events that resemble
 // them.
 func TestDetector(t *testing.T) {
-	draining := endpointLife(1)
+	draining := endpointIncarnation(1)
 	draining.Draining = true
-	elsewhere := endpointLife(2)
+	elsewhere := endpointIncarnation(2)
 	elsewhere.Address = "10.0.0.9:80"
 	successor := catalog.Endpoint{ID: "e7/3", Service: "model", Address: "10.0.0.1:80"}
 	other := catalog.Endpoint{ID: "e7/3", Service: "desk", Address: "10.0.0.1:80"}
@@ -54,13 +54,13 @@
 		probed, listed string
 	}{
 		"address refuses connections":                 {refuses: true, probed: "crashed true", listed: "found 0", after: heartbeatInterval},
-		"connection was reset":                        {list: []catalog.Endpoint{endpointLife(1)}, after: lapsePeriod, probed: "found 0", listed: "found 0"},
-		"another life is listed":                      {list: []catalog.Endpoint{endpointLife(2)}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
-		"another life is listed elsewhere":            {list: []catalog.Endpoint{elsewhere}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
+		"connection was reset":                        {list: []catalog.Endpoint{endpointIncarnation(1)}, after: lapsePeriod, probed: "found 0", listed: "found 0"},
+		"another incarnation is listed":               {list: []catalog.Endpoint{endpointIncarnation(2)}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
+		"another incarnation is listed elsewhere":     {list: []catalog.Endpoint{elsewhere}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
 		"successor has the address":                   {list: []catalog.Endpoint{successor}, after: 2 * heartbeatInterval, probed: "found 0", listed: "crashed true"},
 		"endpoint of another service has the address": {list: []catalog.Endpoint{other}, after: 2 * heartbeatInterval, probed: "found 0", listed: "found 0"},
 		"entry lapsed and the address is unused":      {after: 2 * heartbeatInterval, probed: "found 0", listed: "found 0"},
-		"another life is listed much later":           {list: []catalog.Endpoint{endpointLife(2)}, after: replacementWindow + 40*time.Second, probed: "found 0", listed: "found 0"},
+		"another incarnation is listed much later":    {list: []catalog.Endpoint{endpointIncarnation(2)}, after: replacementWindow + 40*time.Second, probed: "found 0", listed: "found 0"},
 		"endpoint drains":                             {list: []catalog.Endpoint{draining}, after: heartbeatInterval, probed: "found 0", listed: "found 0"},
 	}
 	for name, c := range cases {
@@ -71,7 +71,7 @@
 			}
 			if c.after > replacementWindow {
 				// Lists arrive regularly.
-				d.UpdateEndpoints(start.Add(lapsePeriod), start.Add(lapsePeriod), []catalog.Endpoint{endpointLife(1)})
+				d.UpdateEndpoints(start.Add(lapsePeriod), start.Add(lapsePeriod), []catalog.Endpoint{endpointIncarnation(1)})
 			}
 			now := start.Add(c.after)
 			found, probe := d.UpdateEndpoints(now, now, c.list)
@@ -88,7 +88,7 @@
 func TestCrashRetracted(t *testing.T) {
 	for _, alive := range []bool{true, false} {
 		d, _ := newDetectorWithBreak(true)
-		list := []catalog.Endpoint{endpointLife(1)}
+		list := []catalog.Endpoint{endpointIncarnation(1)}
 		early := start.Add(lapsePeriod / 2)
 		if found, probe := d.UpdateEndpoints(early, early, list); len(found)+len(probe) > 0 {
 			t.Error("the endpoint is probed before its entry would have lapsed")
--- a/internal/core/poison/guard.go
+++ b/internal/core/poison/guard.go
@@ -231,13 +231,14 @@
 	if len(g.ledger.Crashes(now, id)) == 0 && !g.ledger.Refusals().Contains(id) {
 		return out
 	}
-	g.pardon(now, id, &out)
+	g.clearSuspicion(now, id, &out)
 	out.Reports = []Report{{Request: id, Served: true}}
 	return out
 }
 
-// pardon drops the crashes under a request that was served successfully.
-func (g *Guard) pardon(now time.Time, id ID, out *Outcome) {
+// clearSuspicion drops the crashes under a request that was served successfully, and ends its
+// refusal.
+func (g *Guard) clearSuspicion(now time.Time, id ID, out *Outcome) {
 	if g.ledger.RecordSuccess(now, id) {
 		out.Cleared = append(out.Cleared, id)
 		out.GossipSoon = true
@@ -252,7 +253,7 @@
 			g.verify(now, r.Request, e, &out)
 		}
 		if r.Served {
-			g.pardon(now, r.Request, &out)
+			g.clearSuspicion(now, r.Request, &out)
 		}
 	}
 	return out
@@ -289,23 +290,23 @@
 	return out
 }
 
-// contradicts pardons a request that another node refuses, if this node has served it
+// contradicts clears a request that another node refuses, if this node has served it
 // successfully since the first crash that counts against it.
 func (g *Guard) contradicts(now time.Time, id ID, out *Outcome) bool {
 	at, ok := g.served.Peek(id)
 	if !ok || !at.After(g.ledger.Refusals().FirstCrash(id)) {
 		return false
 	}
-	g.pardon(now, id, out)
+	g.clearSuspicion(now, id, out)
 	out.Reports = append(out.Reports, Report{Request: id, Served: true})
 	return true
 }
 
 // NextUpdates returns the refusal data of a heartbeat to a node: the checksum over the
-// refusals known here, and up to most refusals that were not sent to it yet.
-func (g *Guard) NextUpdates(now time.Time, to string, most int) (sum uint64, updates []Refusal) {
+// refusals known here, and up to limit refusals that were not sent to it yet.
+func (g *Guard) NextUpdates(now time.Time, to string, limit int) (sum uint64, updates []Refusal) {
 	refusals := g.ledger.Refusals()
-	return refusals.Checksum(now), refusals.NextUpdates(now, to, most)
+	return refusals.Checksum(now), refusals.NextUpdates(now, to, limit)
 }
 
 // ForgetPeers drops the state of nodes that are gone. A node that returns is sent
--- a/internal/core/poison/ledger.go
+++ b/internal/core/poison/ledger.go
@@ -77,8 +77,8 @@
 	Address  string
 	// ServiceSize is the number of endpoints of the same service.
 	ServiceSize int
-	// Confirmed is true if the list of endpoints shows the crash, and false if it was concluded
-	// from an address that refused a connection.
+	// Confirmed is true if the list of endpoints shows the crash or two nodes found it, so that the
+	// receiver need not verify it, and false if only the sender was refused a connection.
 	Confirmed bool
 	// Alive is true if the endpoint was reported as crashed but is alive.
 	Alive bool
@@ -95,7 +95,7 @@
 // Suspects returns the number of requests with recorded crashes.
 func (l *Ledger) Suspects() int { return l.suspects.Len() }
 
-// AddCrash records an endpoint's crash under a request, once for each life of an endpoint,
+// AddCrash records an endpoint's crash under a request, once for each incarnation of an endpoint,
 // and reports whether the request is newly refused. Only confirmed crashes count toward
 // that.
 func (l *Ledger) AddCrash(now time.Time, id ID, e Crash, confirmed bool) bool {
@@ -121,9 +121,9 @@
 func (s *suspect) add(e countedCrash) bool {
 	at := slices.IndexFunc(s.crashes, func(o countedCrash) bool { return o.Endpoint == e.Endpoint })
 	if at >= 0 {
-		fresh := e.confirmed && !s.crashes[at].confirmed
+		newlyConfirmed := e.confirmed && !s.crashes[at].confirmed
 		s.crashes[at].confirmed = s.crashes[at].confirmed || e.confirmed
-		return fresh
+		return newlyConfirmed
 	}
 	s.crashes = append(s.crashes, e)
 	if over := len(s.crashes) - maxKeptCrashes; over > 0 {
@@ -147,7 +147,7 @@
 // crash for other reasons, a request that is retried at once may be present again by
 // chance. With each crash this is the more likely, the larger the share of the endpoints
 // that crashed meanwhile and not under the request.
-func (l *Ledger) threshold(s *suspect, among int) int {
+func (l *Ledger) threshold(s *suspect, serviceSize int) int {
 	since := s.crashes[0].at.Add(-othersWindow)
 	others := 0
 	for _, endpoint := range l.recent.Keys() {
@@ -155,7 +155,7 @@
 			others++
 		}
 	}
-	share := min(float64(others)/float64(max(among, 1)), 1)
+	share := min(float64(others)/float64(max(serviceSize, 1)), 1)
 	chance := math.Pow(share, minCrashes-1)
 	n := minCrashes
 	for chance > maxChance && n < maxCrashes {
@@ -176,7 +176,7 @@
 
 // RetractCrash removes a crash that did not happen, and reports whether the request was
 // refused and is not any more. Only a node at which the request was refused because of that
-// crash pardons it, since other nodes know fewer of its crashes.
+// crash clears it, since other nodes know fewer of its crashes.
 func (l *Ledger) RetractCrash(now time.Time, id ID, endpoint string) bool {
 	s, ok := l.suspects.Peek(id)
 	if !ok {
@@ -197,7 +197,7 @@
 	return l.refusals.Clear(now, id)
 }
 
-// Crashes returns the crashes under a request. Confirmed ones are marked as sure.
+// Crashes returns the crashes under a request. Confirmed is also set for those that two nodes found.
 func (l *Ledger) Crashes(now time.Time, id ID) []Crash {
 	s, ok := l.suspects.Peek(id)
 	if !ok {
--- a/internal/core/poison/refusals.go
+++ b/internal/core/poison/refusals.go
@@ -27,7 +27,7 @@
 	// Version orders the states of one request.
 	Version uint64
 	// Remaining is how much longer the request is refused. It is negative while the request
-	// is on probation. For pardoned requests it is how much longer the pardon is kept.
+	// is on probation. For cleared requests it is how much longer that state is kept.
 	Remaining time.Duration
 	// Age is the time since the first crash that counts against the request.
 	Age time.Duration
@@ -50,7 +50,7 @@
 	until      time.Time
 	firstCrash time.Time
 	count      int
-	pardoned   bool
+	cleared    bool
 }
 
 // NewRefusals returns an empty set.
@@ -58,7 +58,7 @@
 	return &Refusals{byID: make(map[ID]*refusal), log: gossip.NewChangeLog[ID]()}
 }
 
-// Len returns the number of requests that are refused, pardoned or on probation.
+// Len returns the number of requests that are refused, cleared or on probation.
 func (r *Refusals) Len() int { return len(r.byID) }
 
 // refusalPeriod returns the duration of the given refusal of a request, counted from 1.
@@ -73,7 +73,7 @@
 // expiresAt returns when all state of the request expires. Its probation lasts as long as
 // its refusal did.
 func (f *refusal) expiresAt() time.Time {
-	if f.pardoned {
+	if f.cleared {
 		return f.until
 	}
 	return f.until.Add(refusalPeriod(f.count))
@@ -82,23 +82,23 @@
 // Remaining reports whether a request is refused, and for how much longer.
 func (r *Refusals) Remaining(now time.Time, id ID) (time.Duration, bool) {
 	f, ok := r.byID[id]
-	if !ok || f.pardoned || !now.Before(f.until) {
+	if !ok || f.cleared || !now.Before(f.until) {
 		return 0, false
 	}
 	return f.until.Sub(now), true
 }
 
-// Contains reports whether the set holds a request that is not pardoned.
+// Contains reports whether the set holds a request that is not cleared.
 func (r *Refusals) Contains(id ID) bool {
 	f, ok := r.byID[id]
-	return ok && !f.pardoned
+	return ok && !f.cleared
 }
 
 // OnProbation reports whether a request was refused before and is admitted again, so that
 // one more crash suffices to refuse it.
 func (r *Refusals) OnProbation(now time.Time, id ID) bool {
 	f, ok := r.byID[id]
-	return ok && !f.pardoned && !now.Before(f.until) && now.Before(f.expiresAt())
+	return ok && !f.cleared && !now.Before(f.until) && now.Before(f.expiresAt())
 }
 
 // FirstCrash returns when the first crash that counts against a refused request happened.
@@ -119,7 +119,7 @@
 	next := refusal{version: 1, count: 1, firstCrash: firstCrash}
 	if f, ok := r.byID[id]; ok {
 		next.version = f.version + 1
-		if !f.pardoned {
+		if !f.cleared {
 			next.count = f.count + 1
 		}
 	}
@@ -131,10 +131,10 @@
 // Clear ends a refusal and the probation after it, and reports whether there was one.
 func (r *Refusals) Clear(now time.Time, id ID) bool {
 	f, ok := r.byID[id]
-	if !ok || f.pardoned {
+	if !ok || f.cleared {
 		return false
 	}
-	r.put(id, refusal{version: f.version + 1, until: now.Add(minRefusal), pardoned: true})
+	r.put(id, refusal{version: f.version + 1, until: now.Add(minRefusal), cleared: true})
 	return true
 }
 
@@ -171,9 +171,9 @@
 // refused. Expired ones are ignored, so that two nodes do not keep them alive by sending
 // them to each other.
 func (r *Refusals) Merge(now time.Time, received []Refusal) []ID {
-	var fresh []ID
+	var newlyRefused []ID
 	for _, t := range received {
-		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, maxRefusal)), firstCrash: now.Add(-t.Age), count: max(t.Count, 1), pardoned: t.Cleared}
+		next := refusal{version: t.Version, until: now.Add(min(t.Remaining, maxRefusal)), firstCrash: now.Add(-t.Age), count: max(t.Count, 1), cleared: t.Cleared}
 		if !now.Before(next.expiresAt()) {
 			continue
 		}
@@ -183,20 +183,20 @@
 		_, before := r.Remaining(now, t.Request)
 		r.put(t.Request, next)
 		if _, refused := r.Remaining(now, t.Request); refused && !before {
-			fresh = append(fresh, t.Request)
+			newlyRefused = append(newlyRefused, t.Request)
 		}
 	}
-	return fresh
+	return newlyRefused
 }
 
 // newer reports whether a refusal replaces another one of the same request. If both have
-// the same version a pardon wins, and otherwise the one that lasts longer.
+// the same version a cleared request wins, and otherwise the one that lasts longer.
 func (f *refusal) newer(old *refusal) bool {
 	switch {
 	case f.version != old.version:
 		return f.version > old.version
-	case f.pardoned != old.pardoned:
-		return f.pardoned
+	case f.cleared != old.cleared:
+		return f.cleared
 	}
 	return f.until.After(old.until.Add(endTimeTolerance))
 }
@@ -211,7 +211,7 @@
 	sum := uint64(0)
 	for id, f := range r.byID {
 		part := f.version << 1
-		if f.pardoned {
+		if f.cleared {
 			part |= 1
 		}
 		sum ^= hash.Pair(id.Key(), hash.Mix(part))
@@ -219,14 +219,14 @@
 	return sum
 }
 
-// NextUpdates returns up to most refusals that were not sent to a peer yet, the oldest
+// NextUpdates returns up to limit refusals that were not sent to a peer yet, the oldest
 // first, and marks them as sent.
-func (r *Refusals) NextUpdates(now time.Time, to string, most int) []Refusal {
-	ids := r.log.NextUpdates(to, most)
+func (r *Refusals) NextUpdates(now time.Time, to string, limit int) []Refusal {
+	ids := r.log.NextUpdates(to, limit)
 	list := make([]Refusal, len(ids))
 	for i, id := range ids {
 		f := r.byID[id]
-		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.firstCrash), Count: f.count, Cleared: f.pardoned}
+		list[i] = Refusal{Request: id, Version: f.version, Remaining: f.until.Sub(now), Age: now.Sub(f.firstCrash), Count: f.count, Cleared: f.cleared}
 	}
 	return list
 }
--- a/internal/core/poison/refusals_test.go
+++ b/internal/core/poison/refusals_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestSuccessPardonsRequest checks that a refused request is pardoned when it is served
+// TestSuccessClearsRequest checks that a refused request is cleared when it is served
 // successfully.
-func TestSuccessPardonsRequest(t *testing.T) {
+func TestSuccessClearsRequest(t *testing.T) {
 	g := NewGuard(0)
 	for i := range minCrashes {
 		var out Outcome
@@ -83,15 +83,15 @@
 		t.Error("the last one is not kept")
 	}
 	sent := 0
-	for news := r.NextUpdates(start, "n", 100); len(news) > 0; news = r.NextUpdates(start, "n", 100) {
-		sent += len(news)
+	for updates := r.NextUpdates(start, "n", 100); len(updates) > 0; updates = r.NextUpdates(start, "n", 100) {
+		sent += len(updates)
 	}
 	if sent != maxRefusals {
 		t.Errorf("a node was sent %d", sent)
 	}
 }
 
-// TestRefusalsConverge lets nodes refuse and pardon requests, exchange updates, lose
+// TestRefusalsConverge lets nodes refuse and clear requests, exchange updates, lose
 // messages and restart. It guards against views that stay different, or that keep each
 // other alive: after full exchanges all nodes must have the same refusals and checksum, and
 // nothing may outlive its time.
@@ -104,11 +104,11 @@
 		}
 		now := start
 		exchange := func(from, to int, lost bool) {
-			sum, news := nodes[from].Checksum(now), nodes[from].NextUpdates(now, fmt.Sprint(to), 2)
+			sum, updates := nodes[from].Checksum(now), nodes[from].NextUpdates(now, fmt.Sprint(to), 2)
 			if lost {
 				return
 			}
-			nodes[to].Merge(now.Add(10*time.Millisecond), news)
+			nodes[to].Merge(now.Add(10*time.Millisecond), updates)
 			nodes[to].NeedsUpdate(now, fmt.Sprint(from), sum)
 		}
 		node := rapid.IntRange(0, size-1)
@@ -164,7 +164,7 @@
 }
 
 // TestRetractCrash retracts crashes of a refused request. A node that knows only one of
-// them must not pardon it; the node that refused it must once too few are left.
+// them must not clear it; the node that refused it must once too few are left.
 func TestRetractCrash(t *testing.T) {
 	owner, other := NewLedger(), NewLedger()
 	for i := range maxCrashes {
@@ -173,12 +173,12 @@
 	other.Refusals().Merge(start, owner.Refusals().NextUpdates(start, "other", maxRefusals))
 	other.AddCrash(start, idOf(1), Crash{Endpoint: "0", ServiceSize: 18}, false)
 	if other.RetractCrash(start, idOf(1), "0") {
-		t.Error("a node that knows one crash pardons the request")
+		t.Error("a node that knows one crash clears the request")
 	}
 	for i := range maxCrashes - minCrashes + 1 {
 		last := i == maxCrashes-minCrashes
-		if pardoned := owner.RetractCrash(start, idOf(1), fmt.Sprint(i)); pardoned != last {
-			t.Errorf("after %d retracted crashes, pardoned: %v", i+1, pardoned)
+		if cleared := owner.RetractCrash(start, idOf(1), fmt.Sprint(i)); cleared != last {
+			t.Errorf("after %d retracted crashes, cleared: %v", i+1, cleared)
 		}
 	}
 }
--- a/internal/core/poison/sim_endpoints_test.go
+++ b/internal/core/poison/sim_endpoints_test.go
@@ -8,7 +8,7 @@
 	"gradetiller.example/internal/core/poison"
 )
 
-// endpoint is the present life of a worker.
+// endpoint is the present incarnation of a worker.
 type endpoint struct {
 	worker    string
 	address   string
@@ -29,7 +29,7 @@
 	return slices.ContainsFunc(w.endpoints, func(o *endpoint) bool { return o.address == e.Address && !o.crashedAt.IsZero() })
 }
 
-func (e *endpoint) life() catalog.Endpoint {
+func (e *endpoint) incarnation() catalog.Endpoint {
 	return catalog.Endpoint{ID: catalog.IncarnationID(e.worker, e.born.UnixMilli()), Service: "model", Address: e.address, Slots: 64}
 }
 
@@ -39,7 +39,7 @@
 	var list []catalog.Endpoint
 	for _, e := range w.endpoints {
 		if e.crashedAt.IsZero() || w.now.Sub(e.crashedAt) < 3*heartbeat {
-			list = append(list, e.life())
+			list = append(list, e.incarnation())
 		}
 	}
 	return list
@@ -70,7 +70,7 @@
 		}
 		w.brokenRuns++
 		if w.isUp(r.node) {
-			w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.id()))
+			w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.incarnation, poison.LongRun, r.id()))
 		}
 		w.scheduleRetry(r)
 	}
--- a/internal/core/poison/sim_nodes_test.go
+++ b/internal/core/poison/sim_nodes_test.go
@@ -235,7 +235,7 @@
 		}
 	}
 	w.breakRuns(func(r *run) bool {
-		c, ok := n.cuts[r.life.Address]
+		c, ok := n.cuts[r.incarnation.Address]
 		return r.node == n && ok && w.now.Before(c.until)
 	})
 }
--- a/internal/core/poison/sim_requests_test.go
+++ b/internal/core/poison/sim_requests_test.go
@@ -10,14 +10,14 @@
 
 // run is a request that runs at an endpoint.
 type run struct {
-	node       *node
-	client     *client
-	poison     *poisonRequest
-	endpoint   *endpoint
-	life       catalog.Endpoint
-	startedAt  time.Time
-	endsAt     time.Time
-	answerLost bool
+	node        *node
+	client      *client
+	poison      *poisonRequest
+	endpoint    *endpoint
+	incarnation catalog.Endpoint
+	startedAt   time.Time
+	endsAt      time.Time
+	answerLost  bool
 }
 
 // client sends one request, and retries it a few times if it fails.
@@ -76,7 +76,7 @@
 		case r.answerLost:
 			// To the node, a lost answer looks like a broken run.
 			if w.isUp(r.node) {
-				w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.life, poison.LongRun, r.client.id))
+				w.apply(r.node, r.node.guard.RecordBrokenRuns(w.now, r.incarnation, poison.LongRun, r.client.id))
 			}
 			w.scheduleRetry(r)
 		default:
@@ -151,19 +151,19 @@
 		w.scheduleRetry(r)
 		return
 	}
-	r.life = n.list[w.rand.IntN(len(n.list))]
+	r.incarnation = n.list[w.rand.IntN(len(n.list))]
 	for _, e := range w.endpoints {
-		if e.address == r.life.Address && e.life().ID == r.life.ID {
+		if e.address == r.incarnation.Address && e.incarnation().ID == r.incarnation.ID {
 			r.endpoint = e
 		}
 	}
 	if r.endpoint != nil && !r.endpoint.crashedAt.IsZero() && w.script.number("proxies") > 0 {
 		// The proxy in front of the endpoint accepts the connection and closes it.
-		w.apply(n, n.guard.RecordBrokenRuns(w.now, r.life, poison.ShortRun, r.id()))
+		w.apply(n, n.guard.RecordBrokenRuns(w.now, r.incarnation, poison.ShortRun, r.id()))
 		w.scheduleRetry(r)
 		return
 	}
-	if c, ok := n.cuts[r.life.Address]; r.endpoint == nil || !r.endpoint.crashedAt.IsZero() || ok && w.now.Before(c.until) {
+	if c, ok := n.cuts[r.incarnation.Address]; r.endpoint == nil || !r.endpoint.crashedAt.IsZero() || ok && w.now.Before(c.until) {
 		w.scheduleRetry(r)
 		return
 	}
--- a/internal/core/signal/backoff_test.go
+++ b/internal/core/signal/backoff_test.go
@@ -16,14 +16,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		r := signal.NewRegistry(rapid.Uint64().Draw(rt, "seed"))
 		now := time.Unix(1000, 0)
-		asked, latest := time.Time{}, time.Time{}
+		requested, latest := time.Time{}, time.Time{}
 		for range rapid.IntRange(1, 20).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(rt, "gap")) * time.Millisecond)
 			if rapid.Bool().Draw(rt, "rejects") {
 				d := time.Duration(rapid.IntRange(1, 5000).Draw(rt, "backoff")) * time.Millisecond
 				r.Observe(now, "e", signal.Signals{Backoff: d})
-				if end := now.Add(d); end.After(asked) {
-					asked = end
+				if end := now.Add(d); end.After(requested) {
+					requested = end
 				}
 				if end := now.Add(d + min(d/4, time.Second)); end.After(latest) {
 					latest = end
@@ -33,8 +33,8 @@
 				r.Backoffs().Expire(now)
 			}
 			err := r.Check(now, "e")
-			if now.Before(asked) && !errors.Is(err, signal.ErrBackoff) {
-				rt.Fatalf("%v before the requested end: %v", asked.Sub(now), err)
+			if now.Before(requested) && !errors.Is(err, signal.ErrBackoff) {
+				rt.Fatalf("%v before the requested end: %v", requested.Sub(now), err)
 			}
 			if !now.Before(latest) && err != nil {
 				rt.Fatalf("%v after the latest end: %v", now.Sub(latest), err)
--- a/internal/core/signal/doc.go
+++ b/internal/core/signal/doc.go
@@ -16,7 +16,7 @@
 //	changes := registry.Observe(now, endpoint, signals)
 //
 //	// with each heartbeat
-//	limits := registry.Limits().Updates(now, peer, n)
-//	draining := registry.Draining().Updates(now, peer, n)
+//	limits := registry.Limits().NextUpdates(now, peer, n)
+//	draining := registry.Draining().NextUpdates(now, peer, n)
 //	added := registry.Draining().Merge(now, received)
 package signal
--- a/internal/core/signal/draining.go
+++ b/internal/core/signal/draining.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// drainingLife is how long an endpoint is kept after it was last listed or observed. It is
+	// drainingTTL is how long an endpoint is kept after it was last listed or observed. It is
 	// longer than the age of any endpoint list that a store may restore.
-	drainingLife = 5 * time.Minute
+	drainingTTL = 5 * time.Minute
 	// maxDraining limits the size of the set. When it is full, the endpoint that was last seen the
 	// longest ago is evicted.
 	maxDraining = 16384
@@ -82,20 +82,20 @@
 func (d *Draining) Merge(now time.Time, updates []DrainingUpdate) []string {
 	var added []string
 	for _, u := range updates {
-		if u.Age < drainingLife && d.add(u.Endpoint, now.Add(-max(u.Age, 0))) {
+		if u.Age < drainingTTL && d.add(u.Endpoint, now.Add(-max(u.Age, 0))) {
 			added = append(added, u.Endpoint)
 		}
 	}
 	return added
 }
 
-// Expire removes the endpoints that were neither listed nor observed for drainingLife.
+// Expire removes the endpoints that were neither listed nor observed for drainingTTL.
 func (d *Draining) Expire(now time.Time, listed func(endpoint string) bool) {
 	for endpoint, at := range d.seen {
 		switch {
 		case listed(endpoint):
 			d.seen[endpoint] = now
-		case now.Sub(at) >= drainingLife:
+		case now.Sub(at) >= drainingTTL:
 			d.drop(endpoint)
 		}
 	}
--- a/internal/core/signal/limits.go
+++ b/internal/core/signal/limits.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// limitLife is how long a limit remains in force if no answer repeats it.
-	limitLife = time.Minute
-	// refreshInterval is how often peers are told that answers still carry a limit. It is well
-	// below limitLife.
+	// limitTTL is how long a limit remains in force if no answer repeats it.
+	limitTTL = time.Minute
+	// refreshInterval is how often peers are sent an update of a limit that answers still carry. It
+	// is well below limitTTL.
 	refreshInterval = 15 * time.Second
 	// gossipTolerance is the difference in age below which two updates are treated as concurrent.
 	gossipTolerance = 30 * time.Millisecond
@@ -133,7 +133,7 @@
 	var changes []LimitChange
 	for _, u := range updates {
 		at := now.Add(-max(u.Age, 0))
-		if now.Sub(at) >= limitLife {
+		if now.Sub(at) >= limitTTL {
 			continue
 		}
 		e, known := l.byEndpoint[u.Endpoint]
@@ -160,17 +160,17 @@
 	return intake.Lower(rate, e.rate) == rate
 }
 
-// Expire ends the limits that no answer has repeated for limitLife, removes those that ended as
+// Expire ends the limits that no answer has repeated for limitTTL, removes those that ended as
 // long ago, and returns the changes.
 func (l *Limits) Expire(now time.Time) []LimitChange {
 	var changes []LimitChange
 	for endpoint, e := range l.byEndpoint {
 		switch {
-		case e.rate.Bounded() && now.Sub(e.at) >= limitLife:
+		case e.rate.Bounded() && now.Sub(e.at) >= limitTTL:
 			if c, changed := l.replace(now, endpoint, limit{at: e.at}); changed {
 				changes = append(changes, c)
 			}
-		case !e.rate.Bounded() && now.Sub(e.since) >= limitLife:
+		case !e.rate.Bounded() && now.Sub(e.since) >= limitTTL:
 			delete(l.byEndpoint, endpoint)
 			l.log.Remove(endpoint)
 		}
--- a/internal/core/signal/limits_test.go
+++ b/internal/core/signal/limits_test.go
@@ -106,11 +106,11 @@
 // in any 4 s, at most one and a half times the rate and 5 more requests may be sent.
 func TestPaceToleratesClockJumps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		named := rapid.Float64Range(0.1, 30).Draw(rt, "rate")
+		limit := rapid.Float64Range(0.1, 30).Draw(rt, "rate")
 		nodes := rapid.SampledFrom([]int{1, 2, 7, 59}).Draw(rt, "nodes")
 		limits := signal.NewLimits()
 		start := time.Unix(1000, 0)
-		limits.Observe(start, "e", mustRate(rt, named))
+		limits.Observe(start, "e", mustRate(rt, limit))
 		sends := make([]intake.Sends, nodes)
 		var sent []time.Time
 		jump := time.Duration(rapid.IntRange(-5000, 5000).Draw(rt, "jump")) * time.Millisecond
@@ -129,8 +129,8 @@
 				}
 			}
 		}
-		if got := intaketest.MaxInSpan(sent, start); got > intaketest.Allowed(named) {
-			rt.Fatalf("%d requests in %v at a limit of %v per second", got, intaketest.Span, named)
+		if got := intaketest.MaxInSpan(sent, start); got > intaketest.Allowed(limit) {
+			rt.Fatalf("%d requests in %v at a limit of %v per second", got, intaketest.Span, limit)
 		}
 	})
 }
