--- a/internal/core/assignment/table_test.go
+++ b/internal/core/assignment/table_test.go
@@ -55,18 +55,18 @@
 			if region != "" {
 				used = inRegion(entries(size.entries), region)
 			}
-			most := 0
+			highest := 0
 			for _, n := range counts {
-				most = max(most, n)
+				highest = max(highest, n)
 			}
 			mean := float64(sum) / float64(used)
-			if len(counts) != used || float64(most) > 1.25*mean+1 {
-				t.Errorf("%d entries, %d accounts, region %q: most accounts %d, mean %.1f, entries used %d", size.entries, size.accounts, region, most, mean, len(counts))
+			if len(counts) != used || float64(highest) > 1.25*mean+1 {
+				t.Errorf("%d entries, %d accounts, region %q: most accounts %d, mean %.1f, entries used %d", size.entries, size.accounts, region, highest, mean, len(counts))
 			}
-			if size.entries == 380 && float64(most) > 1.25*mean {
-				t.Errorf("380 entries, region %q: most accounts %d, mean %.1f", region, most, mean)
+			if size.entries == 380 && float64(highest) > 1.25*mean {
+				t.Errorf("380 entries, region %q: most accounts %d, mean %.1f", region, highest, mean)
 			}
-			t.Logf("%d entries, %d accounts, region %q: most loaded entry at %.2f of the mean", size.entries, size.accounts, region, float64(most)/mean)
+			t.Logf("%d entries, %d accounts, region %q: most loaded entry at %.2f of the mean", size.entries, size.accounts, region, float64(highest)/mean)
 		}
 	}
 }
--- a/internal/core/attempt/retry.go
+++ b/internal/core/attempt/retry.go
@@ -1,6 +1,6 @@
 package attempt
 
-// minCredit lets a pool with little traffic retry at all.
+// minCredit is the initial credit, which allows a pool with little traffic to retry at all.
 const minCredit = 3
 
 // RetryBudget bounds retries and hedges to a share of the first calls, so that
--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -147,16 +147,16 @@
 // indexPlacing records whether the endpoints of a route's services are chosen by the leader
 // of its stages or by each node.
 func (c *Config) indexPlacing(r *Route) {
-	way := intake.ByNodes
+	placement := intake.ByNodes
 	if len(r.Stages) > 0 {
-		way = intake.ByLeaders
+		placement = intake.ByLeaders
 	}
 	for _, b := range r.Backends {
-		if before, ok := c.placing[b.Service]; ok && before != way {
+		if before, ok := c.placing[b.Service]; ok && before != placement {
 			c.placing[b.Service] = intake.ByBoth
 			continue
 		}
-		c.placing[b.Service] = way
+		c.placing[b.Service] = placement
 	}
 }
 
--- a/internal/core/drain/drain_test.go
+++ b/internal/core/drain/drain_test.go
@@ -101,12 +101,12 @@
 }
 
 func shareAbovePrediction(sizes bool) float64 {
-	const lives, each = 400, 20
+	const predictors, observations = 400, 20
 	random := rand.New(rand.NewPCG(1, 2))
 	longer := 0
-	for range lives {
+	for range predictors {
 		var d Predictor
-		for range each {
+		for range observations {
 			tokens := 300 * math.Exp(0.6*random.NormFloat64())
 			var size Size
 			if sizes {
@@ -119,7 +119,7 @@
 			d.Observe(size, took)
 		}
 	}
-	return float64(longer) / (lives * (each - 1))
+	return float64(longer) / (predictors * (observations - 1))
 }
 
 func duration(t *testing.T, text string) time.Duration {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -36,7 +36,7 @@
 	Loading  bool
 }
 
-// Order tells an engine to hold exactly Engine.Wanted.
+// Order instructs an engine to hold exactly the versions of Engine.Wanted.
 type Order struct {
 	Engine      Engine
 	OperationID string
--- a/internal/core/mechanism/mechanism.go
+++ b/internal/core/mechanism/mechanism.go
@@ -31,7 +31,7 @@
 	// Placement lets the leader place the prompts of all nodes. If disabled,
 	// each node places its own prompts by the hash of one part.
 	Placement Mechanism = "placement"
-	// Admission refuses tasks that would miss their deadline. If disabled, all
+	// Admission rejects tasks that would miss their deadline. If disabled, all
 	// tasks are admitted.
 	Admission Mechanism = "admission"
 	// ForeignRoom tracks the result capacity that other leaders use at stage
--- a/internal/core/subset/subset.go
+++ b/internal/core/subset/subset.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	addresses := subset.Answer(entries, self, domain)
+//	addresses := subset.Addresses(entries, self, domain)
 package subset
 
 import (
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -214,10 +214,10 @@
 	if !exchange(address, hello(wire.RoleEntry), oldCA.security(wire.RoleEntry)) {
 		t.Fatal("connection with the old keys failed")
 	}
-	fresh := newCA.security(wire.RoleControl).files
-	copyFile(t, fresh.Certificate, server.files.Certificate)
-	copyFile(t, fresh.Key, server.files.Key)
-	copyFile(t, fresh.Authority, server.files.Authority)
+	renewed := newCA.security(wire.RoleControl).files
+	copyFile(t, renewed.Certificate, server.files.Certificate)
+	copyFile(t, renewed.Key, server.files.Key)
+	copyFile(t, renewed.Authority, server.files.Authority)
 	server.mu.Lock()
 	server.loadedAt = time.Now().Add(-2 * reloadInterval)
 	server.mu.Unlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -25,10 +25,10 @@
 }
 
 // NewServer returns a server that calls handle, in a separate goroutine, for each connection from
-// a peer of the given roles, and refused with the error of each connection that it rejects.
-func NewServer(l net.Listener, self wire.Hello, s *Security, roles []wire.Role, handle func(*Conn), refused func(error)) *Server {
+// a peer of the given roles, and onRefused with the error of each connection that it refuses.
+func NewServer(l net.Listener, self wire.Hello, s *Security, roles []wire.Role, handle func(*Conn), onRefused func(error)) *Server {
 	return &Server{
-		listener: l, self: self, security: s, roles: roles, handle: handle, onRefused: refused,
+		listener: l, self: self, security: s, roles: roles, handle: handle, onRefused: onRefused,
 		conns: make(map[net.Conn]struct{}),
 	}
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -195,8 +195,8 @@
 }
 
 // Snapshot is the state that an entry receives from its control process. Config is empty if the
-// entry already has the current version. Same is true if Entries and Endpoints are unchanged
-// since the previous snapshot on this connection and therefore omitted; sending the full lists
+// entry already has the current version. Unchanged is true if Entries and Endpoints are the same
+// as in the previous snapshot on this connection and therefore omitted; sending the full lists
 // every second would take 40 kB/s at 380 nodes.
 type Snapshot struct {
 	Unchanged bool
--- a/internal/wire/stages.go
+++ b/internal/wire/stages.go
@@ -55,7 +55,7 @@
 	Tokens int
 }
 
-// StagesAdmission is the immediate answer to a StagesSubmit.
+// StagesAdmission is the admission decision on a StagesSubmit, which the leader sends at once.
 type StagesAdmission struct {
 	ID       uint64
 	Accepted bool
@@ -110,8 +110,8 @@
 	Placement Placement
 }
 
-// StagesPing asks whether the leader is still working on a request. The answer is a StagesVerdict
-// whose Accepted is false if the leader does not know the request.
+// StagesPing asks whether the leader is still working on a request. The answer is a
+// StagesAdmission whose Accepted is false if the leader does not know the request.
 type StagesPing struct {
 	ID uint64
 }
