--- a/internal/core/discovery/restored_test.go
+++ b/internal/core/discovery/restored_test.go
@@ -152,26 +152,26 @@
 		store := &storeModel{version: 1, rows: make(map[string]catalog.Endpoint)}
 		copies := []storeModel{store.backup()}
 		nodes := []*List{NewList(), NewList(), NewList()}
-		// closed maps a node and an endpoint to the incarnation that the node knew to be over, and
-		// written counts the incarnations of an endpoint. Each write of an entry that accepts work
-		// begins one.
+		// endedIncarnations maps a node and an endpoint to the incarnation that the node knew to be
+		// over, and written counts the incarnations of an endpoint. Each write of an entry that
+		// accepts work begins one.
 		type key struct {
 			node int
 			id   string
 		}
-		closed := make(map[key]int)
+		endedIncarnations := make(map[key]int)
 		written := make(map[string]int)
 		incarnations := make(map[catalog.Revision]int)
 		now, restored := testTime, testTime
-		note := func() {
+		checkUse := func() {
 			for n, l := range nodes {
-				takes := make(map[string]bool)
+				accepts := make(map[string]bool)
 				for _, e := range l.Endpoints() {
-					takes[e.ID] = !e.Draining
+					accepts[e.ID] = !e.Draining
 				}
 				for id := range written {
 					k := key{n, id}
-					if incarnation, ok := closed[k]; ok && takes[id] && incarnation == written[id] && now.Sub(restored) < outdatedPeriod {
+					if incarnation, ok := endedIncarnations[k]; ok && accepts[id] && incarnation == written[id] && now.Sub(restored) < outdatedPeriod {
 						rt.Fatalf("node %d uses %s again, whose incarnation %d it knew to be over", n, id, incarnation)
 					}
 				}
@@ -205,19 +205,19 @@
 				n := rapid.IntRange(0, len(nodes)-1).Draw(rt, "reader")
 				l := nodes[n]
 				before := l.revision
-				knew := make(map[string]bool)
+				used := make(map[string]bool)
 				for _, e := range l.Endpoints() {
-					knew[e.ID] = !e.Draining
+					used[e.ID] = !e.Draining
 				}
 				sameEra := l.revision.Era() == store.era
 				l.ApplySnapshot(now, store.list(), store.revision())
 				if l.revision < before {
 					rt.Fatalf("node %d moved back from %v to %v", n, before, l.revision)
 				}
-				for id, took := range knew {
+				for id, wasUsed := range used {
 					e, listed := store.rows[id]
-					if sameEra && took && (!listed || e.Draining) && l.Lapsed() == 0 {
-						closed[key{n, id}] = written[id]
+					if sameEra && wasUsed && (!listed || e.Draining) && l.Lapsed() == 0 {
+						endedIncarnations[key{n, id}] = written[id]
 					}
 				}
 			case 6:
@@ -229,7 +229,7 @@
 					rt.Fatalf("node %d moved back from %v to %v", to, before, nodes[to].revision)
 				}
 			}
-			note()
+			checkUse()
 		}
 		for n, l := range nodes {
 			l.ApplySnapshot(now, store.list(), store.revision())
@@ -251,19 +251,19 @@
 	if !v.Contains("a") || !v.Contains("b") || !slices.Equal(v.Listed(), []string{"b"}) {
 		t.Errorf("after the restore: %v evacuated, %v listed", v.Domains(), v.Listed())
 	}
-	again := v.ApplyChanges(now.Add(2*time.Second), catalog.NewRevision(1, 6), []EvacuationChange{{Domain: "a"}}).Expire(now.Add(time.Hour))
-	if !again.Contains("a") {
+	rewritten := v.ApplyChanges(now.Add(2*time.Second), catalog.NewRevision(1, 6), []EvacuationChange{{Domain: "a"}}).Expire(now.Add(time.Hour))
+	if !rewritten.Contains("a") {
 		t.Error("an evacuation that was written again has ended")
 	}
-	if over := again.Replace(now.Add(3*time.Second), catalog.NewRevision(1, 7), nil); over.Contains("a") || over.EndedAt("a").IsZero() {
+	if over := rewritten.Replace(now.Add(3*time.Second), catalog.NewRevision(1, 7), nil); over.Contains("a") || over.EndedAt("a").IsZero() {
 		t.Error("an evacuation that was written again and ended is still in force")
 	}
 	listed := v.Replace(now.Add(2*time.Second), catalog.NewRevision(1, 6), []string{"a"})
 	if over := listed.Replace(now.Add(3*time.Second), catalog.NewRevision(1, 7), nil); over.Contains("a") {
 		t.Error("an evacuation that another node reported and that ended is still in force")
 	}
-	taken := v.ApplyChanges(now.Add(2*time.Second), catalog.NewRevision(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
-	if taken.Contains("a") || taken.EndedAt("a").IsZero() {
+	ended := v.ApplyChanges(now.Add(2*time.Second), catalog.NewRevision(1, 6), []EvacuationChange{{Domain: "a", Ended: true}})
+	if ended.Contains("a") || ended.EndedAt("a").IsZero() {
 		t.Error("an evacuation that was ended is still in force")
 	}
 	if held := v.Expire(now.Add(restoreHoldPeriod)); !held.Contains("a") {
