--- a/internal/core/poison/guard.go
+++ b/internal/core/poison/guard.go
@@ -30,8 +30,8 @@
 	// Reports are to be sent to the owners of their requests.
 	Reports []Report
 	// Refused lists requests that this node refuses from now on, RefusedByPeers those that
-	// another node refuses, and Pardoned those that are no longer refused.
-	Refused, RefusedByPeers, Pardoned []ID
+	// another node refuses, and Cleared those that are no longer refused.
+	Refused, RefusedByPeers, Cleared []ID
 	// GossipSoon is true if the neighbors should soon be sent the changes.
 	GossipSoon bool
 	// Reply is true if the sender should be sent the changes that it lacks.
@@ -182,10 +182,10 @@
 func (g *Guard) recordFindings(now time.Time, out *Outcome) {
 	for _, f := range out.Findings {
 		f.Requests = slices.DeleteFunc(slices.Clone(f.Requests), func(id ID) bool { return g.recentlyServed(now, id) })
-		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, Among: g.serviceSize(f.Endpoint.Service), Sure: f.FromList, Alive: !f.Crashed}
+		e := Crash{Endpoint: f.Endpoint.ID, Address: f.Endpoint.Address, ServiceSize: g.serviceSize(f.Endpoint.Service), Confirmed: f.FromList, Alive: !f.Crashed}
 		for _, id := range f.Requests {
 			r := Report{Request: id, Crashes: append(g.ledger.Crashes(now, id), e)}
-			g.recordCrash(now, id, e, e.Sure || g.singleNode, out)
+			g.recordCrash(now, id, e, e.Confirmed || g.singleNode, out)
 			out.Reports = append(out.Reports, r)
 		}
 	}
@@ -195,7 +195,7 @@
 func (g *Guard) recordCrash(now time.Time, id ID, e Crash, confirmed bool, out *Outcome) {
 	if e.Alive {
 		if g.ledger.RetractCrash(now, id, e.Endpoint) {
-			out.Pardoned = append(out.Pardoned, id)
+			out.Cleared = append(out.Cleared, id)
 			out.GossipSoon = true
 		}
 		return
@@ -231,15 +231,16 @@
 	if len(g.ledger.Crashes(now, id)) == 0 && !g.ledger.Refusals().Contains(id) {
 		return out
 	}
-	g.pardon(now, id, &out)
+	g.clearSuspicion(now, id, &out)
 	out.Reports = []Report{{Request: id, Served: true}}
 	return out
 }
 
-// pardon drops the crashes under a request that was served successfully.
-func (g *Guard) pardon(now time.Time, id ID, out *Outcome) {
+// clearSuspicion drops the crashes under a request that was served successfully, and ends its
+// refusal.
+func (g *Guard) clearSuspicion(now time.Time, id ID, out *Outcome) {
 	if g.ledger.RecordSuccess(now, id) {
-		out.Pardoned = append(out.Pardoned, id)
+		out.Cleared = append(out.Cleared, id)
 		out.GossipSoon = true
 	}
 }
@@ -252,7 +253,7 @@
 			g.verify(now, r.Request, e, &out)
 		}
 		if r.Served {
-			g.pardon(now, r.Request, &out)
+			g.clearSuspicion(now, r.Request, &out)
 		}
 	}
 	return out
@@ -260,7 +261,7 @@
 
 // verify accepts a reported crash, or starts to verify it.
 func (g *Guard) verify(now time.Time, id ID, e Crash, out *Outcome) {
-	if e.Sure || e.Alive {
+	if e.Confirmed || e.Alive {
 		g.recordCrash(now, id, e, true, out)
 		return
 	}
@@ -289,23 +290,23 @@
 	return out
 }
 
-// contradicts pardons a request that another node refuses, if this node has served it
+// contradicts clears a request that another node refuses, if this node has served it
 // successfully since the first crash that counts against it.
 func (g *Guard) contradicts(now time.Time, id ID, out *Outcome) bool {
 	at, ok := g.served.Peek(id)
 	if !ok || !at.After(g.ledger.Refusals().FirstCrash(id)) {
 		return false
 	}
-	g.pardon(now, id, out)
+	g.clearSuspicion(now, id, out)
 	out.Reports = append(out.Reports, Report{Request: id, Served: true})
 	return true
 }
 
 // NextUpdates returns the refusal data of a heartbeat to a node: the checksum over the
-// refusals known here, and up to most refusals that were not sent to it yet.
-func (g *Guard) NextUpdates(now time.Time, to string, most int) (sum uint64, updates []Refusal) {
+// refusals known here, and up to limit refusals that were not sent to it yet.
+func (g *Guard) NextUpdates(now time.Time, to string, limit int) (sum uint64, updates []Refusal) {
 	refusals := g.ledger.Refusals()
-	return refusals.Checksum(now), refusals.NextUpdates(now, to, most)
+	return refusals.Checksum(now), refusals.NextUpdates(now, to, limit)
 }
 
 // ForgetPeers drops the state of nodes that are gone. A node that returns is sent
--- a/internal/core/signal/draining.go
+++ b/internal/core/signal/draining.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// drainingLife is how long an endpoint is kept after it was last listed or observed. It is
+	// drainingTTL is how long an endpoint is kept after it was last listed or observed. It is
 	// longer than the age of any endpoint list that a store may restore.
-	drainingLife = 5 * time.Minute
+	drainingTTL = 5 * time.Minute
 	// maxDraining limits the size of the set. When it is full, the endpoint that was last seen the
 	// longest ago is evicted.
 	maxDraining = 16384
@@ -82,27 +82,27 @@
 func (d *Draining) Merge(now time.Time, updates []DrainingUpdate) []string {
 	var added []string
 	for _, u := range updates {
-		if u.Age < drainingLife && d.add(u.Endpoint, now.Add(-max(u.Age, 0))) {
+		if u.Age < drainingTTL && d.add(u.Endpoint, now.Add(-max(u.Age, 0))) {
 			added = append(added, u.Endpoint)
 		}
 	}
 	return added
 }
 
-// Expire removes the endpoints that were neither listed nor observed for drainingLife.
+// Expire removes the endpoints that were neither listed nor observed for drainingTTL.
 func (d *Draining) Expire(now time.Time, listed func(endpoint string) bool) {
 	for endpoint, at := range d.seen {
 		switch {
 		case listed(endpoint):
 			d.seen[endpoint] = now
-		case now.Sub(at) >= drainingLife:
+		case now.Sub(at) >= drainingTTL:
 			d.drop(endpoint)
 		}
 	}
 }
 
-// Sum returns a checksum that is equal on nodes with the same set.
-func (d *Draining) Sum() uint64 {
+// Checksum returns a checksum that is equal on nodes with the same set.
+func (d *Draining) Checksum() uint64 {
 	sum := uint64(0)
 	for endpoint := range d.seen {
 		sum ^= hash.Mix(hash.Of(endpoint))
@@ -110,8 +110,8 @@
 	return sum
 }
 
-// Updates returns at most n endpoints that have not been sent to a peer, and marks them as sent.
-func (d *Draining) Updates(now time.Time, to string, n int) []DrainingUpdate {
+// NextUpdates returns at most n endpoints that have not been sent to a peer, and marks them as sent.
+func (d *Draining) NextUpdates(now time.Time, to string, n int) []DrainingUpdate {
 	endpoints := d.log.NextUpdates(to, n)
 	slices.Sort(endpoints)
 	updates := make([]DrainingUpdate, len(endpoints))
@@ -121,10 +121,10 @@
 	return updates
 }
 
-// Differs compares the checksum of a peer with that of this set, and reports whether there are
+// NeedsUpdate compares the checksum of a peer with that of this set, and reports whether there are
 // updates for the peer.
-func (d *Draining) Differs(now time.Time, from string, sum uint64) bool {
-	return sum != d.Sum() && d.log.HandleMismatch(now, from)
+func (d *Draining) NeedsUpdate(now time.Time, from string, sum uint64) bool {
+	return sum != d.Checksum() && d.log.HandleMismatch(now, from)
 }
 
 // ForgetPeers removes the state kept for peers that have gone.
--- a/internal/core/stagepool/pool.go
+++ b/internal/core/stagepool/pool.go
@@ -13,17 +13,17 @@
 
 // Counters counts pool events since the pool was created.
 type Counters struct {
-	Accepted, Refused, Completed, Failed           uint64
+	Accepted, Rejected, Completed, Failed          uint64
 	Calls, Pieces, Retried, NoRoom, Gone, Restarts uint64
 	// Unused counts results that were no longer needed when their call ended.
 	Unused uint64
 }
 
-// RetryBudget limits how many pieces are retried. Fresh records n first attempts, and Take reports
-// whether n retries are allowed.
+// RetryBudget limits how many pieces are retried. AddRequests records n first attempts, and
+// TryAcquire reports whether n retries are allowed.
 type RetryBudget interface {
-	Fresh(now time.Time, service string, n int)
-	Take(now time.Time, service string, n int) bool
+	AddRequests(now time.Time, service string, n int)
+	TryAcquire(now time.Time, service string, n int) bool
 }
 
 // Option configures a new pool.
@@ -122,7 +122,7 @@
 	}
 	for _, e := range endpoints {
 		s, ok := p.services[e.Service]
-		if _, fresh := listed[e.ID]; !ok || !fresh || e.Draining {
+		if _, isNew := listed[e.ID]; !ok || !isNew || e.Draining {
 			continue
 		}
 		s.endpoints = append(s.endpoints, &endpoint{
@@ -200,27 +200,27 @@
 }
 
 // Submit admits or rejects a task.
-func (p *Pool) Submit(now time.Time, t Task) (Verdict, []Action) {
+func (p *Pool) Submit(now time.Time, t Task) (Admission, []Action) {
 	planned, ok := p.estimate(now, t)
 	if !ok {
-		p.counters.Refused++
-		return Verdict{RetryAfter: p.retryAfter(now, t)}, nil
+		p.counters.Rejected++
+		return Admission{RetryAfter: p.retryAfter(now, t)}, nil
 	}
 	finish := p.forecast(t, planned)
-	if v, refused := p.admit(now, t, finish); refused {
-		p.counters.Refused++
+	if v, rejected := p.admit(now, t, finish); rejected {
+		p.counters.Rejected++
 		return v, nil
 	}
 	p.counters.Accepted++
 	p.lastTask++
-	live := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), acceptedAt: now, estimate: planned}
+	admitted := &task{Task: t, id: p.lastTask, stages: make([]stage, len(t.Stages)), acceptedAt: now, estimate: planned}
 	for i, s := range t.Stages {
-		live.stages[i] = stage{Stage: s}
+		admitted.stages[i] = stage{Stage: s}
 	}
-	p.tasks[live.id] = live
-	p.begin(now, live)
+	p.tasks[admitted.id] = admitted
+	p.begin(now, admitted)
 	p.dispatchAll(now)
-	return Verdict{Accepted: true, ID: live.id, Finish: finish}, p.takeActions()
+	return Admission{Accepted: true, ID: admitted.id, Finish: finish}, p.takeActions()
 }
 
 // begin adds all stages of a task to the backlogs and queues those that are ready.
@@ -242,7 +242,7 @@
 		p.services[s.Service].initOccupancy(s.ResultBytes)
 		p.services[s.Service].backlog[t.Priority] += s.Pieces
 		if p.budget != nil && t.restarts == 0 {
-			p.budget.Fresh(now, s.Service, s.Pieces)
+			p.budget.AddRequests(now, s.Service, s.Pieces)
 		}
 	}
 	p.advance(now, t)
