--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -32,7 +32,7 @@
 	c          *Control
 	mu         sync.Mutex // guards lease
 	lease      *lease.Lease
-	orders     endpoints.Orderer
+	orders     endpoints.OrderSender
 	state      endpoints.StateReader
 	interval   time.Duration
 	statuses   map[string]fleet.Status // last status of each engine, by name
@@ -166,7 +166,7 @@
 func (p *placement) sendOrder(ctx context.Context, o fleet.Order, epoch uint64) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orderTimeout)
 	defer cancel()
-	err := p.orders.Order(ctx, o.Engine.Address, endpoints.LoadOrder{Op: o.OperationID, Epoch: epoch, Versions: o.Engine.Wanted})
+	err := p.orders.SendOrder(ctx, o.Engine.Address, endpoints.LoadOrder{Op: o.OperationID, Epoch: epoch, Versions: o.Engine.Wanted})
 	p.c.record("order", o.Engine.Name, fmt.Sprintf("op=%s epoch=%d versions=%q error=%v", o.OperationID, epoch, o.Engine.Wanted, err))
 }
 
--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -48,7 +48,7 @@
 	canceled bool
 }
 
-func (o *stoppingOrderer) Order(ctx context.Context, _ string, _ endpoints.LoadOrder) error {
+func (o *stoppingOrderer) SendOrder(ctx context.Context, _ string, _ endpoints.LoadOrder) error {
 	o.orders++
 	o.stop()
 	o.canceled = ctx.Err() != nil
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -66,7 +66,7 @@
 	}
 	w.c.mu.Lock()
 	defer w.c.mu.Unlock()
-	w.c.member.SetEndpoint(wire.Endpoint{Pool: e.pool, Name: e.name, Leaving: state.Leaving})
+	w.c.member.SetEndpoint(wire.Endpoint{Pool: e.pool, Name: e.name, Leaving: state.Draining})
 }
 
 // share returns the endpoints that this node polls.
--- a/internal/endpoints/order.go
+++ b/internal/endpoints/order.go
@@ -20,13 +20,13 @@
 	Versions []string `json:"versions"`
 }
 
-// Orderer sends load orders to engines. HTTP implements it.
-type Orderer interface {
-	Order(ctx context.Context, address string, o LoadOrder) error
+// OrderSender sends load orders to engines. HTTP implements it.
+type OrderSender interface {
+	SendOrder(ctx context.Context, address string, o LoadOrder) error
 }
 
-// Order implements Orderer.
-func (h *HTTP) Order(ctx context.Context, address string, o LoadOrder) error {
+// SendOrder implements OrderSender.
+func (h *HTTP) SendOrder(ctx context.Context, address string, o LoadOrder) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return err
--- a/internal/endpoints/state.go
+++ b/internal/endpoints/state.go
@@ -10,8 +10,8 @@
 
 // State is the state that an endpoint reports.
 type State struct {
-	// Leaving is true if the endpoint is draining and accepts no new calls.
-	Leaving bool `json:"leaving"`
+	// Draining is true if the endpoint is draining and accepts no new calls.
+	Draining bool `json:"leaving"`
 	// Busy is the number of calls that are running or queued at the endpoint.
 	Busy float64 `json:"busy"`
 	// Versions are the model versions that an engine holds or is loading.
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -27,7 +27,7 @@
 func TestNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &blockedStream{unblocked: make(chan struct{})}
-		b := NewBounded(s)
+		b := NewAsyncWriter(s)
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		started := time.Now()
 		for range 5000 {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -34,7 +34,7 @@
 }
 
 // NewTo returns a logger to a stream at a level, and its background writer.
-func NewTo(stream io.Writer, level string) (*zap.Logger, *Bounded, error) {
+func NewTo(stream io.Writer, level string) (*zap.Logger, *AsyncWriter, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, nil, fmt.Errorf("log level %q: expected debug, info, warn or error", level)
@@ -42,10 +42,10 @@
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.ISO8601TimeEncoder
 	enc.EncodeDuration = zapcore.StringDurationEncoder
-	out := NewBounded(stream)
-	coreOf := func(k Kind) zapcore.Core {
-		enabled := zap.LevelEnablerFunc(func(of zapcore.Level) bool { return l.Enabled(of) && kindOf(of) == k })
-		return zapcore.NewCore(zaplogfmt.NewEncoder(enc), out.WriterFor(k), enabled)
+	out := NewAsyncWriter(stream)
+	coreOf := func(p Priority) zapcore.Core {
+		enabled := zap.LevelEnablerFunc(func(of zapcore.Level) bool { return l.Enabled(of) && priorityOf(of) == p })
+		return zapcore.NewCore(zaplogfmt.NewEncoder(enc), out.WriterFor(p), enabled)
 	}
 	return zap.New(zapcore.NewTee(coreOf(Ordinary), coreOf(Urgent))), out, nil
 }
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -70,8 +70,8 @@
 // TestDroppedLogLinesMetric guards against dropped log lines that do not appear in the metrics by
 // kind.
 func TestDroppedLogLinesMetric(t *testing.T) {
-	dropped := map[logging.Kind]uint64{logging.Ordinary: 7, logging.Urgent: 2}
-	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(k logging.Kind) uint64 { return dropped[k] }))
+	dropped := map[logging.Priority]uint64{logging.Ordinary: 7, logging.Urgent: 2}
+	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(k logging.Priority) uint64 { return dropped[k] }))
 	var page bytes.Buffer
 	n.meters.set.WritePrometheus(&page)
 	for _, want := range []string{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 	metricsAddress string
 	// droppedLines returns the number of log lines of a kind that were dropped. It may be
 	// nil.
-	droppedLines func(logging.Kind) uint64
+	droppedLines func(logging.Priority) uint64
 	// peerAddress is the address at which other nodes reach this one.
 	peerAddress string
 	// disabled holds the mechanisms that are switched off.
@@ -144,7 +144,7 @@
 func WithLog(log *zap.Logger) Option { return func(n *Node) { n.log = log } }
 
 // WithDroppedLines exports the number of dropped log lines of each kind as metrics.
-func WithDroppedLines(count func(logging.Kind) uint64) Option {
+func WithDroppedLines(count func(logging.Priority) uint64) Option {
 	return func(n *Node) { n.droppedLines = count }
 }
 
