--- a/cmd/gradetiller/cmd/explain_logs.go
+++ b/cmd/gradetiller/cmd/explain_logs.go
@@ -26,11 +26,11 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := explain.Timeline(lines, c.Subject, c.Around)
-	if len(story) == 0 {
+	timeline := explain.Timeline(lines, c.Subject, c.Around)
+	if len(timeline) == 0 {
 		return fmt.Errorf("none of the %d lines of %s mentions %s; pass the logs of all nodes", len(lines), strings.Join(c.Files, ", "), c.Subject)
 	}
-	for _, l := range story {
+	for _, l := range timeline {
 		fmt.Fprintln(s.out, l)
 	}
 	return nil
--- a/internal/control/entries.go
+++ b/internal/control/entries.go
@@ -14,9 +14,9 @@
 
 const (
 	snapshotInterval = time.Second
-	// settleTime is how long a new control process may need to learn of all its
+	// convergenceTime is how long a new control process may need to learn of all its
 	// peers. A fleet of 380 nodes that start together takes 40 s.
-	settleTime = 45 * time.Second
+	convergenceTime = 45 * time.Second
 	// entryReceiveTimeout is how long an entry may send nothing before its
 	// connection is closed.
 	entryReceiveTimeout = 2 * time.Second
@@ -109,7 +109,7 @@
 func (c *Control) snapshot(link *entryLink) wire.Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := wire.Snapshot{Entries: c.member.Entries(), Endpoints: c.member.Endpoints(), Settled: time.Since(c.started) > settleTime}
+	s := wire.Snapshot{Entries: c.member.Entries(), Endpoints: c.member.Endpoints(), Settled: time.Since(c.started) > convergenceTime}
 	if link.status.ConfigVersion < c.inForce.Version {
 		s.Config = c.inForce
 	}
--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -41,14 +41,14 @@
 	}
 }
 
-// stoppingOrderer stops the process while an order is in flight.
-type stoppingOrderer struct {
+// stoppingSender stops the process while an order is in flight.
+type stoppingSender struct {
 	stop     context.CancelFunc
 	orders   int
 	canceled bool
 }
 
-func (o *stoppingOrderer) SendOrder(ctx context.Context, _ string, _ endpoints.LoadOrder) error {
+func (o *stoppingSender) SendOrder(ctx context.Context, _ string, _ endpoints.LoadOrder) error {
 	o.orders++
 	o.stop()
 	o.canceled = ctx.Err() != nil
@@ -70,14 +70,14 @@
 	if _, _, err := c.Apply(ctx, 0, w.cfg.Data(), "test"); err != nil {
 		t.Fatal(err)
 	}
-	orderer := &stoppingOrderer{stop: cancel}
-	c.placement.orders, c.placement.epochWait = orderer, 0
+	sender := &stoppingSender{stop: cancel}
+	c.placement.orders, c.placement.epochWait = sender, 0
 	w.waitFor("the lease is held", func() bool {
 		c.placement.stepLease(ctx)
 		return c.placement.updateEpoch()
 	})
 	c.placement.reconcile(ctx)
-	if orderer.orders != 1 || orderer.canceled {
-		t.Fatalf("%d orders, the last one canceled: %v; want one order that is not canceled", orderer.orders, orderer.canceled)
+	if sender.orders != 1 || sender.canceled {
+		t.Fatalf("%d orders, the last one canceled: %v; want one order that is not canceled", sender.orders, sender.canceled)
 	}
 }
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -21,7 +21,7 @@
 )
 
 // watcher polls the state of this node's share of the endpoints, so that nodes
-// learn that an endpoint is leaving even if they send it no calls.
+// learn that an endpoint is draining even if they send it no calls.
 type watcher struct {
 	c     *Control
 	state endpoints.StateReader
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -85,14 +85,14 @@
 
 func (n *Node) locateEndpoint(_ context.Context, request any) (any, error) {
 	req := request.(*locateRequest)
-	answer := locateResponse{KeepMS: n.Config().LocateKeep().Milliseconds()}
+	response := locateResponse{KeepMS: n.Config().LocateKeep().Milliseconds()}
 	for _, e := range n.table.Load().Entries(req.account, req.region, req.domain) {
-		answer.Addresses = append(answer.Addresses, e.Address)
+		response.Addresses = append(response.Addresses, e.Address)
 	}
-	if len(answer.Addresses) == 0 {
+	if len(response.Addresses) == 0 {
 		return nil, failure.New(failure.Draining, "no node takes requests", failure.WithRetryAfter(time.Second))
 	}
-	return answer, nil
+	return response, nil
 }
 
 type runRequest struct {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -159,16 +159,16 @@
 
 func (n *Node) finish(f run.Finish) {
 	n.metrics.observeFinish(f)
-	w, ok := n.streams[f.Run]
+	s, ok := n.streams[f.Run]
 	if !ok {
 		return
 	}
 	delete(n.streams, f.Run)
-	key := requestKey{w.account, f.Summary.RequestID}
+	key := requestKey{s.account, f.Summary.RequestID}
 	if n.byRequest[key] == f.Run {
 		delete(n.byRequest, key)
 	}
-	w.finish(f)
+	s.finish(f)
 }
 
 func (n *Node) logDecision(now time.Time, d run.Decision) {
@@ -188,11 +188,11 @@
 }
 
 // call sends one stage call and reports its result to the engine.
-func (n *Node) call(ctx context.Context, cancel context.CancelFunc, c run.Call, w *stream) {
+func (n *Node) call(ctx context.Context, cancel context.CancelFunc, c run.Call, s *stream) {
 	defer cancel()
 	ctx, stop := context.WithDeadline(ctx, c.Deadline.Add(deadlineGrace))
 	defer stop()
-	sink := &attemptSink{node: n, stream: w, call: c}
+	sink := &attemptSink{node: n, stream: s, call: c}
 	end := n.caller.Call(ctx, c, sink)
 	n.step(func(now time.Time) []run.Action {
 		delete(n.cancels, c.Attempt)
@@ -211,26 +211,26 @@
 // Submit passes a request to the engine. The returned stream delivers the
 // run's output and result.
 func (n *Node) Submit(req run.Request) *stream {
-	w := newStream(req.Account)
+	s := newStream(req.Account)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	id, actions := n.engine.Submit(now, req)
-	w.run = id
+	s.run = id
 	if id != 0 {
-		n.streams[id] = w
+		n.streams[id] = s
 		n.byRequest[requestKey{req.Account, req.RequestID}] = id
 	}
 	for _, a := range actions {
 		if f, ok := a.(run.Finish); ok && id == 0 {
 			n.metrics.observeFinish(f)
-			w.finish(f)
+			s.finish(f)
 			continue
 		}
 		n.execute(now, a)
 	}
 	n.resetTimer(now)
-	return w
+	return s
 }
 
 // Cancel ends a run because its client disconnected.
--- a/internal/entry/openrequests.go
+++ b/internal/entry/openrequests.go
@@ -18,25 +18,25 @@
 
 func newOpenRequests() *openRequests { return &openRequests{ids: make(map[*http.Request]string)} }
 
-func (e *openRequests) add(r *http.Request) {
+func (o *openRequests) add(r *http.Request) {
 	id := r.Header.Get(headerRequestID)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.ids[r] = id[:min(len(id), maxIDLength)]
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.ids[r] = id[:min(len(id), maxIDLength)]
 }
 
-func (e *openRequests) remove(r *http.Request) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	delete(e.ids, r)
+func (o *openRequests) remove(r *http.Request) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	delete(o.ids, r)
 }
 
 // sorted returns the ids of the open requests in order.
-func (e *openRequests) sorted() []string {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	ids := make([]string, 0, len(e.ids))
-	for _, id := range e.ids {
+func (o *openRequests) sorted() []string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	ids := make([]string, 0, len(o.ids))
+	for _, id := range o.ids {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -79,7 +79,9 @@
 func (w *AsyncWriter) Sync() error { return nil }
 
 // WriterFor returns a writer that adds lines of a priority.
-func (w *AsyncWriter) WriterFor(p Priority) zapcore.WriteSyncer { return priorityWriter{AsyncWriter: w, priority: p} }
+func (w *AsyncWriter) WriterFor(p Priority) zapcore.WriteSyncer {
+	return priorityWriter{AsyncWriter: w, priority: p}
+}
 
 // priorityWriter adds lines of one priority to an AsyncWriter.
 type priorityWriter struct {
--- a/internal/naive/queue.go
+++ b/internal/naive/queue.go
@@ -28,14 +28,14 @@
 }
 
 // Push appends an item.
-func (q *Queue) Push(w Item) {
+func (q *Queue) Push(item Item) {
 	if q.virtualFinish == nil {
 		q.virtualFinish = make(map[int]float64)
 	}
-	w.virtualStart = max(q.virtualTime, q.virtualFinish[w.Account])
-	w.overCredit = w.virtualStart-q.virtualTime > fairCredit
-	q.virtualFinish[w.Account] = w.virtualStart + 1/float64(w.Weight)
-	q.items = append(q.items, w)
+	item.virtualStart = max(q.virtualTime, q.virtualFinish[item.Account])
+	item.overCredit = item.virtualStart-q.virtualTime > fairCredit
+	q.virtualFinish[item.Account] = item.virtualStart + 1/float64(item.Weight)
+	q.items = append(q.items, item)
 }
 
 // Pop removes the first item by the policy and returns its ID, or -1 if the queue is empty.
@@ -49,12 +49,12 @@
 			first = i
 		}
 	}
-	w := q.items[first]
-	q.Remove(w.ID)
+	item := q.items[first]
+	q.Remove(item.ID)
 	if (q.Policy == "weighted_fair" || q.Policy == "fair_slack") && len(q.items) > 0 {
-		q.virtualTime = max(q.virtualTime, w.virtualStart)
+		q.virtualTime = max(q.virtualTime, item.virtualStart)
 	}
-	return w.ID
+	return item.ID
 }
 
 // Remove removes an item by its ID and reports whether it was queued.
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	v.evacuations = discovery.Evacuations{}.Replace(time.Now(), 1, nil)
-	v.fresh.List = time.Now()
+	v.freshness.List = time.Now()
 	n.view.Store(v)
 	for b.Loop() {
 		n.updatePools()
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -13,14 +13,14 @@
 	budget *attempt.WindowBudget
 }
 
-// Fresh implements stagepool.Budget.
+// Fresh implements stagepool.RetryBudget.
 func (b *lockedBudget) Fresh(now time.Time, service string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.AddRequests(now, service, n)
 }
 
-// Take implements stagepool.Budget.
+// Take implements stagepool.RetryBudget.
 func (b *lockedBudget) Take(now time.Time, service string, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/node/cold_test.go
+++ b/internal/node/cold_test.go
@@ -61,7 +61,7 @@
 	for _, w := range workers[:cold] {
 		w.SetCold(coldDuration)
 	}
-	counts := &responseCounts{answers: make(map[int]int)}
+	counts := &responseCounts{byStatus: make(map[int]int)}
 	counts.run(nodes, c.request, 16, coldSince.Add(coldDuration-time.Second))
 	for i, w := range workers[:cold] {
 		arrivals := intaketest.After(w.ArrivalTimes(), coldSince.Add(coldReactionTime))
@@ -73,7 +73,7 @@
 		}
 	}
 	if len(counts.unexpected) > 0 {
-		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(counts.unexpected), counts.unexpected[0])
+		t.Errorf("%d requests were neither served nor refused with Retry-After; first: %s", len(counts.unexpected), counts.unexpected[0])
 	}
-	t.Logf("responses by status: %v", counts.answers)
+	t.Logf("responses by status: %v", counts.byStatus)
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -91,7 +91,7 @@
 }
 
 // TestInvalidConfigKeepsPrevious guards against an invalid configuration that is applied in part,
-// or that blocks later ones: the previous version stays in force, the rejection is counted, and the
+// or that blocks later ones: the previous version stays in force, the refusal is counted, and the
 // next valid version is applied.
 func TestInvalidConfigKeepsPrevious(t *testing.T) {
 	site, c, r := startServingNode(t)
@@ -100,9 +100,9 @@
 		refusedBefore := r.node.configsRefused.Load()
 		c.Version++
 		site.PublishInvalid(c)
-		eventually(t, "the invalid version is rejected", func() bool { return r.node.configsRefused.Load() > refusedBefore })
+		eventually(t, "the invalid version is refused", func() bool { return r.node.configsRefused.Load() > refusedBefore })
 		if got := r.node.view.Load().version(); got != before {
-			t.Errorf("version %d is in force after %d was rejected, want %d", got, c.Version, before)
+			t.Errorf("version %d is in force after %d was refused, want %d", got, c.Version, before)
 		}
 		c.Version++
 		site.Publish(c)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,8 +13,8 @@
 
 const (
 	// acceptTime is how long a stopping node accepts new connections: the lifetime of a lookup
-	// answer, plus half a second for the gossip that it is leaving to reach the nodes that give
-	// those answers. Clients that use an answer for longer are better served by a refused
+	// response, plus half a second for the gossip that it is leaving to reach the nodes that send
+	// those responses. Clients that use a response for longer are better served by a refused
 	// connection, because they try another address at once.
 	acceptTime = maxLookupTTL + 500*time.Millisecond
 	// shutdownMargin is the part of the grace period that remains when the node aborts the
@@ -23,10 +23,10 @@
 	// flushTimeout bounds the time for clients to read the end of a response, within the grace
 	// period. On a saturated link a few kilobytes take this long.
 	flushTimeout = 500 * time.Millisecond
-	// finalAnswersTimeout bounds the time for sending the responses of aborted requests.
-	finalAnswersTimeout = 100 * time.Millisecond
-	drainPollInterval   = 10 * time.Millisecond
-	leadingPollInterval = 50 * time.Millisecond
+	// finalResponsesTimeout bounds the time for sending the responses of aborted requests.
+	finalResponsesTimeout = 100 * time.Millisecond
+	drainPollInterval     = 10 * time.Millisecond
+	leadingPollInterval   = 50 * time.Millisecond
 	// leaveGossipTime is the time for the final gossip to be sent before the process exits.
 	leaveGossipTime = 50 * time.Millisecond
 )
@@ -37,8 +37,8 @@
 	listener net.Listener
 }
 
-// drain shuts down gracefully. All nodes stop listing this node in lookup answers at once, while it
-// accepts connections for up to acceptTime. It then serves until no request is in flight or the
+// drain shuts down gracefully. All nodes stop listing this node in lookup responses at once, while
+// it accepts connections for up to acceptTime. It then serves until no request is in flight or the
 // grace period is over.
 func (n *Node) drain(f *front) {
 	s := n.beginShutdown()
@@ -77,7 +77,7 @@
 	now := time.Now()
 	ends := now.Add(n.settings.GracePeriod - shutdownMargin)
 	s := &shutdown{requestedAt: now, acceptFor: min(acceptTime, n.settings.GracePeriod/2), endsAt: ends, window: drain.Until(ends)}
-	n.stop.Store(s)
+	n.shutdown.Store(s)
 	n.publishEntry()
 	n.log.Info(eventStopping, zap.Int64("in_flight", n.inFlight.Load()))
 	return s
@@ -98,7 +98,7 @@
 // response. A request whose client doesn't read is ended by closing its connection.
 func (n *Node) abortRequests(f *front) {
 	n.cancelRequests(errTerminated)
-	ctx, cancel := context.WithTimeout(context.Background(), finalAnswersTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
 	defer cancel()
 	if f.server.Shutdown(ctx) == nil {
 		return
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -15,7 +15,7 @@
 )
 
 // The tests of this file guard against a stopping node that accepts requests which it cannot finish
-// within its grace period. Clients that use an older lookup answer still reach a node after it
+// within its grace period. Clients that use an older lookup response still reach a node after it
 // began to stop. A node that served them for 3.5 s without comparing the expected duration with the
 // time left cut every stream longer than the 4.1 s that then remained, and the client could not
 // repeat a stream that may run only once: a stream that arrived 3.4 s into the stop ran its stages
@@ -76,7 +76,7 @@
 	route := r.node.view.Load().config.Match(platformtest.Host, path)
 	for range samplesNeeded {
 		now := time.Now()
-		r.node.times.observe(&request{in: platform.ClientRequest{MaxTokens: maxTokens}, service: route.PickBackend(0), route: route, arrived: now.Add(-longStreamDuration)}, now)
+		r.node.durations.observe(&request{in: platform.ClientRequest{MaxTokens: maxTokens}, service: route.PickBackend(0), route: route, arrived: now.Add(-longStreamDuration)}, now)
 	}
 }
 
@@ -105,22 +105,22 @@
 
 func isComplete(a platformtest.Response) bool { return a.Status == http.StatusOK && a.Err == nil }
 
-// checkRejected checks that a request was rejected with Retry-After as not run, and that it did not
+// checkRefused checks that a request was refused with Retry-After as not run, and that it did not
 // run.
-func checkRejected(t *testing.T, id string, a platformtest.Response, model *platformtest.Worker) {
+func checkRefused(t *testing.T, id string, a platformtest.Response, model *platformtest.Worker) {
 	t.Helper()
 	if a.Status != http.StatusServiceUnavailable || a.RetryAfter == "" || a.Err != nil {
 		t.Errorf("%s: %+v, want 503 with Retry-After", id, a)
 	}
 	if runs := model.Runs(id); runs > 0 {
-		t.Errorf("%s was rejected but ran %d times", id, runs)
+		t.Errorf("%s was refused but ran %d times", id, runs)
 	}
 }
 
-// TestStopRejectsRequestsThatCannotFinish guards against streams that are accepted during a planned
+// TestStopRefusesRequestsThatCannotFinish guards against streams that are accepted during a planned
 // stop and then cut. Streams with and without stages that arrive early in the stop complete, those
-// that arrive late are rejected, and a short request that arrives just as late is served.
-func TestStopRejectsRequestsThatCannotFinish(t *testing.T) {
+// that arrive late are refused, and a short request that arrives just as late is served.
+func TestStopRefusesRequestsThatCannotFinish(t *testing.T) {
 	n, model := startLongStreamNode(t)
 	paths := []string{"/once/", "/staged/"}
 	for _, path := range paths {
@@ -143,7 +143,7 @@
 	time.Sleep(lateArrival)
 	for i, path := range paths {
 		id := "late" + path
-		checkRejected(t, id, platformtest.DoOn(context.Background(), connections[i], n.Front, longRequest(id, path)), model)
+		checkRefused(t, id, platformtest.DoOn(context.Background(), connections[i], n.Front, longRequest(id, path)), model)
 	}
 	if a := platformtest.DoOn(context.Background(), short, n.Front, platformtest.Request{ID: "short", Path: "/book/", Key: key}); !isComplete(a) {
 		t.Errorf("short request late in the stop: %+v", a)
@@ -151,26 +151,26 @@
 	wait.Wait()
 }
 
-// TestStopRejectsStreamAfterSlowStages guards against a stream that is started although its stages
+// TestStopRefusesStreamAfterSlowStages guards against a stream that is started although its stages
 // took so long that it can no longer finish: no engine starts it, and the results of its stages are
 // freed.
-func TestStopRejectsStreamAfterSlowStages(t *testing.T) {
+func TestStopRefusesStreamAfterSlowStages(t *testing.T) {
 	n, model := startLongStreamNode(t)
 	n.recordLongStreams("/staged/")
 	q := &request{in: platform.ClientRequest{RequestID: "slow", MaxTokens: maxTokens}, view: n.node.view.Load(), service: "model", arrived: time.Now()}
 	q.route = q.view.config.Match(platformtest.Host, "/staged/")
 	q.deadline = q.arrived.Add(longStreamTimeout)
-	n.node.stop.Store(&shutdown{requestedAt: q.arrived, acceptFor: acceptTime, endsAt: q.arrived, window: drain.Until(q.arrived.Add(longStreamDuration))})
+	n.node.shutdown.Store(&shutdown{requestedAt: q.arrived, acceptFor: acceptTime, endsAt: q.arrived, window: drain.Until(q.arrived.Add(longStreamDuration))})
 	w := httptest.NewRecorder()
 	n.node.serveStream(context.Background(), w, q)
-	checkRejected(t, "slow", platformtest.Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After")}, model)
-	n.node.stop.Store(nil)
+	checkRefused(t, "slow", platformtest.Response{Status: w.Code, RetryAfter: w.Header().Get("Retry-After")}, model)
+	n.node.shutdown.Store(nil)
 }
 
 // TestStopAnswersOnOpenConnections guards against a stopping node that closes connections without a
 // response, so that the client cannot tell whether its request ran. Requests arrive on a new and on
 // a kept connection, both opened before the node stopped accepting, while another request is in
-// flight: both are rejected as not run. A node that closed the new connection after reading the
+// flight: both are refused as not run. A node that closed the new connection after reading the
 // request, and all idle connections at one moment, dropped requests that it had just read.
 func TestStopAnswersOnOpenConnections(t *testing.T) {
 	n, model := startLongStreamNode(t)
@@ -186,8 +186,8 @@
 	eventually(t, "the in-flight request is running", func() bool { return model.Runs("in-flight") > 0 })
 	opened := n.connect(t)
 	time.Sleep(acceptTime)
-	checkRejected(t, "waiting", platformtest.DoOn(context.Background(), opened, n.Front, longRequest("waiting", "/once/")), model)
-	checkRejected(t, "kept-2", platformtest.DoOn(context.Background(), kept, n.Front, longRequest("kept-2", "/once/")), model)
+	checkRefused(t, "waiting", platformtest.DoOn(context.Background(), opened, n.Front, longRequest("waiting", "/once/")), model)
+	checkRefused(t, "kept-2", platformtest.DoOn(context.Background(), kept, n.Front, longRequest("kept-2", "/once/")), model)
 	wait.Wait()
 }
 
@@ -199,7 +199,7 @@
 	n.stopAndWait(t)
 	short, long := longRequest("short", "/once/"), longRequest("long", "/once/")
 	long.MaxTokens = 50 * maxTokens
-	checkRejected(t, long.ID, do(n.Front, long), model)
+	checkRefused(t, long.ID, do(n.Front, long), model)
 	if a := do(n.Front, short); !isComplete(a) {
 		t.Errorf("short stream: %+v", a)
 	}
@@ -216,9 +216,9 @@
 	if !isComplete(a) || !a.ConnectionClose {
 		t.Errorf("%+v, want a complete response with Connection: close", a)
 	}
-	answer := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
+	response := &platform.Response{Status: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}}
 	streamed, refused := httptest.NewRecorder(), httptest.NewRecorder()
-	(&stream{node: n.node, q: before, w: streamed}).sendHead(answer)
+	(&stream{node: n.node, q: before, w: streamed}).sendHead(response)
 	n.node.refuse(refused, &request{arrived: before.arrived, view: n.node.view.Load()}, http.StatusBadGateway, "lost", 0)
 	for _, w := range []*httptest.ResponseRecorder{streamed, refused} {
 		if got := w.Header().Values("Connection"); len(got) != 1 || got[0] != "close" {
@@ -238,7 +238,7 @@
 	cfg := n.node.view.Load().config
 	estimateFor := func(path string) (time.Duration, bool) {
 		route := cfg.Match(platformtest.Host, path)
-		return n.node.times.upperEstimate(&request{service: route.PickBackend(0), route: route})
+		return n.node.durations.upperEstimate(&request{service: route.PickBackend(0), route: route})
 	}
 	for _, path := range []string{"/once/", "/plain/"} {
 		if estimate, known := estimateFor(path); !known || estimate < longStreamDuration {
--- a/internal/node/durations.go
+++ b/internal/node/durations.go
@@ -14,8 +14,8 @@
 const (
 	// wholeRequest lasts from the arrival to the end of the response.
 	wholeRequest phase = iota
-	// answerOnly is the part after the stages.
-	answerOnly
+	// afterStages is the part after the stages.
+	afterStages
 	phaseCount
 )
 
@@ -43,8 +43,8 @@
 		if t.byClass[k] == nil {
 			t.byClass[k] = new([phaseCount]drain.Predictor)
 		}
-		t.byClass[k][wholeRequest].Observe(q.answerSize(), took)
-		t.byClass[k][answerOnly].Observe(q.answerSize(), took-q.stagesTook)
+		t.byClass[k][wholeRequest].Observe(q.responseSize(), took)
+		t.byClass[k][afterStages].Observe(q.responseSize(), took-q.stagesTook)
 	}
 }
 
@@ -54,16 +54,16 @@
 func (t *durations) upperEstimate(q *request) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.predictor(q, wholeRequest).UpperEstimate(q.answerSize())
+	return t.predictor(q, wholeRequest).UpperEstimate(q.responseSize())
 }
 
 // medianAfterStages returns the median duration of the part of a request after its stages, with
-// the same fallback as upperEstimate. A request whose stages have run is rejected only if it is
+// the same fallback as upperEstimate. A request whose stages have run is refused only if it is
 // more likely than not to be aborted.
 func (t *durations) medianAfterStages(q *request) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.predictor(q, answerOnly).Median(q.answerSize())
+	return t.predictor(q, afterStages).Median(q.responseSize())
 }
 
 // predictor returns the predictor for a phase of a request. The caller must hold the lock.
@@ -76,8 +76,8 @@
 	return new(drain.Predictor)
 }
 
-// answerSize returns the stated size of a request's response, in tokens.
-func (q *request) answerSize() drain.Size {
+// responseSize returns the stated size of a request's response, in tokens.
+func (q *request) responseSize() drain.Size {
 	if q.in.LengthHint > 0 {
 		return drain.Estimate(q.in.LengthHint)
 	}
--- a/internal/node/evacuation_test.go
+++ b/internal/node/evacuation_test.go
@@ -111,7 +111,7 @@
 }
 
 // TestEvacuationOfAllEndpoints guards against requests that are held, or sent to evacuated
-// endpoints, when all endpoints are evacuated: they are rejected as not run.
+// endpoints, when all endpoints are evacuated: they are refused as not run.
 func TestEvacuationOfAllEndpoints(t *testing.T) {
 	site, _ := newSite(t)
 	other := addWorkersInBothZones(site)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -49,7 +49,7 @@
 	// A newer configuration replaces the present one.
 	eventConfigurationApplied = "configuration in force"
 	// A configuration cannot be parsed.
-	eventConfigurationRejected = "configuration refused"
+	eventConfigurationRefused = "configuration refused"
 	// An endpoint was added to the list, or its draining state changed, or it became cold.
 	eventEndpointListed = "endpoint listed"
 	// An endpoint was removed from the list.
@@ -103,12 +103,12 @@
 	eventNoMetrics = "no metrics"
 	// The process has started to serve requests.
 	eventStarted = "started"
-	// A planned stop begins.
+	// A graceful shutdown begins.
 	eventStopping = "stopping"
-	// A planned stop finished with no request in flight.
+	// A graceful shutdown finished with no request in flight.
 	eventStopped = "stopped"
-	// A planned stop timed out with requests in flight.
+	// A graceful shutdown timed out with requests in flight.
 	eventStoppedWithRequestsInFlight = "stopped with requests in flight"
-	// A planned stop closed connections whose last responses were not fully sent.
+	// A graceful shutdown closed connections whose last responses were not fully sent.
 	eventConnectionsCut = "connections cut"
 )
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -76,7 +76,7 @@
 	q := &request{in: platform.ParseClientRequest(r), view: n.view.Load(), arrived: time.Now(), source: r}
 	n.inFlight.Add(1)
 	defer n.inFlight.Add(-1)
-	if s := n.stop.Load(); s != nil {
+	if s := n.shutdown.Load(); s != nil {
 		q.afterStop = q.arrived.Sub(s.requestedAt)
 	}
 	switch status := n.accept(w, q); status {
@@ -95,7 +95,7 @@
 		return
 	}
 	if !n.finishesInTime(q) {
-		n.rejectStopping(w, q)
+		n.refuseStopping(w, q)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
@@ -108,7 +108,7 @@
 }
 
 // accept checks a request against the configuration and reads its body. It returns the
-// status with which to reject the request, or 0.
+// status with which to refuse the request, or 0.
 func (n *Node) accept(w http.ResponseWriter, q *request) int {
 	if !q.view.complete() || !n.caughtUp() {
 		return http.StatusServiceUnavailable
@@ -162,7 +162,7 @@
 	return poison.Identify(poison.Content{Caller: caller, Method: q.source.Method, Host: q.in.Host, Target: q.in.Target, Body: q.body})
 }
 
-// readBody reads the request body and returns the status with which to reject the request,
+// readBody reads the request body and returns the status with which to refuse the request,
 // or 0. The body must arrive by the request's deadline: without a limit, a client that stops
 // sending would occupy its connection forever.
 func (n *Node) readBody(w http.ResponseWriter, q *request, limit int64) int {
@@ -251,7 +251,7 @@
 // servePlain forwards a request to an endpoint of a plain service, with retries.
 func (n *Node) servePlain(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
-	if n.rejectIfBackedOff(w, q, q.backoffWaitLimit(q.arrived)) {
+	if n.refuseIfBackedOff(w, q, q.backoffWaitLimit(q.arrived)) {
 		return
 	}
 	var tried []string
@@ -285,12 +285,12 @@
 // noEndpointReason is the outcome of requests for which no endpoint is available.
 const noEndpointReason = "no endpoint"
 
-// rejectIfBackedOff rejects a request if all endpoints of its service are in backoff and none
+// refuseIfBackedOff refuses a request if all endpoints of its service are in backoff and none
 // leaves it before the given time, and reports whether it did. This avoids running stages whose
 // results could not be used.
-func (n *Node) rejectIfBackedOff(w http.ResponseWriter, q *request, by time.Time) bool {
-	reopens, closed := n.pools.allBackedOff(time.Now(), q.service)
-	if !closed || !reopens.IsZero() && reopens.Before(by) {
+func (n *Node) refuseIfBackedOff(w http.ResponseWriter, q *request, by time.Time) bool {
+	firstEnd, all := n.pools.allBackedOff(time.Now(), q.service)
+	if !all || !firstEnd.IsZero() && firstEnd.Before(by) {
 		return false
 	}
 	n.answerNotRun(w, q, noEndpointReason)
@@ -446,7 +446,7 @@
 	n.logRequest(q, a.Status)
 }
 
-// answerNotRun rejects a request as not executed, with a retry delay. If the request may have
+// answerNotRun refuses a request as not executed, with a retry delay. If the request may have
 // been executed, it answers 502 without one.
 func (n *Node) answerNotRun(w http.ResponseWriter, q *request, reason string) {
 	reason = n.failureReason(q, reason)
--- a/internal/node/leaders.go
+++ b/internal/node/leaders.go
@@ -60,19 +60,19 @@
 
 // leader runs the stage pool of one cell.
 type leader struct {
-	group  *leaders
-	cell   int
-	mu     sync.Mutex
-	pool   *stagepool.Pool
-	owners map[stagepool.TaskID]taskOwner
-	tasks  map[taskKey]stagepool.TaskID
-	// modelRequests holds what the tasks' requests need from their models, placed their
-	// placements from the time they are sent until their responses start, and turnWaits the
-	// tasks whose requests cannot be placed yet.
-	modelRequests map[stagepool.TaskID]placementRequest
-	placed        map[stagepool.TaskID]*placedCall
-	turnWaits     []pendingPlacement
-	lastLogged    time.Time
+	leaders *leaders
+	cell    int
+	mu      sync.Mutex
+	pool    *stagepool.Pool
+	owners  map[stagepool.TaskID]taskOwner
+	tasks   map[taskKey]stagepool.TaskID
+	// modelRequests holds what the tasks' requests need from their models, placedCalls their
+	// placements from the time they are sent until their responses start, and pendingPlacements
+	// the tasks whose requests cannot be placed yet.
+	modelRequests     map[stagepool.TaskID]placementRequest
+	placedCalls       map[stagepool.TaskID]*placedCall
+	pendingPlacements []pendingPlacement
+	lastLogged        time.Time
 	// ticking reports whether a tick is scheduled. It is while there are tasks.
 	ticking bool
 }
@@ -112,9 +112,9 @@
 		return c
 	}
 	c = &leader{
-		group: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.disabled)),
+		leaders: l, cell: cell, pool: stagepool.New(stagepool.WithRetryBudget(l.budget()), stagepool.WithPaces(l.pace), stagepool.Without(l.disabled)),
 		owners: make(map[stagepool.TaskID]taskOwner), tasks: make(map[taskKey]stagepool.TaskID),
-		modelRequests: make(map[stagepool.TaskID]placementRequest), placed: make(map[stagepool.TaskID]*placedCall),
+		modelRequests: make(map[stagepool.TaskID]placementRequest), placedCalls: make(map[stagepool.TaskID]*placedCall),
 	}
 	l.cells[cell] = c
 	c.configure(time.Now(), l.view)
@@ -233,7 +233,7 @@
 	return cells
 }
 
-// knows reports whether a task is known to one of the pools.
+// knows reports whether one of the pools has a task.
 func (l *leaders) knows(key taskKey) bool {
 	for _, c := range l.all() {
 		c.mu.Lock()
@@ -295,10 +295,10 @@
 	}
 	c.lastLogged = now
 	for _, s := range c.pool.Stats(now) {
-		c.group.log.Info(eventStageService, zap.Int("cell", c.cell), zap.String("service", s.Service),
+		c.leaders.log.Info(eventStageService, zap.Int("cell", c.cell), zap.String("service", s.Service),
 			zap.Int("endpoints", s.Endpoints), zap.Int("busy", s.Busy), zap.Int("queued", s.Queued), zap.Int("backlog", s.Backlog),
 			zap.Uint64("calls", s.Calls), zap.Uint64("pieces", s.Pieces), zap.Float64("room", s.RoomUsed))
-		c.group.meters.stageState(s.Service, s.Queued, s.Backlog, s.Busy, s.RoomUsed)
+		c.leaders.meters.stageState(s.Service, s.Queued, s.Backlog, s.Busy, s.RoomUsed)
 	}
 }
 
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -19,15 +19,15 @@
 )
 
 // The tests of this file guard against a leader that accepts stage work while it stops. When the
-// leader of a cell was told to stop, 43 of 60 waiting requests were rejected because no leader of
+// leader of a cell was told to stop, 43 of 60 waiting requests were refused because no leader of
 // the stage pool answered, although another node was ready to lead and all engines were free.
 //
 // The leader returned the work that had not started, as it should. The submitting node had not yet
 // learned that the leader leaves, so it ranked that node first again and submitted there. The
 // leader accepted the work, claimed the cell again, asked every engine for its cache contents, and
-// returned the work 0.1 s later. After three tries the request was rejected.
+// returned the work 0.1 s later. After three tries the request was refused.
 //
-// The later the submitting node learns of the stop, the more requests are rejected; if it learns in
+// The later the submitting node learns of the stop, the more requests are refused; if it learns in
 // time, none is.
 
 const (
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestLeavingLeaderBeforeGossip guards against rejected requests when a leader stops and the
+// TestLeavingLeaderBeforeGossip guards against refused requests when a leader stops and the
 // submitting node never learns of it by gossip.
 func TestLeavingLeaderBeforeGossip(t *testing.T) {
 	site := newStageSite(t)
@@ -165,12 +165,12 @@
 	return slices.Clone(a.list)
 }
 
-// TestStoppingNodeRejectsSubmissions guards against a stopping node that accepts work and claims
+// TestStoppingNodeDeclinesSubmissions guards against a stopping node that accepts work and claims
 // the cell again. It answers at once that the work moves elsewhere and for how long, whether it led
 // the cell or not, claims nothing and so asks no engine for its cache contents. Nodes of an earlier
 // version ignore the time and would submit three times before they learn of the stop, so a gossip
 // message that the node leaves precedes the answer.
-func TestStoppingNodeRejectsSubmissions(t *testing.T) {
+func TestStoppingNodeDeclinesSubmissions(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		led  bool
@@ -324,7 +324,7 @@
 
 // TestOutrankedLeaderIsNotSkipped guards against a third node that claims the cell. A leader that
 // stays returns work because a leader of higher rank, which the submitting node does not know yet,
-// is active. No third node is asked, and the rejection does not say that no leader answers.
+// is active. No third node is asked, and the refusal does not say that no leader answers.
 func TestOutrankedLeaderIsNotSkipped(t *testing.T) {
 	names := rankedNames(2)
 	outranked, third := startStub(t, names[0], answerHandedOff), startStub(t, names[1], answerDone)
@@ -332,15 +332,15 @@
 	_, err := n.runStages(context.Background(), stageWork{deadline: time.Now().Add(longTimeout), softDeadline: time.Now().Add(longTimeout)})
 	var refused *refusal
 	if !errors.As(err, &refused) || refused.reason != errHandedOff.Error() {
-		t.Errorf("got %v, want a rejection with reason %q", err, errHandedOff)
+		t.Errorf("got %v, want a refusal with reason %q", err, errHandedOff)
 	}
 	if outranked.submits.Load() != maxLeaderAttempts || third.submits.Load() != 0 {
 		t.Errorf("the outranked leader was asked %d times, the third node %d times, want 0", outranked.submits.Load(), third.submits.Load())
 	}
 }
 
-// The tests below guard against rejected requests with stages when all nodes, or the only one, are
-// told to stop: every such request was rejected, including those accepted long before, although the
+// The tests below guard against refused requests with stages when all nodes, or the only one, are
+// told to stop: every such request was refused, including those accepted long before, although the
 // nodes ran on for most of their grace period with all engines available. With one of two nodes
 // stopped all requests were served, with both 8 of 60.
 //
@@ -348,7 +348,7 @@
 // although the other nodes were leaving too. A leaving node can still lead; it must only rank
 // behind nodes that stay.
 
-// TestOnlyNodeRunsStagesWhileStopping guards against requests with stages that are rejected because
+// TestOnlyNodeRunsStagesWhileStopping guards against requests with stages that are refused because
 // the only node has been told to stop.
 func TestOnlyNodeRunsStagesWhileStopping(t *testing.T) {
 	n := startStageNode(t, newStageSite(t))
@@ -358,7 +358,7 @@
 	}
 }
 
-// TestAllNodesStopTogether guards against requests with stages that are rejected when both nodes
+// TestAllNodesStopTogether guards against requests with stages that are refused when both nodes
 // stop while the requests are in flight.
 func TestAllNodesStopTogether(t *testing.T) {
 	leads, other := startLeaderAndPeer(t, newStageSite(t))
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -60,16 +60,16 @@
 
 // responseCounts counts the responses to requests by status.
 type responseCounts struct {
-	mu      sync.Mutex
-	answers map[int]int
-	// unexpected are failures, and rejections without Retry-After.
+	mu       sync.Mutex
+	byStatus map[int]int
+	// unexpected are failures, and refusals without Retry-After.
 	unexpected []string
 }
 
 func (l *responseCounts) record(a platformtest.Response) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answers[a.Status]++
+	l.byStatus[a.Status]++
 	if a.Status != http.StatusOK && (a.Status != http.StatusServiceUnavailable || a.RetryAfter == "") {
 		l.unexpected = append(l.unexpected, fmt.Sprintf("%d %q %v", a.Status, a.RetryAfter, a.Err))
 	}
@@ -97,7 +97,7 @@
 // TestAnnouncedRateLimitIsKept guards against nodes that together exceed an announced rate limit,
 // or starve a limited endpoint. Two of six endpoints, then all of them, announce a limit while
 // three nodes send far more. No endpoint gets more than allowed, each gets some requests, and
-// requests that are not served are rejected as not run with Retry-After.
+// requests that are not served are refused as not run with Retry-After.
 func TestAnnouncedRateLimitIsKept(t *testing.T) {
 	for _, c := range slices.Concat(limitCases, retryCases) {
 		for _, limited := range []int{2, 6} {
@@ -127,7 +127,7 @@
 	for _, n := range nodes {
 		n.awaitReady(t)
 	}
-	counts := &responseCounts{answers: make(map[int]int)}
+	counts := &responseCounts{byStatus: make(map[int]int)}
 	announcedAt := time.Now().Add(time.Second)
 	go func() {
 		time.Sleep(time.Until(announcedAt))
@@ -153,15 +153,15 @@
 			t.Errorf("endpoint %d got no requests after %v", i, intaketest.GracePeriod)
 		}
 	}
-	t.Logf("responses by status: %v", counts.answers)
+	t.Logf("responses by status: %v", counts.byStatus)
 	if c.fault != platformtest.Healthy {
 		return
 	}
 	if len(counts.unexpected) > 0 {
-		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(counts.unexpected), counts.unexpected[0])
+		t.Errorf("%d requests were neither served nor refused with Retry-After; first: %s", len(counts.unexpected), counts.unexpected[0])
 	}
-	if limited < len(workers) && counts.answers[http.StatusServiceUnavailable] > 0 {
-		t.Errorf("%d requests were rejected although four endpoints have no limit", counts.answers[http.StatusServiceUnavailable])
+	if limited < len(workers) && counts.byStatus[http.StatusServiceUnavailable] > 0 {
+		t.Errorf("%d requests were refused although four endpoints have no limit", counts.byStatus[http.StatusServiceUnavailable])
 	}
 }
 
@@ -195,10 +195,10 @@
 				for _, w := range all[c.service] {
 					w.AnnounceRateLimit(perSecond)
 				}
-				counts := &responseCounts{answers: make(map[int]int)}
+				counts := &responseCounts{byStatus: make(map[int]int)}
 				counts.run(nodes, c.request, 16, time.Now().Add(2*time.Second))
-				if counts.answers[http.StatusServiceUnavailable] == 0 {
-					t.Error("no request was rejected: the test shows nothing")
+				if counts.byStatus[http.StatusServiceUnavailable] == 0 {
+					t.Error("no request was refused: the test shows nothing")
 				}
 				for _, w := range all[c.service] {
 					w.AnnounceRateLimit("")
@@ -213,12 +213,12 @@
 				ended := time.Now()
 				served := false
 				for round := 0; round < maxRounds && !served; round++ {
-					later := &responseCounts{answers: make(map[int]int)}
+					later := &responseCounts{byStatus: make(map[int]int)}
 					later.run(nodes, c.request, 4, time.Now().Add(time.Second))
-					served = later.answers[http.StatusServiceUnavailable] == 0 && len(later.unexpected) == 0
+					served = later.byStatus[http.StatusServiceUnavailable] == 0 && len(later.unexpected) == 0
 				}
 				if !served {
-					t.Fatalf("some requests are still rejected %v after the limits were withdrawn", time.Since(ended))
+					t.Fatalf("some requests are still refused %v after the limits were withdrawn", time.Since(ended))
 				}
 				t.Logf("all requests were served %v after the limits were withdrawn", time.Since(ended).Round(100*time.Millisecond))
 			})
--- a/internal/node/log_test.go
+++ b/internal/node/log_test.go
@@ -21,7 +21,7 @@
 
 // TestRequestLogLevel guards against warnings for requests that ended as expected, and against
 // failures logged without one. Requests that may have run, or were cut, are logged as warnings;
-// those that did not run, were rejected for a fault of the client, or were delivered are not.
+// those that did not run, were refused for a fault of the client, or were delivered are not.
 func TestRequestLogLevel(t *testing.T) {
 	expired, cancel := context.WithDeadline(t.Context(), time.Now().Add(-time.Second))
 	defer cancel()
@@ -68,10 +68,10 @@
 }
 
 // TestDroppedLogLinesMetric guards against dropped log lines that do not appear in the metrics by
-// kind.
+// priority.
 func TestDroppedLogLinesMetric(t *testing.T) {
 	dropped := map[logging.Priority]uint64{logging.Ordinary: 7, logging.Urgent: 2}
-	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(k logging.Priority) uint64 { return dropped[k] }))
+	n := New(platform.Settings{Node: "n"}, WithDroppedLines(func(p logging.Priority) uint64 { return dropped[p] }))
 	var page bytes.Buffer
 	n.meters.set.WritePrometheus(&page)
 	for _, want := range []string{
--- a/internal/node/lookup_test.go
+++ b/internal/node/lookup_test.go
@@ -14,16 +14,16 @@
 // or that there are none.
 func TestLookupUnavailableUntilJoined(t *testing.T) {
 	n := newNode(t, platformtest.NewSite(t), "127.0.0.1:1")
-	ask := func() int {
+	lookUp := func() int {
 		w := httptest.NewRecorder()
 		n.serveLookup(w, httptest.NewRequest(http.MethodGet, platform.LookupPath, nil))
 		return w.Code
 	}
-	if status := ask(); status != http.StatusServiceUnavailable {
+	if status := lookUp(); status != http.StatusServiceUnavailable {
 		t.Errorf("lookup got %d before the node joined, want 503", status)
 	}
 	n.hasJoined.Store(true)
-	if status := ask(); status != http.StatusOK {
+	if status := lookUp(); status != http.StatusOK {
 		t.Errorf("lookup got %d after the node joined, want 200", status)
 	}
 }
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -35,9 +35,9 @@
 	m.set.NewGauge("gradetiller_failure_domains_evacuated", func() float64 { return float64(len(n.view.Load().evacuations.Domains())) })
 	m.set.NewGauge("gradetiller_store_era", func() float64 { return float64(n.view.Load().revision.Era()) })
 	m.set.NewGauge("gradetiller_endpoints_kept", func() float64 { return float64(n.keptEndpoints.Load()) })
-	m.set.NewGauge("gradetiller_view_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.List).Seconds() })
-	m.set.NewGauge("gradetiller_config_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Config).Seconds() })
-	m.set.NewGauge("gradetiller_readers_age_seconds", func() float64 { return time.Since(n.view.Load().fresh.Primaries).Seconds() })
+	m.set.NewGauge("gradetiller_view_age_seconds", func() float64 { return time.Since(n.view.Load().freshness.List).Seconds() })
+	m.set.NewGauge("gradetiller_config_age_seconds", func() float64 { return time.Since(n.view.Load().freshness.Config).Seconds() })
+	m.set.NewGauge("gradetiller_readers_age_seconds", func() float64 { return time.Since(n.view.Load().freshness.Primaries).Seconds() })
 	m.set.NewGauge("gradetiller_reads_store", func() float64 { return boolValue(n.readsStore.Load()) })
 	m.set.NewGauge("gradetiller_configurations_refused_total", func() float64 { return float64(n.configsRefused.Load()) })
 	m.set.NewGauge("gradetiller_members_live", func() float64 { return float64(n.liveNodes.Load()) })
@@ -56,9 +56,9 @@
 	return m
 }
 
-// droppedLines exports the number of dropped log lines of a kind.
-func (m *meters) droppedLines(kind string, count func() uint64) {
-	m.set.NewGauge(fmt.Sprintf(`gradetiller_log_lines_dropped_total{kind=%q}`, kind), func() float64 { return float64(count()) })
+// droppedLines exports the number of dropped log lines of a priority.
+func (m *meters) droppedLines(priority string, count func() uint64) {
+	m.set.NewGauge(fmt.Sprintf(`gradetiller_log_lines_dropped_total{kind=%q}`, priority), func() float64 { return float64(count()) })
 }
 
 func boolValue(b bool) float64 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,13 +52,13 @@
 	submissions     *submissions
 	links           *peer.Links
 	verdictTimeouts verdictTimeouts
-	sizes           *promptSizes
-	times           *durations
+	promptSizes     *promptSizes
+	durations       *durations
 	meters          *meters
 	// metricsAddress is the address at which metrics are served. If empty, they are not
 	// served.
 	metricsAddress string
-	// droppedLines returns the number of log lines of a kind that were dropped. It may be
+	// droppedLines returns the number of log lines of a priority that were dropped. It may be
 	// nil.
 	droppedLines func(logging.Priority) uint64
 	// peerAddress is the address at which other nodes reach this one.
@@ -73,8 +73,8 @@
 	view        atomic.Pointer[view]
 	list        *discovery.List
 	directReads discovery.DirectReads
-	// refused is used only by the goroutine that reads the endpoint list.
-	refused refusedEntries
+	// refusedEntries is used only by the goroutine that reads the endpoint list.
+	refusedEntries refusedEntries
 	// loggedEvacuationFaults holds the faults of evacuation rows that were logged already. It
 	// is used only by the goroutine that reads the configuration.
 	loggedEvacuationFaults map[string]bool
@@ -129,8 +129,8 @@
 	poisonGuard   *lockedGuard
 	signals       *signals
 	inFlight      atomic.Int64
-	// stop is the planned stop in progress, or nil.
-	stop atomic.Pointer[shutdown]
+	// shutdown is the graceful shutdown in progress, or nil.
+	shutdown atomic.Pointer[shutdown]
 	// requestContext is the base context of all requests. cancelRequests cancels it with a
 	// cause.
 	requestContext context.Context
@@ -143,7 +143,7 @@
 // WithLog sets the logger.
 func WithLog(log *zap.Logger) Option { return func(n *Node) { n.log = log } }
 
-// WithDroppedLines exports the number of dropped log lines of each kind as metrics.
+// WithDroppedLines exports the number of dropped log lines of each priority as metrics.
 func WithDroppedLines(count func(logging.Priority) uint64) Option {
 	return func(n *Node) { n.droppedLines = count }
 }
@@ -169,7 +169,7 @@
 func New(s platform.Settings, options ...Option) *Node {
 	n := &Node{
 		settings: s, incarnation: settings.Incarnation(), started: time.Now(), log: zap.NewNop(),
-		submissions: newSubmissions(), times: newDurations(), sizes: &promptSizes{averages: make(map[string]float64)},
+		submissions: newSubmissions(), durations: newDurations(), promptSizes: &promptSizes{averages: make(map[string]float64)},
 		verdictTimeouts: verdictTimeouts{first: verdictTimeout, afterReconnect: reconnectVerdictTimeout},
 		peerAddress:     s.PeerAddress,
 	}
@@ -188,7 +188,7 @@
 	n.meters = newMeters(n)
 	n.leaders.meters = n.meters
 	n.leaders.onBrokenCall = n.recordBrokenStageCall
-	n.refused = refusedEntries{logged: make(map[refusedEntry]bool), faults: make(map[platform.EntryFault]bool)}
+	n.refusedEntries = refusedEntries{logged: make(map[refusedEntry]bool), faults: make(map[platform.EntryFault]bool)}
 	n.view.Store(&view{})
 	n.list = discovery.NewList(discovery.WithHeartbeat(s.HeartbeatInterval))
 	n.members = member.New(wire.Member{
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -57,7 +57,7 @@
 	}
 	n.members.SetSeeds(n.missingSeeds())
 	sends := n.members.Tick(now)
-	if n.alone() && now.Sub(n.joinSentAt) > joinInterval {
+	if n.knowsNoPeers() && now.Sub(n.joinSentAt) > joinInterval {
 		n.joinSentAt = now
 		sends = append(sends, n.members.Join()...)
 	}
@@ -79,7 +79,7 @@
 	if node, version := n.members.NewerConfig(); version > v.version() {
 		return n.members.Address(node)
 	}
-	if node, revision := n.members.NewerList(); catalog.Revision(revision) > v.revision && v.fresh.Stale(now) {
+	if node, revision := n.members.NewerList(); catalog.Revision(revision) > v.revision && v.freshness.Stale(now) {
 		return n.members.Address(node)
 	}
 	return ""
@@ -174,7 +174,7 @@
 func (n *Node) requestView(now time.Time, ahead string) {
 	v := n.view.Load()
 	version := v.version()
-	overdue := n.ranking.Load().Overdue(now, v.fresh)
+	overdue := n.ranking.Load().Overdue(now, v.freshness)
 	if ahead == "" && !overdue && version > 0 || now.Sub(n.viewRequestedAt) < minViewRequestInterval {
 		return
 	}
@@ -195,7 +195,7 @@
 // at once.
 func (n *Node) viewSource(v *view) string {
 	others := *n.entries.Load()
-	if v.fresh.List.IsZero() {
+	if v.freshness.List.IsZero() {
 		if readers := entriesOf(others, n.ranking.Load().Readers(0)); len(readers) > 0 {
 			others = readers
 		}
@@ -261,7 +261,7 @@
 			n.applyEntries(entries)
 		}
 	case *wire.CrashReports:
-		n.handleEnds(from, m)
+		n.handleCrashReports(from, m)
 	case *wire.ViewRequest:
 		n.handleViewRequest(m, answer)
 	case *wire.View:
@@ -284,10 +284,10 @@
 
 // handleStagesSubmit submits work to a stage pool of this node. A stopping node declines work
 // that another node can do: it would hand the work off at the next tick, and the submitting
-// node, unaware of the stop, would send it again. Just before the process endsAt, the node
+// node, unaware of the stop, would send it again. Just before the process ends, the node
 // declines all work.
 func (n *Node) handleStagesSubmit(from wire.Hello, m *wire.StagesSubmit, answer peer.Answer) {
-	if s := n.stop.Load(); s != nil && (s.closing.Load() || n.hasSuccessor(time.Now())) {
+	if s := n.shutdown.Load(); s != nil && (s.closing.Load() || n.hasSuccessor(time.Now())) {
 		_ = answer(n.selfGossip())
 		_ = answer(leavingAnswer(m.ID, time.Until(s.endsAt)))
 		return
@@ -320,16 +320,16 @@
 	// assumes that it is the only one.
 	maxJoinWait      = 2 * time.Second
 	joinPollInterval = 20 * time.Millisecond
-	// settlePeriod is how long the set of leader candidates must stay unchanged before a node
+	// stablePeriod is how long the set of leader candidates must stay unchanged before a node
 	// that has just started considers it complete.
-	settlePeriod = 250 * time.Millisecond
+	stablePeriod = 250 * time.Millisecond
 	// joinInterval is how often a node that knows no other sends join messages to its seeds.
 	// After a power failure they may start later than this node.
 	joinInterval = 200 * time.Millisecond
 )
 
-// alone reports whether this node knows no other node.
-func (n *Node) alone() bool { return len(*n.entries.Load()) < 2 }
+// knowsNoPeers reports whether this node knows no other node.
+func (n *Node) knowsNoPeers() bool { return len(*n.entries.Load()) < 2 }
 
 // joined reports whether this node knows the other leader candidates. Until then, it would
 // consider itself, or one of the few nodes that it knows, the leader of a cell, and after a
@@ -340,8 +340,8 @@
 	}
 	changed := time.Duration(n.candidatesChangedAt.Load())
 	sinceStart := time.Since(n.started)
-	settled := !n.alone() && sinceStart-changed >= settlePeriod
-	if len(n.settings.Seeds) > 0 && !settled && sinceStart <= maxJoinWait {
+	stable := !n.knowsNoPeers() && sinceStart-changed >= stablePeriod
+	if len(n.settings.Seeds) > 0 && !stable && sinceStart <= maxJoinWait {
 		return false
 	}
 	n.hasJoined.Store(true)
--- a/internal/node/pendingplacement.go
+++ b/internal/node/pendingplacement.go
@@ -14,10 +14,10 @@
 
 const (
 	// minPlacementWait is the minimum time that a request whose stages have run may wait for a
-	// rate-limited endpoint. Its soft deadline may be sooner, and rejecting it then would waste
+	// rate-limited endpoint. Its soft deadline may be sooner, and refusing it then would waste
 	// the stage work.
 	minPlacementWait = 300 * time.Millisecond
-	// maxRetryAfter bounds the retry delay announced for requests rejected because of rate limits.
+	// maxRetryAfter bounds the retry delay announced for requests refused because of rate limits.
 	maxRetryAfter = 3 * time.Second
 	// noCapacityReason is the outcome of requests that the rate limits of all endpoints keep from
 	// being placed in time.
@@ -92,8 +92,8 @@
 // a call. Other nodes may be admitted before this one, so the latter is at most maxRetryAfter.
 func (n *Node) retryAfter(service string) time.Duration {
 	now := time.Now()
-	if reopens, closed := n.pools.allBackedOff(now, service); closed && !reopens.IsZero() {
-		wait := reopens.Sub(now)
+	if firstEnd, all := n.pools.allBackedOff(now, service); all && !firstEnd.IsZero() {
+		wait := firstEnd.Sub(now)
 		return max(wait+rand.N(1+min(wait/4, retryJitter)), minRetryAfter)
 	}
 	wait, ok := n.pools.timeToNextSend(now, service)
@@ -117,21 +117,21 @@
 	if a.softDeadline.After(until) {
 		until = a.softDeadline
 	}
-	c.turnWaits = append(c.turnWaits, pendingPlacement{stages: done, priority: a.priority, softDeadline: a.softDeadline, until: until})
+	c.pendingPlacements = append(c.pendingPlacements, pendingPlacement{stages: done, priority: a.priority, softDeadline: a.softDeadline, until: until})
 }
 
 // placeWaiting places the pending requests that the rate limits admit now, the most urgent first,
 // and fails those that have waited too long. The caller must hold the lock.
 func (c *leader) placeWaiting(now time.Time) {
-	if len(c.turnWaits) == 0 {
+	if len(c.pendingPlacements) == 0 {
 		return
 	}
-	slices.SortStableFunc(c.turnWaits, func(a, b pendingPlacement) int {
+	slices.SortStableFunc(c.pendingPlacements, func(a, b pendingPlacement) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), a.softDeadline.Compare(b.softDeadline))
 	})
 	var ended []pendingPlacement
-	kept := c.turnWaits[:0]
-	for _, w := range c.turnWaits {
+	kept := c.pendingPlacements[:0]
+	for _, w := range c.pendingPlacements {
 		if _, ok := c.owners[w.stages.Task]; !ok {
 			continue
 		}
@@ -145,8 +145,8 @@
 			ended = append(ended, w)
 		}
 	}
-	clear(c.turnWaits[len(kept):])
-	c.turnWaits = kept
+	clear(c.pendingPlacements[len(kept):])
+	c.pendingPlacements = kept
 	for _, w := range ended {
 		c.failPending(now, w)
 	}
@@ -155,7 +155,7 @@
 // failPending fails a request that no rate limit admitted in time. The caller must hold the lock.
 func (c *leader) failPending(now time.Time, w pendingPlacement) {
 	retryAfter := minRetryAfter
-	if wait, ok := c.group.modelPools.timeToNextSend(now, c.modelRequests[w.stages.Task].service); ok {
+	if wait, ok := c.leaders.modelPools.timeToNextSend(now, c.modelRequests[w.stages.Task].service); ok {
 		retryAfter = clampRetryAfter(wait)
 	}
 	c.sendDone(w.stages.Task, wire.StagesDone{FailureReason: noCapacityReason, RetryAfter: retryAfter.Milliseconds()})
@@ -168,19 +168,19 @@
 func (c *leader) place(now time.Time, done stagepool.Complete) (m wire.StagesDone, waits bool) {
 	m = wire.StagesDone{Handles: done.Handles}
 	a, ok := c.modelRequests[done.Task]
-	if !ok || !c.group.placesCalls() {
+	if !ok || !c.leaders.placesCalls() {
 		return m, false
 	}
 	wants := a.needAt(now)
 	wants.prompt.InputDomain = done.Domain
 	wants.prompt.InputBytes = done.Bytes
-	at, ok := c.group.modelPools.choose(now, wants)
+	at, ok := c.leaders.modelPools.choose(now, wants)
 	if !ok {
-		wait, available := c.group.modelPools.timeToNextSend(now, wants.service)
+		wait, available := c.leaders.modelPools.timeToNextSend(now, wants.service)
 		return m, available && wait > 0
 	}
 	c.releaseReservation(done.Task)
-	c.placed[done.Task] = at
+	c.placedCalls[done.Task] = at
 	m.Endpoint = at.endpoint.ID
 	m.CopyFrom = at.cacheSource
 	m.Bounded = at.bounded
@@ -193,7 +193,7 @@
 	if a, ok := c.modelRequests[id]; ok && a.reserved {
 		a.reserved = false
 		c.modelRequests[id] = a
-		c.group.modelPools.releaseReservation(a.service)
+		c.leaders.modelPools.releaseReservation(a.service)
 	}
 }
 
--- a/internal/node/placement.go
+++ b/internal/node/placement.go
@@ -71,11 +71,11 @@
 
 // finishPlaced records the result of a placed call. The caller must hold the lock.
 func (c *leader) finishPlaced(id stagepool.TaskID, how wire.Placement) {
-	at, ok := c.placed[id]
+	at, ok := c.placedCalls[id]
 	if !ok {
 		return
 	}
-	delete(c.placed, id)
+	delete(c.placedCalls, id)
 	read := 0
 	if how == wire.PlacementServed {
 		read = at.queuedTokens + at.pendingTokens
@@ -85,6 +85,6 @@
 		PrefillTokens: read, OK: how == wire.PlacementServed, Neutral: how == wire.PlacementUnused || how == wire.PlacementRejected, Unreachable: how == wire.PlacementUnreachable,
 	})
 	if how == wire.PlacementRejected {
-		c.group.modelPools.setBackoff(at.endpoint.ID, now.Add(rejectedBackoff))
+		c.leaders.modelPools.setBackoff(at.endpoint.ID, now.Add(rejectedBackoff))
 	}
 }
--- a/internal/node/poison.go
+++ b/internal/node/poison.go
@@ -131,7 +131,7 @@
 // response, after the given time. Runs that this side canceled through their context say
 // nothing about the endpoint, nor do those at an endpoint that is draining.
 func (n *Node) recordBrokenRuns(ctx context.Context, e catalog.Endpoint, took time.Duration, requests ...poison.ID) {
-	if ctx.Err() != nil || n.isEndpointLeaving(e.ID) {
+	if ctx.Err() != nil || n.isDrainingOrGone(e.ID) {
 		return
 	}
 	n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome {
@@ -149,8 +149,8 @@
 	}
 }
 
-// isEndpointLeaving reports whether an endpoint is draining or no longer listed.
-func (n *Node) isEndpointLeaving(id string) bool {
+// isDrainingOrGone reports whether an endpoint is draining or no longer listed.
+func (n *Node) isDrainingOrGone(id string) bool {
 	for _, e := range n.view.Load().endpoints {
 		if e.ID == id {
 			return e.Draining
@@ -183,9 +183,9 @@
 	n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome { return g.UpdateEndpoints(now, current, list) })
 }
 
-// recordServed records that a request was observe successfully.
+// recordServed records that a request was served successfully.
 func (n *Node) recordServed(q *request) {
-	n.times.observe(q, time.Now())
+	n.durations.observe(q, time.Now())
 	n.applyPoisonEvent(func(g *poison.Guard, now time.Time) poison.Outcome { return g.RecordSuccess(now, q.content) })
 }
 
@@ -205,12 +205,12 @@
 	names := nodeNames(entries)
 	byOwner := make(map[string][]wire.CrashReport)
 	for _, r := range reports {
-		ends := wire.CrashReport{Request: bytesOf(r.Request), Served: r.Served}
+		report := wire.CrashReport{Request: bytesOf(r.Request), Served: r.Served}
 		for _, e := range r.Crashes {
-			ends.Crashes = append(ends.Crashes, wire.EndpointCrash(e))
+			report.Crashes = append(report.Crashes, wire.EndpointCrash(e))
 		}
 		for _, owner := range poison.Owners(r.Request, names) {
-			byOwner[owner] = append(byOwner[owner], ends)
+			byOwner[owner] = append(byOwner[owner], report)
 		}
 	}
 	for _, e := range entries {
@@ -222,8 +222,8 @@
 
 func bytesOf(id poison.ID) []byte { return id[:] }
 
-// handleEnds handles the crash reports of another node.
-func (n *Node) handleEnds(from wire.Hello, m *wire.CrashReports) {
+// handleCrashReports handles the crash reports of another node.
+func (n *Node) handleCrashReports(from wire.Hello, m *wire.CrashReports) {
 	reports := make([]poison.Report, 0, len(m.Reports))
 	for _, r := range m.Reports {
 		id, err := poison.ParseID(r.Request)
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -11,12 +11,12 @@
 )
 
 // The tests of this file guard against a request that crashes every endpoint that runs it, and is
-// sent on each time it comes again, at any node: one such request ended endpoints 21 times on a
+// sent on each time it comes again, at any node: one such request crashed endpoints 21 times on a
 // site of 18, with everything that ran there. Each try of the client is a separate request to every
 // node, and retry limits hold within one try only. A node must therefore remember across tries
-// which requests end endpoints and tell the other nodes, and must not form the same batch again
-// after the endpoint of a stage call ended. Without that, every try ends an endpoint
-// (TestPoisonIsRejected), and the other requests of a batch fail too (TestPoisonInBatches). The
+// which requests crash endpoints and notify the other nodes, and must not form the same batch again
+// after the endpoint of a stage call crashed. Without that, every try crashes an endpoint
+// (TestPoisonIsRefused), and the other requests of a batch fail too (TestPoisonInBatches). The
 // tests use three nodes and twelve endpoints that restart after a crash.
 
 const (
@@ -48,11 +48,11 @@
 	return site
 }
 
-// TestPoisonIsRejected guards against a request that keeps crashing endpoints. Sent to three nodes
-// in turn until it has ended three endpoints, it is then rejected as not run by every node,
+// TestPoisonIsRefused guards against a request that keeps crashing endpoints. Sent to three nodes
+// in turn until it has crashed three endpoints, it is then refused as not run by every node,
 // including one that starts later, and ends no more endpoints. Other requests with the same path
 // are still served.
-func TestPoisonIsRejected(t *testing.T) {
+func TestPoisonIsRefused(t *testing.T) {
 	for name, q := range poisonRoutes {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestBrokenRunsAreNotPoison guards against rejecting a request whose runs broke for other reasons:
+// TestBrokenRunsAreNotPoison guards against refusing a request whose runs broke for other reasons:
 // resets, truncated responses and responses to other requests, from endpoints that stay up. No node
-// rejects it, and it is served as soon as the endpoints work.
+// refuses it, and it is served as soon as the endpoints work.
 func TestBrokenRunsAreNotPoison(t *testing.T) {
 	faults := map[string]platformtest.Fault{
 		"reset": platformtest.Reset, "cut short": platformtest.TruncateBody, "another's answer": platformtest.WrongRequestID, "no signature": platformtest.MissingStamp,
--- a/internal/node/pools.go
+++ b/internal/node/pools.go
@@ -27,9 +27,9 @@
 type pools struct {
 	mu           sync.Mutex
 	seed         uint64
-	models       string // the policy for models
+	modelPolicy  string // the policy for models
 	pace         paceSource
-	off          mechanism.Disabled
+	disabled     mechanism.Disabled
 	byService    map[string]*place.Pool
 	keySelectors map[string]*place.KeySelector
 	// reserved counts the calls of each service that were admitted but not yet placed.
@@ -43,7 +43,7 @@
 type endpointPace func(endpoint string, cold discovery.ColdPeriod) intake.Pace
 
 func newPools(seed uint64, models string, pace paceSource, off mechanism.Disabled) *pools {
-	return &pools{seed: seed, models: models, pace: pace, off: off, byService: make(map[string]*place.Pool), keySelectors: make(map[string]*place.KeySelector), reserved: make(map[string]int)}
+	return &pools{seed: seed, modelPolicy: models, pace: pace, disabled: off, byService: make(map[string]*place.Pool), keySelectors: make(map[string]*place.KeySelector), reserved: make(map[string]int)}
 }
 
 func (p *pools) update(v *view) {
@@ -55,10 +55,10 @@
 		}
 		pool, ok := p.byService[name]
 		if !ok {
-			pool = newPool(service, p.models, p.seed)
+			pool = newPool(service, p.modelPolicy, p.seed)
 			p.byService[name] = pool
 		}
-		pool.Update(v.specs(service, p.pace, p.off))
+		pool.Update(v.specs(service, p.pace, p.disabled))
 	}
 }
 
@@ -222,9 +222,9 @@
 	return slices.DeleteFunc(list, func(b signal.Backoff) bool { return !ok || pool.Find(b.Endpoint) == place.None })
 }
 
-// allBackedOff reports whether all endpoints of a service are leaving, removed or in backoff. It
+// allBackedOff reports whether all endpoints of a service are draining, removed or in backoff. It
 // also returns the earliest end of a backoff, or the zero time if there is none.
-func (p *pools) allBackedOff(now time.Time, service string) (reopens time.Time, closed bool) {
+func (p *pools) allBackedOff(now time.Time, service string) (firstEnd time.Time, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pool, ok := p.byService[service]
@@ -291,7 +291,7 @@
 		r.Latency = now.Sub(c.started)
 	}
 	r.PendingTokens = c.pendingTokens
-	if c.pools.off.Has(mechanism.Reading) {
+	if c.pools.disabled.Has(mechanism.Reading) {
 		r.PrefillTokens = 0
 	}
 	c.pool.Finish(now, c.index, r)
--- a/internal/node/readers_test.go
+++ b/internal/node/readers_test.go
@@ -85,7 +85,7 @@
 	n.applyStoreEndpoints(nil, 1, start)
 	at := start.Add(3 * time.Second)
 	if !n.shouldReadStore(at) {
-		t.Fatal("the node does not stand in for readers that were silent for 3 s")
+		t.Fatal("the node does not stand in for readers that did not respond for 3 s")
 	}
 	n.applyStoreEndpoints(nil, 2, at)
 	if !n.shouldReadStore(at.Add(time.Millisecond)) {
--- a/internal/node/silent_test.go
+++ b/internal/node/reconnect_test.go
@@ -9,9 +9,9 @@
 	"gradetiller.example/internal/wire"
 )
 
-// startSilentOnFirstConnection starts a stub that answers nothing on its first connection, as if
-// all packets were lost, and everything on later ones.
-func startSilentOnFirstConnection(t *testing.T, name string) (*stubLeader, *atomic.Int64) {
+// startUnresponsiveOnFirstConnection starts a stub that answers nothing on its first connection, as
+// if all packets were lost, and everything on later ones.
+func startUnresponsiveOnFirstConnection(t *testing.T, name string) (*stubLeader, *atomic.Int64) {
 	var connections atomic.Int64
 	s := startStubOn(t, name, func() func(*wire.StagesSubmit) wire.Message {
 		if connections.Add(1) == 1 {
@@ -22,12 +22,12 @@
 	return s, &connections
 }
 
-// TestSilentConnectionKeepsLeader guards against a leader that is skipped because one connection to
-// it went silent. The work is sent again on a new connection, no other node is asked, and the
-// leader stays in use.
-func TestSilentConnectionKeepsLeader(t *testing.T) {
+// TestUnresponsiveConnectionKeepsLeader guards against a leader that is skipped because one
+// connection to it stopped delivering messages. The work is sent again on a new connection, no
+// other node is asked, and the leader stays in use.
+func TestUnresponsiveConnectionKeepsLeader(t *testing.T) {
 	names := rankedNames(2)
-	first, connections := startSilentOnFirstConnection(t, names[0])
+	first, connections := startUnresponsiveOnFirstConnection(t, names[0])
 	second := startStub(t, names[1], answerDone)
 	n := newSubmitter(t, first, second)
 	// Open the connection before the first submission.
--- a/internal/node/refusedentries.go
+++ b/internal/node/refusedentries.go
@@ -32,19 +32,19 @@
 	now := make(map[refusedEntry]bool, len(list))
 	for _, refused := range list {
 		counts[refused.Fault]++
-		n.refused.faults[refused.Fault] = true
+		n.refusedEntries.faults[refused.Fault] = true
 		key := refusedEntry{refused.Key, refused.Fault}
 		switch {
-		case n.refused.logged[key]:
+		case n.refusedEntries.logged[key]:
 			now[key] = true
-		case len(n.refused.logged)+len(now) < maxRefusedLogged:
+		case len(n.refusedEntries.logged)+len(now) < maxRefusedLogged:
 			now[key] = true
 			n.log.Warn(eventEntryRefused, zap.String("entry", refused.Key), zap.Error(refused))
 		}
 	}
 	// An entry that is no longer listed is logged again if it reappears.
-	n.refused.logged = now
-	for fault := range n.refused.faults {
+	n.refusedEntries.logged = now
+	for fault := range n.refusedEntries.faults {
 		name := fmt.Sprintf(`gradetiller_entries_refused{fault=%q}`, fault)
 		n.meters.set.GetOrCreateGauge(name, nil).Set(float64(counts[fault]))
 	}
--- a/internal/node/restored_test.go
+++ b/internal/node/restored_test.go
@@ -73,7 +73,7 @@
 	site.Store.Evacuate(otherZone)
 	left.Unlist()
 	leaves.Drain()
-	eventually(t, "the removed key is rejected", func() bool {
+	eventually(t, "the removed key is refused", func() bool {
 		return do(n.Front, platformtest.Request{ID: "gone", Path: "/read/", Key: "key-2"}).Status == http.StatusUnauthorized
 	})
 	writeUnrelatedRows(site, 40)
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// retryElsewhereAfter is the retry delay announced to clients that a stopping node rejects
+	// retryElsewhereAfter is the retry delay announced to clients that a stopping node refuses
 	// while other nodes can accept them.
 	retryElsewhereAfter = 10 * time.Millisecond
-	// stoppingReason is the outcome of requests that a stopping node rejects.
+	// stoppingReason is the outcome of requests that a stopping node refuses.
 	stoppingReason = "this node stops before it could answer"
 )
 
@@ -37,13 +37,13 @@
 }
 
 // stopping reports whether a graceful shutdown is in progress.
-func (n *Node) stopping() bool { return n.stop.Load() != nil }
+func (n *Node) stopping() bool { return n.shutdown.Load() != nil }
 
 // finishesInTime reports whether a request is expected to be answered before a graceful shutdown
 // ends the process. Other requests are not started: if one were aborted, its client would lose it
 // and might not be allowed to retry.
 func (n *Node) finishesInTime(q *request) bool {
-	s := n.stop.Load()
+	s := n.shutdown.Load()
 	switch {
 	case s == nil:
 		return true
@@ -55,17 +55,17 @@
 		// It arrived on a connection opened before, and the client knows other addresses by now.
 		return false
 	}
-	duration, known := n.times.upperEstimate(q)
+	duration, known := n.durations.upperEstimate(q)
 	return known && s.window.Fits(time.Now(), duration)
 }
 
 // finishesAfterStages is finishesInTime for a request whose stages have ended.
 func (n *Node) finishesAfterStages(q *request) bool {
-	s := n.stop.Load()
+	s := n.shutdown.Load()
 	if s == nil || s.coversDeadline(q) {
 		return true
 	}
-	duration, known := n.times.medianAfterStages(q)
+	duration, known := n.durations.medianAfterStages(q)
 	return known && s.window.Fits(time.Now(), duration)
 }
 
@@ -75,8 +75,8 @@
 	return s.window.Fits(now, q.deadline.Sub(now))
 }
 
-// rejectStopping rejects a request that this node can't finish before it stops.
-func (n *Node) rejectStopping(w http.ResponseWriter, q *request) {
+// refuseStopping refuses a request that this node can't finish before it stops.
+func (n *Node) refuseStopping(w http.ResponseWriter, q *request) {
 	n.meters.turnedAway(q.route.Name)
 	retryAfter := minRetryAfter
 	if n.hasSuccessor(time.Now()) {
--- a/internal/node/signals_test.go
+++ b/internal/node/signals_test.go
@@ -115,7 +115,7 @@
 	log     signaltest.Log
 
 	mu         sync.Mutex
-	answers    map[int]int
+	byStatus   map[int]int
 	unexpected []string
 	draining   map[string]time.Time
 }
@@ -123,7 +123,7 @@
 // play starts the nodes and sends requests to them while endpoints send signals.
 func (s signalScript) play(t *testing.T) *signalRun {
 	site, _ := newSite(t)
-	r := &signalRun{script: s, answers: make(map[int]int), draining: make(map[string]time.Time)}
+	r := &signalRun{script: s, byStatus: make(map[int]int), draining: make(map[string]time.Time)}
 	for _, name := range []string{"desk", "model", "encode", "rank"} {
 		if list := site.AddWorkers(name, s.endpoints); name == s.work.service {
 			r.workers = list
@@ -202,7 +202,7 @@
 	a := do(node, q)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.answers[a.Status]++
+	r.byStatus[a.Status]++
 	if a.Status != http.StatusOK && (a.Status != http.StatusServiceUnavailable || a.RetryAfter == "") {
 		r.unexpected = append(r.unexpected, fmt.Sprintf("%s: %d %q %v", q.ID, a.Status, a.RetryAfter, a.Err))
 	}
@@ -222,16 +222,16 @@
 		r.checkCalls(t, w)
 	}
 	total := 0
-	for _, n := range r.answers {
+	for _, n := range r.byStatus {
 		total += n
 	}
-	if served := float64(r.answers[http.StatusOK]) / float64(total); served < r.script.served {
+	if served := float64(r.byStatus[http.StatusOK]) / float64(total); served < r.script.served {
 		t.Errorf("%.3f of %d requests were served, want at least %.3f", served, total, r.script.served)
 	}
 	if r.script.fault == platformtest.Healthy && len(r.unexpected) > 0 {
-		t.Errorf("%d requests were neither served nor rejected with Retry-After; first: %s", len(r.unexpected), r.unexpected[0])
+		t.Errorf("%d requests were neither served nor refused with Retry-After; first: %s", len(r.unexpected), r.unexpected[0])
 	}
-	t.Logf("responses by status: %v", r.answers)
+	t.Logf("responses by status: %v", r.byStatus)
 }
 
 // checkCalls checks the calls of pieces, which carry no request ID: their leader learns that an
--- a/internal/node/slowbody_test.go
+++ b/internal/node/slowbody_test.go
@@ -41,13 +41,13 @@
 	fmt.Fprintf(conn, "POST /short/x HTTP/1.1\r\nHost: %s\r\nAuthorization: Token %s\r\nX-Request-Id: slow-1\r\nContent-Length: %d\r\n\r\n%s", platformtest.Host, key, len(whole), half)
 	// Bounds the wait for a missing response; no verdict depends on when it arrives.
 	_ = conn.SetReadDeadline(time.Now().Add(15 * time.Second))
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("no response: %v", err)
 	}
-	_, _ = io.Copy(io.Discard, answer.Body)
-	if answer.StatusCode != http.StatusRequestTimeout || worker.Runs("slow-1") > 0 {
-		t.Errorf("got %d, ran %d times; want 408 and no run", answer.StatusCode, worker.Runs("slow-1"))
+	_, _ = io.Copy(io.Discard, response.Body)
+	if response.StatusCode != http.StatusRequestTimeout || worker.Runs("slow-1") > 0 {
+		t.Errorf("got %d, ran %d times; want 408 and no run", response.StatusCode, worker.Runs("slow-1"))
 	}
 }
 
--- a/internal/node/stagecalls.go
+++ b/internal/node/stagecalls.go
@@ -22,27 +22,27 @@
 	ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 	defer cancel()
 	started := time.Now()
-	outcome, err := c.group.workers.RunStages(ctx, a)
+	outcome, err := c.leaders.workers.RunStages(ctx, a)
 	lost, unmade := unmadePieces(outcome)
-	c.group.meters.stageCall(a.Service, len(a.Items), lost, time.Since(started))
+	c.leaders.meters.stageCall(a.Service, len(a.Items), lost, time.Since(started))
 	fields := []zap.Field{
 		zap.String("endpoint", a.Endpoint), zap.String("service", a.Service), zap.Int("pieces", len(a.Items)),
 		zap.Int("ending", int(outcome.Status)), zap.Duration("took", time.Since(started)),
 	}
 	var blocked *signal.BlockedError
 	if errors.As(err, &blocked) && !blocked.Until.IsZero() {
-		c.group.backoff(time.Now(), blocked.Endpoint, blocked.Until)
+		c.leaders.backoff(time.Now(), blocked.Endpoint, blocked.Until)
 	}
 	if outcome.Status == stagepool.ConnectionBroken {
-		c.group.onBrokenCall(ctx, catalog.Endpoint{ID: a.Endpoint, Service: a.Service, Address: a.Address}, time.Since(started), contents(a.Items))
+		c.leaders.onBrokenCall(ctx, catalog.Endpoint{ID: a.Endpoint, Service: a.Service, Address: a.Address}, time.Since(started), contents(a.Items))
 	}
 	switch {
 	case err != nil:
-		c.group.log.Warn(eventStageCallLost, append(fields, zap.Error(err))...)
+		c.leaders.log.Warn(eventStageCallLost, append(fields, zap.Error(err))...)
 	case len(unmade) > 0:
-		c.group.log.Info(eventStageCallIncomplete, append(fields, unmade...)...)
+		c.leaders.log.Info(eventStageCallIncomplete, append(fields, unmade...)...)
 	default:
-		c.group.log.Debug(eventStageCall, fields...)
+		c.leaders.log.Debug(eventStageCall, fields...)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,12 +80,12 @@
 // free releases results at the endpoint that holds them. Results in an evacuated failure
 // domain are left to expire, since no work needs their room.
 func (c *leader) free(a stagepool.Free) {
-	if c.group.evacuated(a.Domain) {
+	if c.leaders.evacuated(a.Domain) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 	defer cancel()
-	if err := c.group.workers.FreeResults(ctx, a); err != nil {
-		c.group.log.Debug(eventResultsNotFreed, zap.String("endpoint", a.Endpoint), zap.Error(err))
+	if err := c.leaders.workers.FreeResults(ctx, a); err != nil {
+		c.leaders.log.Debug(eventResultsNotFreed, zap.String("endpoint", a.Endpoint), zap.Error(err))
 	}
 }
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -45,7 +45,7 @@
 // serveStream runs the stages of a request and forwards the events of its response.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, q *request) {
 	n.budget.Fresh(q.arrived, q.service, 1)
-	if n.rejectIfBackedOff(w, q, q.backoffEndLimit()) {
+	if n.refuseIfBackedOff(w, q, q.backoffEndLimit()) {
 		return
 	}
 	q.prefix = n.pools.prefix(q)
@@ -58,7 +58,7 @@
 			return
 		}
 		if !q.mayHaveRun && !n.finishesAfterStages(q) {
-			n.rejectStopping(w, q)
+			n.refuseStopping(w, q)
 			return
 		}
 		if n.endIfPoison(ctx, s) {
@@ -116,19 +116,19 @@
 // them suspects too.
 func (s *stream) need(tried []string) need {
 	q := s.q
-	asks := need{
+	wants := need{
 		service: q.service, prefix: q.prefix, tried: tried, preferred: s.results.endpoint,
 		prompt: place.Prompt{Tokens: q.in.PromptTokens},
 	}
 	if limit, _ := s.node.signals.bound(s.results.endpoint); !s.results.bounded && limit.At(time.Now()).Bounded() {
 		// The leader doesn't know the rate limit that this node knows, so it has not counted the
 		// request against it: it has just become leader, or runs an earlier version.
-		asks.preferred = ""
+		wants.preferred = ""
 	}
 	if s.node.poisonGuard.suspected(q.content) {
-		asks.prefix, asks.preferred = q.content.Key(), ""
+		wants.prefix, wants.preferred = q.content.Key(), ""
 	}
-	return asks
+	return wants
 }
 
 func (s *stream) release() {
@@ -160,7 +160,7 @@
 	work.softDeadline = q.arrived.Add(q.route.Objective)
 	work.submit.Avoid = n.avoided(q.service)
 	if !n.disabled.Has(mechanism.Sizes) {
-		work.submit.ExtraTokens = n.sizes.excess(q.route.Name, q.in.PromptTokens)
+		work.submit.ExtraTokens = n.promptSizes.excess(q.route.Name, q.in.PromptTokens)
 	}
 	hasPieces := false
 	for i, st := range q.route.Stages {
--- a/internal/node/jobs_test.go
+++ b/internal/node/submissions_test.go
@@ -15,23 +15,23 @@
 // node waits for its results.
 func TestSlowLeaderKeepsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newSubmissions()
-		b := j.add("leader")
-		time.AfterFunc(9*time.Second, func() { j.deliverResults(&wire.StagesDone{ID: b.id, Handles: []string{"h"}}) })
-		d, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id, Accepted: true}) })
+		s := newSubmissions()
+		sub := s.add("leader")
+		time.AfterFunc(9*time.Second, func() { s.deliverResults(&wire.StagesDone{ID: sub.id, Handles: []string{"h"}}) })
+		d, err := sub.awaitResults(context.Background(), func() { s.deliverVerdict(&wire.StagesVerdict{ID: sub.id, Accepted: true}) })
 		if err != nil || len(d.Handles) != 1 {
 			t.Fatalf("slow leader: %v, %v", d, err)
 		}
 	})
 }
 
-// TestSilentLeaderLosesWork guards against work that stays with a leader which does not answer: it
-// counts as lost within a second.
-func TestSilentLeaderLosesWork(t *testing.T) {
+// TestUnresponsiveLeaderLosesWork guards against work that stays with a leader which does not
+// answer: it counts as lost within a second.
+func TestUnresponsiveLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newSubmissions().add("leader")
+		sub := newSubmissions().add("leader")
 		started := time.Now()
-		_, err := b.awaitResults(context.Background(), func() {})
+		_, err := sub.awaitResults(context.Background(), func() {})
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want errLeaderLost", err)
 		}
@@ -45,25 +45,25 @@
 // knows the work: it counts as lost at once.
 func TestRestartedLeaderLosesWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newSubmissions()
-		b := j.add("leader")
-		_, err := b.awaitResults(context.Background(), func() { j.deliverVerdict(&wire.StagesVerdict{ID: b.id}) })
+		s := newSubmissions()
+		sub := s.add("leader")
+		_, err := sub.awaitResults(context.Background(), func() { s.deliverVerdict(&wire.StagesVerdict{ID: sub.id}) })
 		if !errors.Is(err, errLeaderLost) {
 			t.Fatalf("got %v, want errLeaderLost", err)
 		}
 	})
 }
 
-// TestSuspectedLeaderLosesAllWork guards against each job waiting for its own timeout at a leader
-// that does not answer: one missed answer moves all work away. The suspicion lasts longer each time
-// until the leader is heard from.
+// TestSuspectedLeaderLosesAllWork guards against each submission waiting for its own timeout at a
+// leader that does not answer: one missed answer moves all work away. The suspicion lasts longer
+// each time until the leader is heard from.
 func TestSuspectedLeaderLosesAllWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := newSubmissions()
-		waiting := j.add("leader")
+		s := newSubmissions()
+		waiting := s.add("leader")
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			j.suspect(time.Now(), "leader")
+			s.suspect(time.Now(), "leader")
 		}()
 		started := time.Now()
 		if _, err := waiting.awaitResults(context.Background(), func() {}); !errors.Is(err, errLeaderLost) {
@@ -73,16 +73,16 @@
 			t.Errorf("work moved after %v, want at once", took)
 		}
 		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
-		if j.suspected(time.Now(), "leader") {
+		if s.suspected(time.Now(), "leader") {
 			t.Error("still suspected after the first suspicion ended")
 		}
-		j.suspect(time.Now(), "leader")
+		s.suspect(time.Now(), "leader")
 		time.Sleep(minSuspectPeriod + 50*time.Millisecond)
-		if !j.suspected(time.Now(), "leader") {
+		if !s.suspected(time.Now(), "leader") {
 			t.Error("the second suspicion in a row does not last longer than the first")
 		}
-		j.clearSuspicion("leader")
-		if j.suspected(time.Now(), "leader") {
+		s.clearSuspicion("leader")
+		if s.suspected(time.Now(), "leader") {
 			t.Error("suspected after it was heard from")
 		}
 	})
--- a/internal/node/system_test.go
+++ b/internal/node/system_test.go
@@ -163,7 +163,7 @@
 	next.Version = 9
 	next.Keys = map[string]string{"key-2": "barbers"}
 	site.Publish(next)
-	eventually(t, "the revoked key is rejected", func() bool {
+	eventually(t, "the revoked key is refused", func() bool {
 		return do(n.Front, platformtest.Request{ID: "c", Path: "/read/"}).Status == 401
 	})
 	site.Publish(c)
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -29,14 +29,14 @@
 	revision catalog.Revision
 	// evacuations holds the failure domains to which no work is sent.
 	evacuations discovery.Evacuations
-	// fresh holds the times as of which the data is known to match the store.
-	fresh discovery.Freshness
+	// freshness holds the times as of which the data is known to match the store.
+	freshness discovery.Freshness
 }
 
 // complete reports whether a node can serve requests with the view: it has a configuration, a
 // list of endpoints and the set of evacuated failure domains.
 func (v *view) complete() bool {
-	return v.config != nil && !v.fresh.List.IsZero() && v.evacuations.Known()
+	return v.config != nil && !v.freshness.List.IsZero() && v.evacuations.Known()
 }
 
 // version returns the version of the configuration, or 0 if there is none.
@@ -49,7 +49,7 @@
 
 // configFile is a configuration file as sent to peers. It is compressed when the first peer
 // requests it: with 1,400 routes the file has 288 kB, which take 115 ms on a link of 20
-// Mbit/s, and 15 kB compressed (TestConfigurationsGoCompressed).
+// Mbit/s, and 15 kB compressed (TestConfigCompressedForPeer).
 type configFile struct {
 	data   []byte
 	once   sync.Once
@@ -70,7 +70,7 @@
 	cfg, err := platform.ParseConfig(data)
 	if err != nil {
 		n.configsRefused.Add(1)
-		n.log.Error(eventConfigurationRejected, zap.String("source", source), zap.Uint64("in_force", n.view.Load().version()), zap.Error(err))
+		n.log.Error(eventConfigurationRefused, zap.String("source", source), zap.Uint64("in_force", n.view.Load().version()), zap.Error(err))
 		return
 	}
 	n.viewMu.Lock()
@@ -94,15 +94,15 @@
 // applyStoreEndpoints applies an endpoint list that was read from the store at the given
 // time.
 func (n *Node) applyStoreEndpoints(list []catalog.Endpoint, revision catalog.Revision, at time.Time) {
-	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordList(at) })
-	n.updateEndpoints(sourceStore, fresh, func() bool { return n.list.ApplySnapshot(at, list, revision) })
+	freshness := n.recordRead(func(own *discovery.DirectReads) { own.RecordList(at) })
+	n.updateEndpoints(sourceStore, freshness, func() bool { return n.list.ApplySnapshot(at, list, revision) })
 }
 
 // recordConfigRead records that this node received the store's newest configuration as of the
 // given time, whether or not the configuration is valid.
 func (n *Node) recordConfigRead(at time.Time) {
-	fresh := n.recordRead(func(own *discovery.DirectReads) { own.RecordConfig(at) })
-	n.updateEndpoints(sourceStore, fresh, func() bool { return false })
+	freshness := n.recordRead(func(own *discovery.DirectReads) { own.RecordConfig(at) })
+	n.updateEndpoints(sourceStore, freshness, func() bool { return false })
 }
 
 // recordRead records a read of the store, and returns the freshness that results from this
@@ -122,7 +122,7 @@
 
 // updateEndpoints applies a change to the endpoint list and publishes the resulting view and
 // its freshness.
-func (n *Node) updateEndpoints(source string, fresh discovery.Freshness, change func() bool) {
+func (n *Node) updateEndpoints(source string, freshness discovery.Freshness, change func() bool) {
 	now := time.Now()
 	n.viewMu.Lock()
 	listAge := age(now, n.list.AsOf())
@@ -134,13 +134,13 @@
 	outdated := n.list.Outdated()
 	next := *old
 	next.revision = n.list.Revision()
-	next.fresh = old.fresh.Merge(fresh)
-	if next.fresh.Primaries.IsZero() {
+	next.freshness = old.freshness.Merge(freshness)
+	if next.freshness.Primaries.IsZero() {
 		// Gives the readers time to respond before other nodes replace them.
-		next.fresh.Primaries = next.fresh.List
+		next.freshness.Primaries = next.freshness.List
 	}
-	if next.fresh.Candidates.IsZero() {
-		next.fresh.Candidates = next.fresh.List
+	if next.freshness.Candidates.IsZero() {
+		next.freshness.Candidates = next.freshness.List
 	}
 	if changed {
 		next.endpoints, next.cold = n.list.Endpoints(), n.list.Cold()
@@ -149,12 +149,12 @@
 	}
 	n.view.Store(&next)
 	n.viewMu.Unlock()
-	n.updateGuardEndpoints(next.fresh.List, next.endpoints)
+	n.updateGuardEndpoints(next.freshness.List, next.endpoints)
 	if next.revision.Era() > old.revision.Era() && old.revision != 0 {
 		n.log.Warn(eventStoreRestored, zap.Stringer("before", old.revision), zap.Stringer("after", next.revision), zap.Int("doubted", outdated), zap.String("source", source))
 	}
 	if next.revision != old.revision {
-		n.advertiseRevision(next.revision, old.fresh.Stale(now))
+		n.advertiseRevision(next.revision, old.freshness.Stale(now))
 	}
 	if changed {
 		n.updatePools()
@@ -202,7 +202,7 @@
 		return
 	}
 	n.pools.update(v)
-	n.times.retainRoutes(v.config)
+	n.durations.retainRoutes(v.config)
 	n.leaders.update(time.Now(), v)
 }
 
@@ -215,8 +215,8 @@
 	now := time.Now()
 	out := wire.View{
 		Revision: uint64(delta.Revision), Full: delta.Full, Removed: delta.Removed, Digest: delta.Digest,
-		Age: age(now, v.fresh.List), ConfigAge: age(now, v.fresh.Config), PrimariesAge: age(now, v.fresh.Primaries),
-		CandidatesAge: age(now, v.fresh.Candidates),
+		Age: age(now, v.freshness.List), ConfigAge: age(now, v.freshness.Config), PrimariesAge: age(now, v.freshness.Primaries),
+		CandidatesAge: age(now, v.freshness.Candidates),
 		Evacuated:     v.evacuations.Listed(), EvacuatedRevision: uint64(v.evacuations.Revision()),
 	}
 	for _, e := range delta.Changed {
@@ -269,13 +269,13 @@
 		delta.Changed = append(delta.Changed, catalog.Endpoint(w))
 	}
 	now := time.Now()
-	fresh := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.PrimariesAge), Candidates: timeOfAge(now, m.CandidatesAge)}
+	freshness := discovery.Freshness{List: timeOfAge(now, m.Age), Primaries: timeOfAge(now, m.PrimariesAge), Candidates: timeOfAge(now, m.CandidatesAge)}
 	if m.ConfigVersion <= n.view.Load().version() && m.EvacuatedRevision > 0 {
 		// The peer's configuration is in effect here too. A peer of an earlier version does
 		// not know evacuations, so that its response does not confirm them.
-		fresh.Config = timeOfAge(now, m.ConfigAge)
+		freshness.Config = timeOfAge(now, m.ConfigAge)
 	}
-	n.updateEndpoints(sourcePeer, fresh, func() bool { return n.list.ApplyDelta(fresh.List, delta) })
+	n.updateEndpoints(sourcePeer, freshness, func() bool { return n.list.ApplyDelta(freshness.List, delta) })
 }
 
 // applyPeerConfig applies a configuration that a peer sent.
@@ -284,7 +284,7 @@
 	if m.Packed {
 		unpacked, err := packed.Unpack(data)
 		if err != nil {
-			n.log.Error(eventConfigurationRejected, zap.String("source", sourcePeer), zap.Error(err))
+			n.log.Error(eventConfigurationRefused, zap.String("source", sourcePeer), zap.Error(err))
 			return
 		}
 		data = unpacked
--- a/internal/node/views_test.go
+++ b/internal/node/view_test.go
@@ -27,7 +27,7 @@
 	n := New(s)
 	base := view{
 		config:      &catalog.Config{Version: 1, Services: map[string]catalog.Service{"desk": {Name: "desk"}}},
-		fresh:       discovery.Freshness{List: time.Now()},
+		freshness:   discovery.Freshness{List: time.Now()},
 		evacuations: discovery.Evacuations{}.Replace(time.Now(), 1, nil),
 	}
 	base.config.BuildIndex()
--- a/internal/node/asking_test.go
+++ b/internal/node/viewsource_test.go
@@ -42,7 +42,7 @@
 	clear(askCounts)
 	for _, e := range entries {
 		n.settings.Node, n.viewRequests = e.Node, 0
-		askCounts[n.viewSource(&view{fresh: discovery.Freshness{List: time.Now()}})]++
+		askCounts[n.viewSource(&view{freshness: discovery.Freshness{List: time.Now()}})]++
 	}
 	if len(askCounts) < nodes/3 {
 		t.Errorf("only %d different nodes are asked by %d nodes that have a view", len(askCounts), nodes)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -109,26 +109,26 @@
 		}
 		failed = 0
 		v := n.view.Load()
-		if v.fresh.List.IsZero() {
+		if v.freshness.List.IsZero() {
 			// Until the first list arrives, each tick also requests it from any node.
 			sleep(ctx, startPollInterval)
 			continue
 		}
-		if v.fresh.Stale(start) {
+		if v.freshness.Stale(start) {
 			attempt++
 		}
-		n.pollReader(n.ranking.Load().Readers(start.Sub(v.fresh.Primaries)), attempt)
+		n.pollReader(n.ranking.Load().Readers(start.Sub(v.freshness.Primaries)), attempt)
 		sleep(ctx, discovery.PollInterval)
 	}
 }
 
 // shouldReadStore reports whether this node has to read the store.
 func (n *Node) shouldReadStore(now time.Time) bool {
-	fresh := n.view.Load().fresh
-	if fresh.List.IsZero() || !n.view.Load().evacuations.Known() {
+	freshness := n.view.Load().freshness
+	if freshness.List.IsZero() || !n.view.Load().evacuations.Known() {
 		return len(n.settings.Seeds) == 0 || n.ranking.Load().ReadsAtStart(n.settings.Node, now.Sub(n.started))
 	}
-	return n.ranking.Load().Reads(n.settings.Node, now, fresh)
+	return n.ranking.Load().Reads(n.settings.Node, now, freshness)
 }
 
 // updateReadsStore records and logs whether this node reads the store, and returns the same
@@ -139,8 +139,8 @@
 	}
 	v := n.view.Load()
 	fields := []zap.Field{
-		zap.Int64("list_age_ms", age(now, v.fresh.List)), zap.Int64("config_age_ms", age(now, v.fresh.Config)),
-		zap.Int64("readers_age_ms", age(now, v.fresh.Primaries)), zap.Uint64("config", v.version()),
+		zap.Int64("list_age_ms", age(now, v.freshness.List)), zap.Int64("config_age_ms", age(now, v.freshness.Config)),
+		zap.Int64("readers_age_ms", age(now, v.freshness.Primaries)), zap.Uint64("config", v.version()),
 	}
 	if reads {
 		n.log.Info(eventStoreReadsStarted, fields...)
@@ -191,7 +191,7 @@
 	case readers.IsCandidate(n.settings.Node):
 		n.pollReader(readers.Readers(0), attempt)
 	default:
-		n.pollReader(readers.Readers(time.Since(n.view.Load().fresh.Primaries)), attempt)
+		n.pollReader(readers.Readers(time.Since(n.view.Load().freshness.Primaries)), attempt)
 	}
 }
 
--- a/internal/soak/bounds_verify_test.go
+++ b/internal/soak/bounds_verify_test.go
@@ -25,8 +25,8 @@
 			if n, _ := fmt.Sscanf(late.ID, probePrefix+"%d-%d", &node, &number); n < 2 || late.After <= ms(r.deployment.DrainMS) {
 				continue
 			}
-			calm := late.At.Add(-r.history.contact - ms(r.deployment.DrainMS))
-			if overlaps(r.history.disturbed[node], calm, late.At) || overlaps(r.history.storeOutages, calm, late.At) {
+			since := late.At.Add(-r.history.contact - ms(r.deployment.DrainMS))
+			if overlaps(r.history.disturbed[node], since, late.At) || overlaps(r.history.storeOutages, since, late.At) {
 				continue
 			}
 			found = append(found, fmt.Sprintf("%s node-%d DRAIN: sent a request to %s %v after the store had accepted that it leaves", late.At.Format("05.000"), node+1, w.ID, late.After.Round(time.Millisecond)))
@@ -39,10 +39,10 @@
 // by all nodes, and for each other request that is refused for this reason. It checks the
 // number of late crashes only if timed is set.
 func (r *boundsRun) poisonViolations(timed bool) []string {
-	found := r.poisons.settle()
+	found := r.poisons.awaitRefusals()
 	late, summary := r.poisons.lateCrashes(r.history.contact, func(t poisonAttempt) bool {
-		calm := t.at.Add(-r.history.contact)
-		return !overlaps(r.history.disturbed[t.node], calm, t.at) && !overlaps(r.history.storeOutages, calm, t.at)
+		since := t.at.Add(-r.history.contact)
+		return !overlaps(r.history.disturbed[t.node], since, t.at) && !overlaps(r.history.storeOutages, since, t.at)
 	})
 	r.t.Logf("requests that crash workers: %v", summary)
 	if timed {
@@ -94,7 +94,7 @@
 // verify checks all responses. Bounds that depend on the speed of the machine are checked only
 // if timed is set.
 func (r *boundsRun) verify(timed bool) {
-	lives := make(map[[2]int][]observation)
+	byIncarnation := make(map[[2]int][]observation)
 	counts := make(map[string]int)
 	var found []string
 	report := func(o observation, text string) {
@@ -102,7 +102,7 @@
 	}
 	inContact, manyRefused, manyProbes, overdue, muteProbes := 0, 0, 0, 0, 0
 	for _, o := range r.observations {
-		lives[[2]int{o.node, o.incarnation}] = append(lives[[2]int{o.node, o.incarnation}], o)
+		byIncarnation[[2]int{o.node, o.incarnation}] = append(byIncarnation[[2]int{o.node, o.incarnation}], o)
 		counts[fmt.Sprintf("%s %d", o.kind, o.status)]++
 		if violation := r.history.checkStale(o); timed && violation != "" {
 			report(o, violation)
@@ -128,7 +128,7 @@
 			}
 		}
 	}
-	for key, list := range lives {
+	for key, list := range byIncarnation {
 		for _, violation := range r.history.findRollbacks(list) {
 			found = append(found, fmt.Sprintf("node-%d %s", key[0]+1, violation))
 		}
@@ -188,8 +188,8 @@
 			continue
 		}
 		first[key] = true
-		calm := r.history.versions[i].acknowledged.Add(-r.history.contact)
-		if overlaps(r.history.disturbed[o.node], calm, o.got) || overlaps(r.history.storeOutages, calm, o.got) {
+		since := r.history.versions[i].acknowledged.Add(-r.history.contact)
+		if overlaps(r.history.disturbed[o.node], since, o.got) || overlaps(r.history.storeOutages, since, o.got) {
 			continue
 		}
 		delays = append(delays, o.got.Sub(r.history.versions[i].acknowledged))
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -130,7 +130,7 @@
 // requests for this reason.
 func (r *run) checkPoisons() {
 	found, summary := r.poisons.lateCrashes(poisonContact, func(t poisonAttempt) bool {
-		return r.wasCalmAt(t.at) && !r.nodes[t.node].startedWithin(poisonContact, t.at)
+		return r.wasStableAt(t.at) && !r.nodes[t.node].startedWithin(poisonContact, t.at)
 	})
 	r.failures = append(r.failures, found...)
 	for _, s := range r.record.list {
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -227,11 +227,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), clientDeadline)
 	defer cancel()
 	begun := c.run.unplannedCount.Load()
-	calm := c.run.isCalm()
+	stable := c.run.isStable()
 	s.at = time.Now()
 	s.response = platformtest.DoOn(ctx, c.transport, c.run.proxies.addressOf(s.node), q)
 	s.took = time.Since(s.at)
-	s.plannedOnly = calm && c.run.unplannedCount.Load() == begun
+	s.plannedOnly = stable && c.run.unplannedCount.Load() == begun
 	c.mu.Lock()
 	c.open[s.node] = s.response.Err == nil && !s.response.ConnectionClose
 	c.mu.Unlock()
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -139,8 +139,8 @@
 // checkStale checks one response against the bound on changes. It returns a message if the
 // response is too old, else "".
 func (h *history) checkStale(o observation) string {
-	calm := o.sent.Add(-h.contact)
-	if overlaps(h.disturbed[o.node], calm, o.got) || overlaps(h.storeOutages, calm, o.got) {
+	since := o.sent.Add(-h.contact)
+	if overlaps(h.disturbed[o.node], since, o.got) || overlaps(h.storeOutages, since, o.got) {
 		return ""
 	}
 	apply := h.apply
--- a/internal/soak/poison_test.go
+++ b/internal/soak/poison_test.go
@@ -37,10 +37,10 @@
 	poisonContact = 3 * time.Second
 	// maxRetryAfter is the maximum Retry-After of requests that are refused for another reason.
 	maxRetryAfter = time.Minute
-	// settleRounds is how often all nodes are queried in the end, settlePause the time between
+	// refusalRounds is how often all nodes are queried in the end, refusalPause the time between
 	// rounds.
-	settleRounds = 6
-	settlePause  = 2 * time.Second
+	refusalRounds = 6
+	refusalPause  = 2 * time.Second
 )
 
 // poisonKinds are the requests that crash workers: workers of a plain service, of a model, and
@@ -139,17 +139,17 @@
 	return list
 }
 
-// settle sends the requests that caused at least crashesToRefuse crashes to all nodes until all
+// awaitRefusals sends the requests that caused at least crashesToRefuse crashes to all nodes until all
 // refuse them. It returns a message for each request that is still not refused.
-func (p *poisons) settle() (found []string) {
+func (p *poisons) awaitRefusals() (found []string) {
 	for i := range p.list {
 		if len(p.crashes(i)) < crashesToRefuse {
 			continue
 		}
 		violation := ""
-		for round := range settleRounds {
+		for round := range refusalRounds {
 			if round > 0 {
-				time.Sleep(settlePause)
+				time.Sleep(refusalPause)
 			}
 			violation = ""
 			for node := range p.fronts {
--- a/internal/soak/signals_test.go
+++ b/internal/soak/signals_test.go
@@ -29,8 +29,8 @@
 	// announced is when the workers in draining announced draining.
 	announced time.Time
 	rejecting []*platformtest.Worker
-	// calm is the time until which no node was disturbed.
-	from, calm, to time.Time
+	// No node was disturbed between from and undisturbedUntil.
+	from, undisturbedUntil, to time.Time
 }
 
 func (r *run) randomBackoff() time.Duration { return randomDuration(r.signalRand, 500, 3000) }
@@ -73,7 +73,7 @@
 	r.rejectAll()
 	r.takeStoreDown()
 	time.Sleep(signalPhaseTime - storeOutage)
-	s.calm = time.Now()
+	s.undisturbedUntil = time.Now()
 	r.rejectAll()
 	r.pauseAndKill(r.signalRand, 0)
 	time.Sleep(signalPhaseTime)
@@ -137,7 +137,7 @@
 			// Calls have no ID. Their sender is known only as long as the leader of the pool
 			// stays the same.
 			over := x.At.Add(x.Backoff)
-			return x.At.Before(s.from) || over.After(s.to) || x.ID == "" && over.After(s.calm)
+			return x.At.Before(s.from) || over.After(s.to) || x.ID == "" && over.After(s.undisturbedUntil)
 		})
 		rejected += len(rejections)
 		r.failures = append(r.failures, withPrefix("BACKOFF", log.BackoffViolations(rejections, w.Arrivals()))...)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -163,8 +163,8 @@
 	// asyncFailures are failures detected by other goroutines while faults were active.
 	asyncMu       sync.Mutex
 	asyncFailures []string
-	// calmSince is when the last unplanned fault ended.
-	calmSince time.Time
+	// unplannedEndedAt is when the last unplanned fault ended.
+	unplannedEndedAt time.Time
 }
 
 // retired is a worker that has left, announced or not.
@@ -180,9 +180,9 @@
 	// request that arrives while its connection is being closed fails at once. The value is
 	// generous because the machine may be busy.
 	maxReadDelay = 2 * time.Second
-	// calmTime is the time after the last unplanned fault from which only planned operations
+	// stabilizationTime is the time after the last unplanned fault from which only planned operations
 	// count as active.
-	calmTime = 4 * time.Second
+	stabilizationTime = 4 * time.Second
 	// maxDrainTime is the time after the store has accepted that a worker leaves from which
 	// nothing may reach the worker. The value is generous because the machine may be busy.
 	maxDrainTime = 8 * time.Second
@@ -244,7 +244,7 @@
 	r.rollingRestart()
 	stop()
 	sending.Wait()
-	r.failures = append(r.failures, r.poisons.settle()...)
+	r.failures = append(r.failures, r.poisons.awaitRefusals()...)
 	r.check()
 	if len(r.failures) > 0 {
 		t.Errorf("seed %d, logs in %s:\n%s", c.seed, r.nodes[0].logs, strings.Join(r.failures, "\n"))
@@ -392,18 +392,18 @@
 	r.asyncFailures = append(r.asyncFailures, text)
 }
 
-// isCalm reports whether no unplanned fault is active and the last one ended more than calmTime
+// isStable reports whether no unplanned fault is active and the last one ended more than stabilizationTime
 // ago.
-func (r *run) isCalm() bool {
-	return r.activeUnplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplannedEnd.Load())) > calmTime
+func (r *run) isStable() bool {
+	return r.activeUnplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplannedEnd.Load())) > stabilizationTime
 }
 
-// wasCalmAt reports whether a point in time is more than calmTime after the last unplanned
+// wasStableAt reports whether a point in time is more than stabilizationTime after the last unplanned
 // fault of the run.
-func (r *run) wasCalmAt(at time.Time) bool {
+func (r *run) wasStableAt(at time.Time) bool {
 	r.asyncMu.Lock()
 	defer r.asyncMu.Unlock()
-	return at.Sub(r.calmSince) > calmTime
+	return at.Sub(r.unplannedEndedAt) > stabilizationTime
 }
 
 func (r *run) beginUnplanned() {
@@ -414,7 +414,7 @@
 func (r *run) endUnplanned() {
 	r.lastUnplannedEnd.Store(time.Now().UnixMilli())
 	r.asyncMu.Lock()
-	r.calmSince = time.Now()
+	r.unplannedEndedAt = time.Now()
 	r.asyncMu.Unlock()
 	r.activeUnplanned.Add(-1)
 }
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -88,10 +88,10 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", w.platform.Handler())
 	mux.HandleFunc("POST /admin/fault", func(rw http.ResponseWriter, r *http.Request) {
-		var o FaultSpec
-		err := json.NewDecoder(r.Body).Decode(&o)
+		var spec FaultSpec
+		err := json.NewDecoder(r.Body).Decode(&spec)
 		if err == nil {
-			err = w.InjectFault(o)
+			err = w.InjectFault(spec)
 		}
 		if err != nil {
 			http.Error(rw, err.Error(), http.StatusBadRequest)
