--- a/internal/soak/bounds_signals_test.go
+++ b/internal/soak/bounds_signals_test.go
@@ -75,8 +75,8 @@
 	r.signals.RecordRequest(id, strconv.Itoa(node), at)
 }
 
-// recordAnswer records the response to a request if it announces draining.
-func (r *boundsRun) recordAnswer(a platformtest.Response, node int, sent time.Time) {
+// recordResponse records the response to a request if it announces draining.
+func (r *boundsRun) recordResponse(a platformtest.Response, node int, sent time.Time) {
 	parts := strings.Split(a.Stamp, ".")
 	if len(parts) < 2 {
 		return
--- a/internal/soak/bounds_test.go
+++ b/internal/soak/bounds_test.go
@@ -341,7 +341,7 @@
 	a := platformtest.DoOn(ctx, transport, p.Front, platformtest.Request{ID: id, Path: path, Key: key, Deadline: 2 * time.Second})
 	o.got = time.Now()
 	r.recordRefusal(id, a)
-	r.recordAnswer(a, node, o.sent)
+	r.recordResponse(a, node, o.sent)
 	if a.Err != nil || p.currentIncarnation() != incarnation {
 		return
 	}
@@ -385,7 +385,7 @@
 			Streaming: k.stream, Pieces: k.pieces, Prefix: fmt.Sprintf("a%d:10,b%d:20", number, n%7),
 		})
 		r.recordRefusal(id, a)
-		r.recordAnswer(a, node, sent)
+		r.recordResponse(a, node, sent)
 		cancel()
 		sleep(ctx, time.Duration(minPauseMS+rng.IntN(maxPauseMS))*time.Millisecond)
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -22,7 +22,7 @@
 	}
 	runs, forwarded := r.countRuns(byID)
 	for _, s := range r.record.list {
-		r.checkAnswer(s, runs[s.id])
+		r.checkResponse(s, runs[s.id])
 		r.checkNotLost(s, forwarded[s.id])
 	}
 	r.checkStops()
@@ -87,7 +87,7 @@
 	return runs, forwarded
 }
 
-func (r *run) checkAnswer(s sentRequest, runs int) {
+func (r *run) checkResponse(s sentRequest, runs int) {
 	a := s.response
 	complete := a.Err == nil && a.Status == http.StatusOK
 	switch {
--- a/internal/soak/poison_test.go
+++ b/internal/soak/poison_test.go
@@ -139,8 +139,8 @@
 	return list
 }
 
-// awaitRefusals sends the requests that caused at least crashesToRefuse crashes to all nodes until all
-// refuse them. It returns a message for each request that is still not refused.
+// awaitRefusals sends the requests that caused at least crashesToRefuse crashes to all nodes until
+// all refuse them. It returns a message for each request that is still not refused.
 func (p *poisons) awaitRefusals() (found []string) {
 	for i := range p.list {
 		if len(p.crashes(i)) < crashesToRefuse {
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -21,15 +21,15 @@
 	// cutForward drops what the caller sends, cutBack what it would receive.
 	cutForward
 	cutBack
-	// silent drops the bytes of both directions.
-	silent
+	// cutBoth drops the bytes of both directions.
+	cutBoth
 )
 
 // modes are the modes that disrupt connections.
-var modes = []mode{delay, reset, cutForward, cutBack, silent}
+var modes = []mode{delay, reset, cutForward, cutBack, cutBoth}
 
 func (m mode) String() string {
-	return [...]string{"pass", "delay", "reset", "cut forward", "cut back", "silent"}[m]
+	return [...]string{"pass", "delay", "reset", "cut forward", "cut back", "cut both"}[m]
 }
 
 const (
@@ -149,7 +149,7 @@
 		if m == delay {
 			time.Sleep(delayTime)
 		}
-		if m == lost || m == silent {
+		if m == lost || m == cutBoth {
 			x.mu.Lock()
 			l.lost = l.lost || n > 0
 			x.mu.Unlock()
@@ -163,7 +163,7 @@
 		}
 		switch {
 		case err == io.EOF:
-			if half, ok := to.(*net.TCPConn); ok && m != lost && m != silent {
+			if half, ok := to.(*net.TCPConn); ok && m != lost && m != cutBoth {
 				_ = half.CloseWrite()
 			}
 			return
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -392,14 +392,14 @@
 	r.asyncFailures = append(r.asyncFailures, text)
 }
 
-// isStable reports whether no unplanned fault is active and the last one ended more than stabilizationTime
-// ago.
+// isStable reports whether no unplanned fault is active and the last one ended more than
+// stabilizationTime ago.
 func (r *run) isStable() bool {
 	return r.activeUnplanned.Load() == 0 && time.Since(time.UnixMilli(r.lastUnplannedEnd.Load())) > stabilizationTime
 }
 
-// wasStableAt reports whether a point in time is more than stabilizationTime after the last unplanned
-// fault of the run.
+// wasStableAt reports whether a point in time is more than stabilizationTime after the last
+// unplanned fault of the run.
 func (r *run) wasStableAt(at time.Time) bool {
 	r.asyncMu.Lock()
 	defer r.asyncMu.Unlock()
