--- a/cmd/gradetiller/cmd/apply_test.go
+++ b/cmd/gradetiller/cmd/apply_test.go
@@ -78,14 +78,14 @@
 
 // newControl starts a fake control process with version 1 in force that responds to
 // an apply with the given handler, and returns its address.
-func newControl(t *testing.T, answer http.HandlerFunc) string {
+func newControl(t *testing.T, handler http.HandlerFunc) string {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/config", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"version":1}`)
 	})
 	mux.HandleFunc("POST /v1/config", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		answer(w, r)
+		handler(w, r)
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
@@ -125,9 +125,9 @@
 // outcome; definite refusals keep their exit status.
 func TestApplyReportsUnknownOutcome(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer http.HandlerFunc
-		status int
+		name    string
+		handler http.HandlerFunc
+		status  int
 	}{
 		{"no answer", writeAndClose(""), ExitUnknown},
 		{responseTimeoutCase, neverRespond, ExitUnknown},
@@ -156,7 +156,7 @@
 			if c.name == responseTimeoutCase {
 				setRequestTimeout(t, shortTimeout)
 			}
-			control := newControl(t, c.answer)
+			control := newControl(t, c.handler)
 			runApply(t, control).check(t, control, c.status)
 		})
 	}
--- a/cmd/gradetiller/cmd/remote.go
+++ b/cmd/gradetiller/cmd/remote.go
@@ -71,8 +71,8 @@
 }
 
 // send sends a request once, without retries. It traces whether there was a connection,
-// because without one nothing was sent, and the error does not tell a time-out of the
-// dial from one of the response.
+// because without one nothing was sent, and the error does not distinguish a dial timeout
+// from a response timeout.
 func (r *remote) send(req *http.Request) (*http.Response, error) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
--- a/cmd/gradetiller/cmd/show.go
+++ b/cmd/gradetiller/cmd/show.go
@@ -51,7 +51,7 @@
 	if st.Placement != "" {
 		fmt.Fprintf(s.out, "placement of models: held by %s\n", st.Placement)
 	}
-	for _, e := range st.Leaving {
+	for _, e := range st.DrainingEndpoints {
 		fmt.Fprintf(s.out, "leaving endpoint: %s/%s gets no new work\n", e.Pool, e.Name)
 	}
 	for _, domain := range st.Evacuated {
--- a/config/config.go
+++ b/config/config.go
@@ -100,7 +100,7 @@
 // This mode is the baseline for comparisons.
 func (p Policies) PlainRetry() bool { return p.f.Retry == RetryPlain }
 
-// EarlyRefusal reports whether admission control rejects requests that cannot
+// EarlyRefusal reports whether admission control refuses requests that cannot
 // meet their deadline.
 func (p Policies) EarlyRefusal() bool { return p.f.Admission != AdmissionNone }
 
@@ -183,7 +183,7 @@
 func (e *Endpoint) Cost() float64 { return e.f.Cost }
 
 // ChecksOrders reports whether the endpoint checks the epoch of an order and
-// rejects orders of an earlier lease holder.
+// refuses orders of an earlier lease holder.
 func (e *Endpoint) ChecksOrders() bool { return e.f.ChecksOrders }
 
 // Versions returns the model versions that the endpoint serves; empty means any.
--- a/internal/control/configs.go
+++ b/internal/control/configs.go
@@ -94,8 +94,8 @@
 		{Key: historyKey(next.Version), Value: value},
 		{Key: currentVersionKey, IfVersion: row.Version, Value: value},
 	}, func(value []byte) bool {
-		var p versionRow
-		return json.Unmarshal(value, &p) == nil && p.WriteID == next.WriteID
+		var v versionRow
+		return json.Unmarshal(value, &v) == nil && v.WriteID == next.WriteID
 	})
 	c.record("apply", fmt.Sprintf("version/%d", next.Version), fmt.Sprintf("operator=%q outcome=%s digest=%s", operator, outcome, next.Digest))
 	switch outcome {
@@ -126,13 +126,13 @@
 	if err != nil {
 		return platform.Row{}, versionRow{}, err
 	}
-	var p versionRow
+	var v versionRow
 	if rows[0].Version > 0 {
-		if err := json.Unmarshal(rows[0].Value, &p); err != nil {
-			return rows[0], p, fmt.Errorf("row %s: %w", currentVersionKey, err)
+		if err := json.Unmarshal(rows[0].Value, &v); err != nil {
+			return rows[0], v, fmt.Errorf("row %s: %w", currentVersionKey, err)
 		}
 	}
-	return rows[0], p, nil
+	return rows[0], v, nil
 }
 
 // History returns up to maxHistoryVersions versions, newest first.
@@ -154,9 +154,9 @@
 	}
 	list := make([]versionRow, 0, len(rows))
 	for _, r := range rows {
-		var p versionRow
-		if r.Version > 0 && json.Unmarshal(r.Value, &p) == nil {
-			list = append(list, p)
+		var v versionRow
+		if r.Version > 0 && json.Unmarshal(r.Value, &v) == nil {
+			list = append(list, v)
 		}
 	}
 	return list, nil
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -149,8 +149,8 @@
 		return nil, err
 	}
 	lines := make([]HistoryLine, len(list))
-	for i, p := range list {
-		lines[i] = HistoryLine{Version: p.Version, Digest: p.Digest, Operator: p.Operator, At: p.At}
+	for i, v := range list {
+		lines[i] = HistoryLine{Version: v.Version, Digest: v.Digest, Operator: v.Operator, At: v.At}
 	}
 	return lines, nil
 }
@@ -161,11 +161,11 @@
 
 // StatusResponse is the state of the system as one control process sees it.
 type StatusResponse struct {
-	Node             string         `json:"node"`
-	Version          uint64         `json:"version"`
-	StoreUnavailable bool           `json:"store_away"`
-	Members          []MemberLine   `json:"members"`
-	Leaving          []EndpointLine `json:"leaving_endpoints,omitempty"`
+	Node              string         `json:"node"`
+	Version           uint64         `json:"version"`
+	StoreUnavailable  bool           `json:"store_away"`
+	Members           []MemberLine   `json:"members"`
+	DrainingEndpoints []EndpointLine `json:"leaving_endpoints,omitempty"`
 	// Placement is the holder of the placement lease when it was last read.
 	Placement string `json:"placement_holder,omitempty"`
 	// Evacuated lists the failure domains whose endpoints are sent no calls or orders.
@@ -204,7 +204,7 @@
 	}
 	for _, e := range c.member.Endpoints() {
 		if e.Leaving {
-			s.Leaving = append(s.Leaving, EndpointLine{Pool: e.Pool, Name: e.Name})
+			s.DrainingEndpoints = append(s.DrainingEndpoints, EndpointLine{Pool: e.Pool, Name: e.Name})
 		}
 	}
 	if c.storeUnavailable {
--- a/internal/control/placement_test.go
+++ b/internal/control/placement_test.go
@@ -41,24 +41,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &testFleet{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, standin.DefaultLatency)}
+	f := &testFleet{t: t, cfg: cfg, world: standin.NewWorld(1, cfg, nil, standin.DefaultLatency)}
 	for _, l := range listeners {
-		server := &httptest.Server{Listener: l, Config: &http.Server{Handler: w.world.Endpoints()[l.Addr().String()].Handler()}}
+		server := &httptest.Server{Listener: l, Config: &http.Server{Handler: f.world.Endpoints()[l.Addr().String()].Handler()}}
 		server.Start()
 		t.Cleanup(server.Close)
 	}
-	server := httptest.NewServer(w.world.Admin())
+	server := httptest.NewServer(f.world.Admin())
 	t.Cleanup(server.Close)
-	w.url = server.URL
-	return w
+	f.url = server.URL
+	return f
 }
 
 // start runs a control process and returns a function that stops it without
 // gossiping that it leaves, as a crash would.
-func (w *testFleet) start(name string) (*Control, func()) {
-	p, err := platform.NewHTTP(w.url)
+func (f *testFleet) start(name string) (*Control, func()) {
+	p, err := platform.NewHTTP(f.url)
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	c := New(Identity{System: "test", Node: name, Incarnation: 1, PeerAddress: "127.0.0.1:1", Domain: "d"}, WithPlatform(p, p, p), WithLeaseTerm(testTerm))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -72,30 +72,30 @@
 		cancel()
 		<-done
 	}
-	w.t.Cleanup(stop)
+	f.t.Cleanup(stop)
 	return c, stop
 }
 
-func (w *testFleet) waitFor(what string, condition func() bool) {
-	w.t.Helper()
+func (f *testFleet) waitFor(what string, condition func() bool) {
+	f.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("timed out after 20 s waiting for: %s", what)
+			f.t.Fatalf("timed out after 20 s waiting for: %s", what)
 		}
 	}
 }
 
-func (w *testFleet) isLoaded() bool {
-	for _, e := range w.cfg.Pools()[0].Endpoints() {
-		if !slices.Equal(w.world.Endpoints()[e.Address()].Versions(), e.Versions()) {
+func (f *testFleet) isLoaded() bool {
+	for _, e := range f.cfg.Pools()[0].Endpoints() {
+		if !slices.Equal(f.world.Endpoints()[e.Address()].Versions(), e.Versions()) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *testFleet) orderCounts() (sum standin.OrderCounts) {
-	for _, e := range w.world.Endpoints() {
+func (f *testFleet) orderCounts() (sum standin.OrderCounts) {
+	for _, e := range f.world.Endpoints() {
 		o := e.Orders()
 		sum.Loads += o.Loads
 		sum.Stale += o.Stale
@@ -110,30 +110,30 @@
 // one of a later epoch.
 func TestPlacementSurvivesHolderCrash(t *testing.T) {
 	const engines = 8
-	w := newTestFleet(t, engines)
-	a, stopA := w.start("a")
-	if _, _, err := a.Apply(context.Background(), 0, w.cfg.Data(), "test"); err != nil {
+	f := newTestFleet(t, engines)
+	a, stopA := f.start("a")
+	if _, _, err := a.Apply(context.Background(), 0, f.cfg.Data(), "test"); err != nil {
 		t.Fatal(err)
 	}
-	w.waitFor("half of the engines have loaded", func() bool { return w.orderCounts().Loads >= engines/2 })
+	f.waitFor("half of the engines have loaded", func() bool { return f.orderCounts().Loads >= engines/2 })
 	first, _ := a.placement.heldEpoch()
-	b, _ := w.start("b")
+	b, _ := f.start("b")
 	stopA()
-	if err := w.world.InjectFault(standin.FaultSpec{Target: "platform", Fault: standin.FaultLoseAnswer, Seconds: 1}); err != nil {
+	if err := f.world.InjectFault(standin.FaultSpec{Target: "platform", Fault: standin.FaultLoseAnswer, Seconds: 1}); err != nil {
 		t.Fatal(err)
 	}
-	w.waitFor("the fleet is loaded", w.isLoaded)
-	if o := w.orderCounts(); o.Loads != engines || o.Stale != 0 {
+	f.waitFor("the fleet is loaded", f.isLoaded)
+	if o := f.orderCounts(); o.Loads != engines || o.Stale != 0 {
 		t.Fatalf("%d engines have order counts %+v, want one load each and no stale order", engines, o)
 	}
-	address := w.cfg.Pools()[0].Endpoints()[3].Address()
-	w.world.Endpoints()[address].Restart()
-	w.waitFor("the restarted engine is loaded again", w.isLoaded)
-	w.waitFor("the successor holds the lease", func() bool {
+	address := f.cfg.Pools()[0].Endpoints()[3].Address()
+	f.world.Endpoints()[address].Restart()
+	f.waitFor("the restarted engine is loaded again", f.isLoaded)
+	f.waitFor("the successor holds the lease", func() bool {
 		epoch, ok := b.placement.heldEpoch()
 		return ok && epoch > first
 	})
-	if o := w.orderCounts(); o.Loads != engines+1 || o.Stale != 0 {
+	if o := f.orderCounts(); o.Loads != engines+1 || o.Stale != 0 {
 		t.Fatalf("order counts after the restart %+v, want one more load and no stale order", o)
 	}
 }
--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -16,8 +16,8 @@
 // process here stops while nobody holds the lease; afterwards the table must
 // still have no holder.
 func TestStopAcquiresNoLease(t *testing.T) {
-	w := newTestFleet(t, 1)
-	p, err := platform.NewHTTP(w.url)
+	f := newTestFleet(t, 1)
+	p, err := platform.NewHTTP(f.url)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,20 +59,20 @@
 // flight or lets the job send further ones. The holder stops during the first of
 // two orders.
 func TestStopFinishesOrderInFlight(t *testing.T) {
-	w := newTestFleet(t, 2)
-	p, err := platform.NewHTTP(w.url)
+	f := newTestFleet(t, 2)
+	p, err := platform.NewHTTP(f.url)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := New(Identity{System: "test", Node: "a", Incarnation: 1}, WithPlatform(p, p, p))
-	if _, _, err := c.Apply(ctx, 0, w.cfg.Data(), "test"); err != nil {
+	if _, _, err := c.Apply(ctx, 0, f.cfg.Data(), "test"); err != nil {
 		t.Fatal(err)
 	}
 	sender := &stoppingSender{stop: cancel}
 	c.placement.orders, c.placement.epochWait = sender, 0
-	w.waitFor("the lease is held", func() bool {
+	f.waitFor("the lease is held", func() bool {
 		c.placement.stepLease(ctx)
 		return c.placement.updateEpoch()
 	})
--- a/internal/entry/apply.go
+++ b/internal/entry/apply.go
@@ -120,7 +120,7 @@
 	return n.entries
 }
 
-// rebuildTable recomputes the locate answers. They include the node itself
+// rebuildTable recomputes the locate responses. They include the node itself
 // unless it is leaving, even if its control process is unreachable. A rebuild
 // takes tens of milliseconds with thousands of accounts, so n.mu must not be
 // held meanwhile.
@@ -155,7 +155,7 @@
 	n.engine.SetRateShares(time.Now(), func(i int) float64 { return shares[i] })
 }
 
-// Leave removes this node from its own locate answers immediately. The control
+// Leave removes this node from its own locate responses immediately. The control
 // process learns of it from the next status.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
--- a/internal/entry/drain.go
+++ b/internal/entry/drain.go
@@ -11,13 +11,13 @@
 
 const (
 	// maxPropagationDelay bounds the time until every node that names this node
-	// in locate answers knows that it is leaving.
+	// in locate responses knows that it is leaving.
 	maxPropagationDelay = 3 * time.Second
 	drainPollInterval   = 20 * time.Millisecond
 )
 
-// Drain performs a graceful shutdown: it removes the node from locate answers,
-// serves until every locate answer that named this node has expired, refuses
+// Drain performs a graceful shutdown: it removes the node from locate responses,
+// serves until every locate response that named this node has expired, refuses
 // new requests as not run, and waits for the runs in flight and for the store
 // to mark the records of requests answered as "not run" as abandoned.
 //
@@ -36,7 +36,7 @@
 	n.terminate()
 }
 
-// leaveAndDrain serves until locate answers that name this node have expired
+// leaveAndDrain serves until locate responses that name this node have expired
 // and no run is in flight, or until ctx is done.
 func (n *Node) leaveAndDrain(ctx context.Context) {
 	n.Leave()
--- a/internal/entry/drain_test.go
+++ b/internal/entry/drain_test.go
@@ -169,9 +169,9 @@
 
 // submitAt submits an at-most-once request to one node and waits for the result.
 func (s *system) submitAt(node int, id string) (string, error) {
-	w := s.nodes[node].Submit(run.Request{Account: "a", Pipeline: "sell", RequestID: id, Input: []byte("req=" + id + ";text")})
-	for range w.wake {
-		if _, end := w.take(); end != nil {
+	submitted := s.nodes[node].Submit(run.Request{Account: "a", Pipeline: "sell", RequestID: id, Input: []byte("req=" + id + ";text")})
+	for range submitted.wake {
+		if _, end := submitted.take(); end != nil {
 			if end.Err != nil {
 				return "", end.Err
 			}
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -225,7 +225,7 @@
 }
 
 // TestLeavingNodeIsNotLocated checks that a leaving node removes itself from its
-// own locate answers immediately and continues to serve.
+// own locate responses immediately and continues to serve.
 func TestLeavingNodeIsNotLocated(t *testing.T) {
 	s := newSystem(t, 2)
 	s.nodes[0].Leave()
--- a/internal/logging/asyncwriter.go
+++ b/internal/logging/asyncwriter.go
@@ -40,8 +40,8 @@
 	return Ordinary
 }
 
-// limit returns the maximum number of buffered bytes, of all priorities, after a line of this priority is
-// added.
+// limit returns the maximum number of buffered bytes, of all priorities, after a line of this
+// priority is added.
 func (p Priority) limit() int {
 	if p == Urgent {
 		return maxPending
@@ -49,9 +49,10 @@
 	return maxPending - urgentReserve
 }
 
-// AsyncWriter writes lines in the background, in the order of the calls. It never blocks a caller: a line
-// for which the buffer has no space is dropped and counted by its priority, and the next flush appends a
-// line with the number of dropped lines. No lock is held while the stream is written.
+// AsyncWriter writes lines in the background, in the order of the calls. It never blocks a caller:
+// a line for which the buffer has no space is dropped and counted by its priority, and the next
+// flush appends a line with the number of dropped lines. No lock is held while the stream is
+// written.
 type AsyncWriter struct {
 	to io.Writer
 	mu sync.Mutex
@@ -64,8 +65,8 @@
 	done     chan struct{}
 }
 
-// NewAsyncWriter returns a background writer to a stream. The caller must call Stop to write the lines
-// that are still buffered.
+// NewAsyncWriter returns a background writer to a stream. The caller must call Stop to write the
+// lines that are still buffered.
 func NewAsyncWriter(to io.Writer) *AsyncWriter {
 	w := &AsyncWriter{to: to, stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
--- a/internal/logging/asyncwriter_test.go
+++ b/internal/logging/asyncwriter_test.go
@@ -27,23 +27,23 @@
 func TestNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &blockedStream{unblocked: make(chan struct{})}
-		b := NewAsyncWriter(s)
+		w := NewAsyncWriter(s)
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		started := time.Now()
 		for range 5000 {
-			if _, err := b.Write(line); err != nil {
+			if _, err := w.Write(line); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if waited := time.Since(started); waited != 0 {
 			t.Errorf("writes blocked for %v", waited)
 		}
-		if b.Dropped() == 0 {
+		if w.Dropped() == 0 {
 			t.Error("no line was dropped although the buffer was full")
 		}
 		close(s.unblocked)
-		b.Stop()
-		if want := fmt.Sprintf("count=%d", b.Dropped()); !strings.Contains(s.String(), want) {
+		w.Stop()
+		if want := fmt.Sprintf("count=%d", w.Dropped()); !strings.Contains(s.String(), want) {
 			t.Errorf("no line reports the dropped lines: %s", want)
 		}
 	})
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestBoundedKeepsFailedRequests checks that the line of a failed request is kept when ordinary lines
-// have filled their part of the buffer, and that only ordinary lines are reported as dropped.
-func TestBoundedKeepsFailedRequests(t *testing.T) {
+// TestAsyncWriterKeepsFailedRequests checks that the line of a failed request is kept when ordinary
+// lines have filled their part of the buffer, and that only ordinary lines are reported as dropped.
+func TestAsyncWriterKeepsFailedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, unblock := newBlockedLog(t)
 		for range floodLines {
@@ -110,9 +110,9 @@
 	})
 }
 
-// TestBoundedFailedRequestsFlood checks that the buffer stays bounded when it is flooded with lines of
-// failed requests, and that the number of dropped ones is reported.
-func TestBoundedFailedRequestsFlood(t *testing.T) {
+// TestAsyncWriterFailedRequestsFlood checks that the buffer stays bounded when it is flooded with
+// lines of failed requests, and that the number of dropped ones is reported.
+func TestAsyncWriterFailedRequestsFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, unblock := newBlockedLog(t)
 		for range floodLines {
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -56,14 +56,14 @@
 
 // Read implements Table.
 func (h *HTTP) Read(ctx context.Context, keys ...string) ([]Row, error) {
-	var answer rowsResponse
-	if err := h.post(ctx, "/table/read", readRequest{Keys: keys}, &answer); err != nil {
+	var response rowsResponse
+	if err := h.post(ctx, "/table/read", readRequest{Keys: keys}, &response); err != nil {
 		return nil, fmt.Errorf("read table: %w", err)
 	}
-	if len(answer.Rows) != len(keys) {
-		return nil, fmt.Errorf("read table: got %d rows for %d keys", len(answer.Rows), len(keys))
+	if len(response.Rows) != len(keys) {
+		return nil, fmt.Errorf("read table: got %d rows for %d keys", len(response.Rows), len(keys))
 	}
-	return answer.Rows, nil
+	return response.Rows, nil
 }
 
 // Write implements Table.
