--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -21,7 +21,7 @@
 		if ledger.Writer(recordKey("a", id), "n0", s.nodes[0].records.nodes) != "n0" {
 			forwarded++
 		}
-		s.sellTwice(id)
+		s.submitTwice(id)
 	}
 	if forwarded == 0 {
 		t.Fatal("no request of the test was forwarded")
@@ -34,13 +34,13 @@
 		n.records.mu.Unlock()
 	}
 	for i := range 6 {
-		s.sellTwice(fmt.Sprint("g", i))
+		s.submitTwice(fmt.Sprint("g", i))
 	}
 }
 
-// sellTwice sends the same at-most-once request to two nodes, and checks that
+// submitTwice sends the same at-most-once request to two nodes, and checks that
 // the second refuses it.
-func (s *system) sellTwice(id string) {
+func (s *system) submitTwice(id string) {
 	s.t.Helper()
 	if _, err := s.client(0, client.WithRetries(0)).Run(context.Background(), request("sell", id)); err != nil {
 		s.t.Fatalf("first time: %v", err)
--- a/internal/node/meters.go
+++ b/internal/node/meters.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// givenUp counts a request that was cut off by the end of the process.
-func (m *meters) givenUp(route string) {
+// abortedByShutdown counts a request that was cut off by the end of the process.
+func (m *meters) abortedByShutdown(route string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_given_up_at_stop_total{route=%q}`, m.label(route))).Inc()
 }
 
@@ -128,8 +128,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_poison_refused_total{route=%q}`, m.label(route))).Inc()
 }
 
-// turnedAway counts a request that a stopping node had no time to finish.
-func (m *meters) turnedAway(route string) {
+// refusedByShutdown counts a request that a stopping node had no time to finish.
+func (m *meters) refusedByShutdown(route string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`gradetiller_turned_away_at_stop_total{route=%q}`, m.label(route))).Inc()
 }
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -77,7 +77,7 @@
 
 // refuseStopping refuses a request that this node can't finish before it stops.
 func (n *Node) refuseStopping(w http.ResponseWriter, q *request) {
-	n.meters.turnedAway(q.route.Name)
+	n.meters.refusedByShutdown(q.route.Name)
 	retryAfter := minRetryAfter
 	if n.hasSuccessor(time.Now()) {
 		retryAfter = retryElsewhereAfter
@@ -94,6 +94,6 @@
 	if !n.terminated() {
 		return reason
 	}
-	n.meters.givenUp(q.route.Name)
+	n.meters.abortedByShutdown(q.route.Name)
 	return errTerminated.Error()
 }
--- a/internal/node/slowbody_test.go
+++ b/internal/node/slowbody_test.go
@@ -27,8 +27,8 @@
 }
 
 // TestSlowBodyTimesOut guards against waiting forever for a request body, whatever the timeout of
-// its route. A client sends half of a body and then nothing: when the route's timeout ends, it is
-// told that the request has not run.
+// its route. A client sends half of a body and then nothing: when the route's timeout ends, it
+// gets the response that the request has not run.
 func TestSlowBodyTimesOut(t *testing.T) {
 	r, worker := startShortTimeoutNode(t)
 	conn, err := net.Dial("tcp", r.Front)
--- a/internal/node/submissions_test.go
+++ b/internal/node/submissions_test.go
@@ -56,7 +56,7 @@
 
 // TestSuspectedLeaderLosesAllWork guards against each submission waiting for its own timeout at a
 // leader that does not answer: one missed answer moves all work away. The suspicion lasts longer
-// each time until the leader is heard from.
+// each time until a message from the leader arrives.
 func TestSuspectedLeaderLosesAllWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSubmissions()
@@ -83,7 +83,7 @@
 		}
 		s.clearSuspicion("leader")
 		if s.suspected(time.Now(), "leader") {
-			t.Error("suspected after it was heard from")
+			t.Error("suspected after a message from it arrived")
 		}
 	})
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -99,8 +99,8 @@
 }
 
 // reconnect closes the connection to a node if it was opened before the given time, at which
-// a message was sent that got no answer. Submissions sent on that connection are told that it
-// was lost.
+// a message was sent that got no answer. Submissions sent on that connection are notified of
+// the loss.
 func (n *Node) reconnect(to wire.Entry, sent time.Time) {
 	if n.links.CloseStale(to.PeerAddress, sent) {
 		n.submissions.connectionLost(to.PeerAddress)
--- a/internal/soak/bounds_test.go
+++ b/internal/soak/bounds_test.go
@@ -185,7 +185,7 @@
 	for i := range r.nodes {
 		background.Go(func() { r.probeLoop(ctx, i, probeMark, probeMoved, probeKey, probeMany) })
 		// Separate from the other probes because its responses take long.
-		background.Go(func() { r.probeLoop(ctx, i, probeMute) })
+		background.Go(func() { r.probeLoop(ctx, i, probeUnresponsive) })
 	}
 	background.Go(func() { r.replaceWorkers(ctx, rand.New(rand.NewPCG(seed, 5))) })
 	if c.faults >= restartFaults {
@@ -326,7 +326,7 @@
 		key = versionKey(version)
 	case probeMoved:
 		path = "/moved/"
-	case probeMute:
+	case probeUnresponsive:
 		path = "/mute/"
 	case probeMany:
 		path = manyPath(rng.IntN(r.deployment.ManyRoutes))
--- a/internal/soak/bounds_verify_test.go
+++ b/internal/soak/bounds_verify_test.go
@@ -100,7 +100,7 @@
 	report := func(o observation, text string) {
 		found = append(found, fmt.Sprintf("%s node-%d %s", o.sent.Format("05.000"), o.node+1, text))
 	}
-	inContact, manyRefused, manyProbes, overdue, muteProbes := 0, 0, 0, 0, 0
+	inContact, manyRefused, manyProbes, overdue, unresponsiveProbes := 0, 0, 0, 0, 0
 	for _, o := range r.observations {
 		byIncarnation[[2]int{o.node, o.incarnation}] = append(byIncarnation[[2]int{o.node, o.incarnation}], o)
 		counts[fmt.Sprintf("%s %d", o.kind, o.status)]++
@@ -109,8 +109,8 @@
 		}
 		if !overlaps(r.history.disturbed[o.node], o.sent.Add(-r.history.contact), o.got) {
 			inContact++
-			if o.kind == probeMute {
-				muteProbes++
+			if o.kind == probeUnresponsive {
+				unresponsiveProbes++
 				if r.history.overdue(o) > overdueSlack {
 					overdue++
 				}
@@ -143,13 +143,13 @@
 	if timed && refusedAfter*maxRefusedOneIn > afterOutage {
 		found = append(found, fmt.Sprintf("LAPSED: %d of %d probes after an outage of the store were refused, although the workers kept serving", refusedAfter, afterOutage))
 	}
-	if timed && overdue > maxOverdue && overdue > muteProbes/4 {
-		found = append(found, fmt.Sprintf("HELD: %d of %d requests had no response %v after their route's timeout", overdue, muteProbes, overdueSlack))
+	if timed && overdue > maxOverdue && overdue > unresponsiveProbes/4 {
+		found = append(found, fmt.Sprintf("HELD: %d of %d requests had no response %v after their route's timeout", overdue, unresponsiveProbes, overdueSlack))
 	}
 	if timed && manyProbes > 20 && manyRefused > manyProbes/4 {
 		found = append(found, fmt.Sprintf("ADDED: %d of %d requests on added routes were not served", manyRefused, manyProbes))
 	}
-	r.t.Logf("%d versions, %d invalid ones, %d workers replaced, %d responses, %d from nodes in contact, %d of %d overdue, %d of %d refused after entries expired; %v", len(r.history.versions), len(r.invalidVersions), len(r.retired), len(r.observations), inContact, overdue, muteProbes, refusedAfter, afterOutage, counts)
+	r.t.Logf("%d versions, %d invalid ones, %d workers replaced, %d responses, %d from nodes in contact, %d of %d overdue, %d of %d refused after entries expired; %v", len(r.history.versions), len(r.invalidVersions), len(r.retired), len(r.observations), inContact, overdue, unresponsiveProbes, refusedAfter, afterOutage, counts)
 	r.logDelays()
 	if len(found) > 0 {
 		sort.Strings(found)
--- a/internal/soak/history_check_test.go
+++ b/internal/soak/history_check_test.go
@@ -64,7 +64,7 @@
 	if found := h.findRollbacks([]observation{observed(older, 11.4), observed(newer, 11)}); len(found) != 1 {
 		t.Errorf("older response 390 ms after a newer one: %v", found)
 	}
-	slow := observation{kind: probeMute, status: http.StatusGatewayTimeout, sent: at(20), got: at(21.2)}
+	slow := observation{kind: probeUnresponsive, status: http.StatusGatewayTimeout, sent: at(20), got: at(21.2)}
 	if overdue := h.overdue(slow); overdue != 700*time.Millisecond {
 		t.Errorf("response after 1.2 s on a route with a timeout of 0.5 s: overdue by %v, want 700ms", overdue)
 	}
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -47,8 +47,8 @@
 	probeMoved
 	// probeMany requests one of the many additional routes.
 	probeMany
-	// probeMute requests the route whose worker never responds.
-	probeMute
+	// probeUnresponsive requests the route whose worker never responds.
+	probeUnresponsive
 )
 
 func (q probeKind) String() string {
