--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -21,7 +21,7 @@
 )
 
 // watcher polls the state of this node's share of the endpoints, so that nodes
-// learn that an endpoint is leaving even if they send it no calls.
+// learn that an endpoint is draining even if they send it no calls.
 type watcher struct {
 	c     *Control
 	state endpoints.StateReader
@@ -66,7 +66,7 @@
 	}
 	w.c.mu.Lock()
 	defer w.c.mu.Unlock()
-	w.c.member.SetEndpoint(wire.Endpoint{Pool: e.pool, Name: e.name, Leaving: state.Leaving})
+	w.c.member.SetEndpoint(wire.Endpoint{Pool: e.pool, Name: e.name, Leaving: state.Draining})
 }
 
 // share returns the endpoints that this node polls.
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -13,14 +13,14 @@
 	budget *attempt.WindowBudget
 }
 
-// AddRequests implements stagepool.Budget.
+// AddRequests implements stagepool.RetryBudget.
 func (b *lockedBudget) AddRequests(now time.Time, service string, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.AddRequests(now, service, n)
 }
 
-// TryAcquire implements stagepool.Budget.
+// TryAcquire implements stagepool.RetryBudget.
 func (b *lockedBudget) TryAcquire(now time.Time, service string, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
