--- a/internal/control/stop_test.go
+++ b/internal/control/stop_test.go
@@ -16,8 +16,8 @@
 // process here stops while nobody holds the lease; afterwards the table must
 // still have no holder.
 func TestStopAcquiresNoLease(t *testing.T) {
-	w := newTestFleet(t, 1)
-	p, err := platform.NewHTTP(w.url)
+	f := newTestFleet(t, 1)
+	p, err := platform.NewHTTP(f.url)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +41,14 @@
 	}
 }
 
-// stoppingOrderer stops the process while an order is in flight.
-type stoppingOrderer struct {
+// stoppingSender stops the process while an order is in flight.
+type stoppingSender struct {
 	stop     context.CancelFunc
 	orders   int
 	canceled bool
 }
 
-func (o *stoppingOrderer) Order(ctx context.Context, _ string, _ endpoints.LoadOrder) error {
+func (o *stoppingSender) SendOrder(ctx context.Context, _ string, _ endpoints.LoadOrder) error {
 	o.orders++
 	o.stop()
 	o.canceled = ctx.Err() != nil
@@ -59,25 +59,25 @@
 // flight or lets the job send further ones. The holder stops during the first of
 // two orders.
 func TestStopFinishesOrderInFlight(t *testing.T) {
-	w := newTestFleet(t, 2)
-	p, err := platform.NewHTTP(w.url)
+	f := newTestFleet(t, 2)
+	p, err := platform.NewHTTP(f.url)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c := New(Identity{System: "test", Node: "a", Incarnation: 1}, WithPlatform(p, p, p))
-	if _, _, err := c.Apply(ctx, 0, w.cfg.Data(), "test"); err != nil {
+	if _, _, err := c.Apply(ctx, 0, f.cfg.Data(), "test"); err != nil {
 		t.Fatal(err)
 	}
-	orderer := &stoppingOrderer{stop: cancel}
-	c.placement.orders, c.placement.epochWait = orderer, 0
-	w.waitFor("the lease is held", func() bool {
+	sender := &stoppingSender{stop: cancel}
+	c.placement.orders, c.placement.epochWait = sender, 0
+	f.waitFor("the lease is held", func() bool {
 		c.placement.stepLease(ctx)
 		return c.placement.updateEpoch()
 	})
 	c.placement.reconcile(ctx)
-	if orderer.orders != 1 || orderer.canceled {
-		t.Fatalf("%d orders, the last one canceled: %v; want one order that is not canceled", orderer.orders, orderer.canceled)
+	if sender.orders != 1 || sender.canceled {
+		t.Fatalf("%d orders, the last one canceled: %v; want one order that is not canceled", sender.orders, sender.canceled)
 	}
 }
--- a/internal/core/signal/limits_test.go
+++ b/internal/core/signal/limits_test.go
@@ -68,9 +68,9 @@
 		}
 		now := time.Unix(1000, 0)
 		exchange := func(from, to string) {
-			updates := nodes[from].Updates(now, to, 2)
+			updates := nodes[from].NextUpdates(now, to, 2)
 			nodes[to].Merge(now, updates)
-			nodes[to].Differs(now, from, nodes[from].Sum())
+			nodes[to].NeedsUpdate(now, from, nodes[from].Checksum())
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(rt, "gap")) * time.Millisecond)
@@ -95,7 +95,7 @@
 			}
 		}
 		for _, n := range names[1:] {
-			if nodes[n].Sum() != nodes["a"].Sum() {
+			if nodes[n].Checksum() != nodes["a"].Checksum() {
 				rt.Errorf("node %s and node a hold different limits", n)
 			}
 		}
@@ -106,11 +106,11 @@
 // in any 4 s, at most one and a half times the rate and 5 more requests may be sent.
 func TestPaceToleratesClockJumps(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		named := rapid.Float64Range(0.1, 30).Draw(rt, "rate")
+		limit := rapid.Float64Range(0.1, 30).Draw(rt, "rate")
 		nodes := rapid.SampledFrom([]int{1, 2, 7, 59}).Draw(rt, "nodes")
 		limits := signal.NewLimits()
 		start := time.Unix(1000, 0)
-		limits.Observe(start, "e", mustRate(rt, named))
+		limits.Observe(start, "e", mustRate(rt, limit))
 		sends := make([]intake.Sends, nodes)
 		var sent []time.Time
 		jump := time.Duration(rapid.IntRange(-5000, 5000).Draw(rt, "jump")) * time.Millisecond
@@ -129,8 +129,8 @@
 				}
 			}
 		}
-		if got := intaketest.MaxInSpan(sent, start); got > intaketest.Allowed(named) {
-			rt.Fatalf("%d requests in %v at a limit of %v per second", got, intaketest.Span, named)
+		if got := intaketest.MaxInSpan(sent, start); got > intaketest.Allowed(limit) {
+			rt.Fatalf("%d requests in %v at a limit of %v per second", got, intaketest.Span, limit)
 		}
 	})
 }
